--- a/crates/quota/src/bucket.rs
+++ b/crates/quota/src/bucket.rs
@@ -1,26 +1,25 @@
-//! A token bucket that holds one gateway's part of a common limit.
+//! A token bucket for one gateway's part of a shared limit.
 
-use crate::part::Mark;
+use crate::part::MeterReading;
 use crate::{micros, Micros, PartMeter};
 
-/// What a level may lack for a whole token by sums of floating-point numbers. It is taken all the same, and missed at
-/// the next one, so it doesn't add up.
+/// Floating-point tolerance for a whole token. The difference is charged to the next token, so it does not accumulate.
 const ROUNDING: f64 = 1e-9;
 
-/// A limit common to all gateways.
+/// A rate limit shared by all gateways.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct BucketLimit {
-    /// Tokens a second, for all gateways together.
+    /// Tokens per second, over all gateways.
     pub rate: f64,
-    /// Tokens that may be given out at once, for all gateways together.
+    /// Bucket capacity in tokens, over all gateways.
     pub depth: f64,
-    /// A level may gather up to this at least, however small the part of the depth is: 1 where every gateway has to
-    /// get a token in the long run, 0 where the sum goes first.
+    /// Minimum capacity of one gateway's bucket, however small its part: 1 lets every gateway accumulate a token, 0 keeps
+    /// the total strictly within `depth`.
     pub least_cap: f64,
 }
 
 impl BucketLimit {
-    /// How far a level may gather with a share.
+    /// Capacity of a bucket that holds `share`.
     fn cap(&self, share: f64) -> f64 {
         if share > 0.0 {
             (self.depth * share).max(self.least_cap)
@@ -30,53 +29,52 @@
     }
 }
 
-/// A token bucket that holds a part of a common limit.
+/// A token bucket that enforces one gateway's part of a shared limit.
 ///
-/// It refills with the common rate times the share held, and its level never passes the common depth times the
-/// smallest share held since its last use. When the limit or the part grows, rate and depth grow but the level doesn't
-/// jump; when either shrinks, the level is cut.
+/// It refills at the shared rate times the share held, and its level never exceeds the shared depth times the smallest
+/// share held since the last use. When the limit or the part grows, rate and capacity grow but the level does not jump;
+/// when either shrinks, the level is cut.
 ///
-/// # The sum over all gateways
-/// In a window of `W` seconds from `s`, a bucket gives out at most its level at `s` and what it is refilled with. The
-/// shares come to at most one at any time, so all levels at `s` come to at most `depth` and all refills to at most
-/// `rate x W`. A bucket that begins anew (a restart) begins at a level that the one before it had at least.
+/// # Bound over all gateways
+/// In a window of `W` seconds from `s`, a bucket issues at most its level at `s` plus its refills. The shares never exceed
+/// one in total, so all levels at `s` total at most `depth`, and all refills at most `rate x W`. After a restart, a bucket
+/// starts no higher than its predecessor's level.
 ///
-/// # Tokens lent
-/// A gateway that lacks a token may ask others for it, and use what they give within a time `t` of its question. What is
-/// given has left a level by then, so at any moment the levels and what is on its way come to at most `depth + rate x t`:
-/// the levels of `t` ago, and the refills since. With lending, a window gives out at most `depth + rate x (W + t)`.
+/// # Borrowing
+/// A gateway may borrow tokens and use them within a time `t` of its request. They have left the lender's level by then,
+/// so at any moment the levels and the tokens in transit total at most `depth + rate x t`: the levels `t` ago plus the
+/// refills since. With borrowing, a window issues at most `depth + rate x (W + t)`.
 ///
-/// # Depths below one
-/// Where the part of the depth is below one token, no whole token would ever be given out. With a `least_cap` of one the
-/// level may still gather up to one. This costs at most one token for each gateway: all levels come to at most
-/// [`SharedBucket::worst_depth`], which is `max(depth, gateways)` for even parts, and below `depth + gateways` for any.
-/// A caller compares this with the depth and the slack that its rule allows, and passes a smaller depth if need be.
-/// Where there are more gateways than slack, even parts can't both serve every gateway and keep the rule: a `least_cap`
-/// of zero keeps the rule, and gives nothing to gateways with less than a token.
+/// # Capacities below one token
+/// If the part of the depth is below one token, no whole token would ever be issued. With a `least_cap` of one, the level
+/// may still reach one. This adds at most one token per gateway: all levels total at most
+/// [`SharedBucket::worst_depth`], which is `max(depth, gateways)` for even parts, and less than `depth + gateways` for
+/// any. Callers compare this with their depth and slack, and pass a smaller depth if necessary. With more gateways than
+/// slack, even parts cannot both serve every gateway and keep the bound: a `least_cap` of zero keeps the bound and issues
+/// nothing to gateways with less than a token.
 ///
-/// # Giving back
-/// A token that wasn't used comes back, but no token that the bucket would have lost to overflow had it not been given
-/// out. `returnable` is what may still come back of the tokens that are out: `level + returnable` is what the window
-/// from now on can draw from, and is cut like a level. It grows by refills alone: taking moves a token from the level to
-/// `returnable`, giving back moves it to the level again. The bucket doesn't know which of the tokens that are out were
-/// cut, so the first ones that come back count as those.
+/// # Refunds
+/// An unused token is refunded, unless the bucket would have lost it to overflow had it not been issued. `refundable` is
+/// the number of issued tokens that may still be refunded; `level + refundable` is capped like a level and grows only by
+/// refills: taking moves a token from the level to `refundable`, a refund moves it back. The bucket does not know which
+/// issued tokens overflowed, so the first ones returned count as lost.
 #[derive(Clone, Debug)]
 pub struct SharedBucket {
     level: f64,
-    returnable: f64,
+    refundable: f64,
     limit: BucketLimit,
-    used: Mark,
+    last_used: MeterReading,
 }
 
 impl SharedBucket {
-    /// A bucket with a level at the start. The level is cut to the limit and part of the first use.
+    /// Creates a bucket with an initial level, capped by the limit and the part.
     pub fn new(meter: &PartMeter, limit: BucketLimit, level_at_start: f64) -> SharedBucket {
         let cap = limit.cap(meter.share());
         let level = level_at_start.clamp(0.0, cap);
-        SharedBucket { level, returnable: 0.0, limit, used: meter.mark() }
+        SharedBucket { level, refundable: 0.0, limit, last_used: meter.reading() }
     }
 
-    /// The most that the levels of so many buckets with even parts and a `least_cap` of one come to.
+    /// Maximum total level over `gateways` buckets with even parts and a `least_cap` of one.
     pub fn worst_depth(depth: f64, gateways: u32) -> f64 {
         depth.max(f64::from(gateways))
     }
@@ -86,15 +84,15 @@
         self.level
     }
 
-    /// The moment of the last use.
-    pub(crate) fn used(&self) -> Mark {
-        self.used
+    /// The meter reading at the last use.
+    pub(crate) fn last_used(&self) -> MeterReading {
+        self.last_used
     }
 
-    /// Takes one token, or says how long it takes until there is one (`None`: not with this part).
+    /// Takes one token.
     ///
     /// # Errors
-    /// The wait for the next token.
+    /// The time until the next token, or `None` if there is none with the current part.
     pub fn try_take(&mut self, meter: &PartMeter, limit: BucketLimit) -> Result<(), Option<Micros>> {
         self.refresh(meter, limit);
         if meter.share() <= 0.0 {
@@ -102,18 +100,18 @@
         }
         if self.level >= 1.0 - ROUNDING {
             self.level -= 1.0;
-            self.returnable += 1.0;
+            self.refundable += 1.0;
             return Ok(());
         }
         let rate = limit.rate * meter.share();
         Err((rate > 0.0).then(|| micros((1.0 - self.level) / rate)))
     }
 
-    /// Takes one token, made whole by what other gateways lent. What is lent beyond that stays, as far as the part's
-    /// depth goes; where both together are no token, it is kept in the same way.
+    /// Takes one token with the help of `lent` tokens from other gateways. Unused lent tokens are added to the level, up
+    /// to its capacity.
     ///
     /// # Errors
-    /// The wait for the next token.
+    /// As for [`Self::try_take`].
     pub fn try_take_with(
         &mut self,
         meter: &PartMeter,
@@ -121,63 +119,63 @@
         lent: f64,
     ) -> Result<(), Option<Micros>> {
         self.refresh(meter, limit);
-        let together = self.level + lent;
+        let available = self.level + lent;
         let cap = limit.cap(meter.share());
-        if together < 1.0 - ROUNDING {
-            self.level = together.min(cap);
+        if available < 1.0 - ROUNDING {
+            self.level = available.min(cap);
             return self.try_take(meter, limit);
         }
-        // What was lent does not come back where the token is not used.
-        self.returnable += (1.0 - lent).max(0.0);
-        self.level = (together - 1.0).min(cap);
+        // The lent fraction is not refundable.
+        self.refundable += (1.0 - lent).max(0.0);
+        self.level = (available - 1.0).min(cap);
         Ok(())
     }
 
-    /// Gives tokens away to another gateway, at most so many. They never come back.
-    pub fn lend(&mut self, meter: &PartMeter, limit: BucketLimit, most: f64) -> f64 {
+    /// Removes at most `max` tokens for another gateway and returns their number. They are not refundable.
+    pub fn lend(&mut self, meter: &PartMeter, limit: BucketLimit, max: f64) -> f64 {
         self.refresh(meter, limit);
-        let lent = self.level.min(most).max(0.0);
+        let lent = self.level.min(max).max(0.0);
         self.level -= lent;
         lent
     }
 
-    /// A token that was given out has been used for good.
+    /// Marks an issued token as used.
     pub fn settle(&mut self) {
-        self.returnable = (self.returnable - 1.0).max(0.0);
+        self.refundable = (self.refundable - 1.0).max(0.0);
     }
 
-    /// A token that was given out has not been used. So many were out, this one included.
-    pub fn give_back(&mut self, meter: &PartMeter, out: u32) {
+    /// Refunds an unused token. `issued` is the number of issued tokens not yet settled, this one included.
+    pub fn refund(&mut self, meter: &PartMeter, issued: u32) {
         self.refresh(meter, self.limit);
-        let cut = f64::from(out) - self.returnable;
-        let back = (1.0 - cut).clamp(0.0, 1.0);
-        self.returnable -= back;
-        self.level += back;
+        let lost = f64::from(issued) - self.refundable;
+        let refund = (1.0 - lost).clamp(0.0, 1.0);
+        self.refundable -= refund;
+        self.level += refund;
     }
 
-    /// Brings the bucket up to date, with the limit that holds from now on.
+    /// Refills the bucket up to now and applies the limit that holds from now on.
     pub fn refresh(&mut self, meter: &PartMeter, limit: BucketLimit) {
         let lower = BucketLimit {
             rate: self.limit.rate.min(limit.rate),
             depth: self.limit.depth.min(limit.depth),
             least_cap: self.limit.least_cap.min(limit.least_cap),
         };
-        let with_returnable = gathered(meter, self.used, self.level + self.returnable, lower);
-        self.level = gathered(meter, self.used, self.level, lower);
-        self.returnable = self.returnable.min(with_returnable - self.level);
+        let with_refundable = refilled_level(meter, self.last_used, self.level + self.refundable, lower);
+        self.level = refilled_level(meter, self.last_used, self.level, lower);
+        self.refundable = self.refundable.min(with_refundable - self.level);
         self.limit = limit;
-        self.used = meter.mark();
+        self.last_used = meter.reading();
     }
 }
 
-/// What a bucket with a level at a mark has at least gathered by now, if nothing was taken.
+/// Lower bound on the level of a bucket that had `level` at `since`, if nothing was taken in between.
 ///
-/// The level was cut to each share that was held in between. It is at least the level with all that was earned, cut to
-/// the smallest share; and at least what an empty bucket would have gathered since any later moment.
-pub(crate) fn gathered(meter: &PartMeter, since: Mark, level: f64, limit: BucketLimit) -> f64 {
-    let filled = |level: f64, since: Mark, lowest: f64| {
+/// The level is capped by each share held in between. It is at least the refilled level capped by the smallest share,
+/// and at least the level of a bucket that was empty at any later time.
+pub(crate) fn refilled_level(meter: &PartMeter, since: MeterReading, level: f64, limit: BucketLimit) -> f64 {
+    let filled = |level: f64, since: MeterReading, lowest: f64| {
         (level + limit.rate * (meter.earned() - since.earned)).min(limit.cap(lowest))
     };
-    let whole = filled(level, since, meter.lowest_since(since.at));
-    meter.ends_after(since.at).map(|(end, lowest)| filled(0.0, end, lowest)).fold(whole, f64::max)
+    let from_start = filled(level, since, meter.lowest_since(since.at));
+    meter.ends_after(since.at).map(|(end, lowest)| filled(0.0, end, lowest)).fold(from_start, f64::max)
 }
--- a/crates/quota/src/lib.rs
+++ b/crates/quota/src/lib.rs
@@ -1,11 +1,11 @@
-//! Common limits that many gateways keep together, without I/O.
+//! Distributed rate limits that many gateways enforce together, without I/O.
 //!
-//! Every gateway holds a [`Part`] of each common limit under a lease, and never gives out more than its part
-//! ([`SharedBucket`]). The sum therefore holds whether the gateways can reach each other or not. Counts that the
-//! gateways tell each other ([`TenantTable::collect_adds`], [`OwnerTable`]) sharpen the judgement of tenants, but
-//! no bound depends on them.
+//! Every gateway holds a [`Part`] of each shared limit under a lease and never admits more than its part
+//! ([`SharedBucket`]), so the total stays within the limit even if gateways cannot reach each other. Counts that
+//! gateways exchange ([`TenantTable::collect_adds`], [`OwnerTable`]) improve penalty decisions, but no bound depends
+//! on them.
 //!
-//! Time is passed in as [`Micros`] of one steady clock. Nothing here reads a clock, a socket or a random source.
+//! Time is passed in as [`Micros`] of one monotonic clock. The crate reads no clock, socket or random source.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
@@ -38,19 +38,19 @@
 pub use sliding::SlidingCount;
 pub use table::{Admission, RefusalReason, TableSettings, TenantLimits, TenantTable};
 
-/// A point in time or a span, in microseconds, on one clock that never goes back.
+/// A point in time or a duration in microseconds, on one monotonic clock.
 pub type Micros = u64;
 
 /// Microseconds in a second.
 pub(crate) const SECOND: Micros = 1_000_000;
 
-/// A span in seconds.
+/// Converts a duration to seconds.
 #[allow(clippy::cast_precision_loss)]
 pub(crate) fn seconds(span: Micros) -> f64 {
     span as f64 / SECOND as f64
 }
 
-/// A span of so many seconds; what can't be expressed becomes the longest span.
+/// Converts seconds to a duration, rounding up and saturating at the bounds of [`Micros`].
 #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss, clippy::cast_precision_loss)]
 pub(crate) fn micros(seconds: f64) -> Micros {
     (seconds * SECOND as f64).ceil() as Micros
--- a/crates/quota/src/lru.rs
+++ b/crates/quota/src/lru.rs
@@ -1,11 +1,11 @@
-//! A bounded map by name that knows which of its entries was used least recently.
+//! A map by name with least-recently-used order.
 
 use compact_str::CompactString;
 use std::collections::HashMap;
 
-const NOBODY: u32 = u32::MAX;
+const NIL: u32 = u32::MAX;
 
-/// A handle to an entry, which tells whether the entry is still the same one.
+/// A generational handle: it no longer resolves after its entry was removed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Handle {
     index: u32,
@@ -21,7 +21,7 @@
     older: u32,
 }
 
-/// The map. It never grows by itself beyond what the caller inserts.
+/// A map by name whose entries form a list in order of use. Callers bound its size.
 #[derive(Clone, Debug)]
 pub(crate) struct LruMap<V> {
     by_name: HashMap<CompactString, u32>,
@@ -33,13 +33,7 @@
 
 impl<V> LruMap<V> {
     pub(crate) fn new() -> LruMap<V> {
-        LruMap {
-            by_name: HashMap::new(),
-            nodes: Vec::new(),
-            free: Vec::new(),
-            newest: NOBODY,
-            oldest: NOBODY,
-        }
+        LruMap { by_name: HashMap::new(), nodes: Vec::new(), free: Vec::new(), newest: NIL, oldest: NIL }
     }
 
     pub(crate) fn len(&self) -> usize {
@@ -62,12 +56,12 @@
         node.value.as_mut()
     }
 
-    /// The entry used least recently.
+    /// The least recently used entry.
     pub(crate) fn oldest(&self) -> Option<Handle> {
-        (self.oldest != NOBODY).then(|| self.handle(self.oldest))
+        (self.oldest != NIL).then(|| self.handle(self.oldest))
     }
 
-    /// Adds an entry as the newest. The name must not be there yet.
+    /// Adds an entry as the most recently used. The name must not exist yet.
     pub(crate) fn insert(&mut self, name: CompactString, value: V) -> Handle {
         let index = self.free.pop().unwrap_or_else(|| self.grow());
         let node = &mut self.nodes[index as usize];
@@ -90,7 +84,7 @@
         value
     }
 
-    /// Makes an entry the newest.
+    /// Marks an entry as the most recently used.
     pub(crate) fn touch(&mut self, handle: Handle) {
         if self.newest != handle.index && self.get(handle).is_some() {
             self.unlink(handle.index);
@@ -104,15 +98,15 @@
 
     fn grow(&mut self) -> u32 {
         let name = CompactString::default();
-        self.nodes.push(Node { name, value: None, generation: 0, newer: NOBODY, older: NOBODY });
+        self.nodes.push(Node { name, value: None, generation: 0, newer: NIL, older: NIL });
         u32::try_from(self.nodes.len() - 1).expect("fewer than 2^32 entries")
     }
 
     fn link_newest(&mut self, index: u32) {
-        let before = self.newest;
-        self.nodes[index as usize].older = before;
-        self.nodes[index as usize].newer = NOBODY;
-        match self.nodes.get_mut(before as usize) {
+        let previous = self.newest;
+        self.nodes[index as usize].older = previous;
+        self.nodes[index as usize].newer = NIL;
+        match self.nodes.get_mut(previous as usize) {
             Some(node) => node.newer = index,
             None => self.oldest = index,
         }
--- a/crates/quota/src/messages.rs
+++ b/crates/quota/src/messages.rs
@@ -1,25 +1,25 @@
-//! What gateways tell each other of their counts.
+//! Messages with which gateways exchange their counts.
 
 use crate::Micros;
 use compact_str::CompactString;
 use serde::{Deserialize, Serialize};
 
-/// A gateway, the same over its restarts.
+/// Identifies a gateway across restarts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct GatewayId(pub u64);
 
-/// One run of a gateway. A later run of the same gateway has a greater one.
+/// Identifies one run of a gateway. Later runs have greater values.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Incarnation(pub u64);
 
-/// The counts of one gateway that changed, for one owner.
+/// The changed counts of one gateway, sent to one owner.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Adds {
-    /// The run of the gateway that counts.
+    /// The run of the sender.
     pub incarnation: Incarnation,
-    /// Grows with every push of this run.
+    /// Incremented with every push of this run.
     pub sequence: u64,
-    /// The tenants whose counts the owner may not know yet.
+    /// Tenants with counts that the owner has not confirmed.
     pub tenants: Vec<TenantAdd>,
 }
 
@@ -28,24 +28,24 @@
 pub struct TenantAdd {
     /// The tenant.
     pub tenant: CompactString,
-    /// Requests since the run began, without those given back.
+    /// Requests since the run began, excluding refunded ones.
     pub cumulative: u64,
-    /// Requests within the last window: what counts where the owner doesn't know what came before.
+    /// Requests within the last window, used if the owner has no earlier count.
     pub recent: u32,
-    /// Requests that are open now.
+    /// Open requests.
     pub open: u32,
-    /// The window's length.
+    /// Length of the window, µs.
     pub window: Micros,
 }
 
-/// The answer to [`Adds`]: what all gateways together come to.
+/// The answer to [`Adds`]: totals over all gateways.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Totals {
-    /// The run that is answered.
+    /// The run of the push that is answered.
     pub incarnation: Incarnation,
-    /// The push that is answered.
+    /// The sequence number of the push that is answered.
     pub sequence: u64,
-    /// One for each tenant of the push.
+    /// One total for each tenant of the push.
     pub tenants: Vec<TenantTotal>,
 }
 
@@ -54,14 +54,14 @@
 pub struct TenantTotal {
     /// The tenant.
     pub tenant: CompactString,
-    /// The cumulative count of the gateway asking, as far as the owner knows it.
+    /// The requesting gateway's cumulative count that the owner has recorded.
     pub counted: u64,
-    /// The sliding count of all gateways.
+    /// The sliding-window count over all gateways.
     pub total: f64,
-    /// What of it is from the gateway asking.
+    /// The requesting gateway's portion of `total`.
     pub yours: f64,
-    /// Requests open at all gateways.
+    /// Open requests over all gateways.
     pub open: u32,
-    /// Gateways that contributed within about a window.
+    /// Number of gateways that contributed within about one window.
     pub gateways: u32,
 }
--- a/crates/quota/src/owner.rs
+++ b/crates/quota/src/owner.rs
@@ -1,24 +1,24 @@
-//! The totals of the tenants that one gateway keeps for all.
+//! Totals of tenants that one gateway aggregates for all gateways.
 
 use crate::lru::{Handle, LruMap};
 use crate::{Adds, GatewayId, Incarnation, Micros, SlidingCount, TenantAdd, TenantTotal, Totals, SECOND};
 use std::collections::BTreeMap;
 
-/// Windows without a word after which a gateway's last count of a tenant is forgotten.
-const SOURCE_WINDOWS: Micros = 3;
-/// A gateway is never forgotten sooner.
-const SILENCE_LEAST: Micros = 10 * SECOND;
-/// Entries looked at for their age with each message.
-const AGED_AT_ONCE: usize = 8;
-/// Gateways whose runs are remembered.
-const GATEWAYS: usize = 16_384;
+/// Number of windows without a message after which a gateway's count of a tenant is evicted.
+const SOURCE_EXPIRY_WINDOWS: Micros = 3;
+/// Minimum time without a message before a gateway's count is evicted.
+const MIN_SOURCE_EXPIRY: Micros = 10 * SECOND;
+/// Maximum number of entries checked for expiry with each message.
+const EXPIRY_BATCH: usize = 8;
+/// Maximum number of gateways whose runs are tracked.
+const MAX_GATEWAYS: usize = 16_384;
 
-/// The bounds of an [`OwnerTable`].
+/// Limits of an [`OwnerTable`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct OwnerSettings {
-    /// Tenants kept at most.
+    /// Maximum number of tenants.
     pub entries: usize,
-    /// A tenant that nobody told anything of for so long is forgotten.
+    /// Time without a message after which a tenant is evicted.
     pub idle: Micros,
 }
 
@@ -28,14 +28,14 @@
     }
 }
 
-/// What one gateway last told of a tenant.
+/// The latest count of a tenant from one gateway.
 #[derive(Clone, Debug)]
 struct Source {
-    heard_run: Incarnation,
+    run: Incarnation,
     sequence: u64,
     cumulative: u64,
     open: u32,
-    heard_at: Micros,
+    last_seen: Micros,
     count: SlidingCount,
 }
 
@@ -45,23 +45,23 @@
     open: u32,
     sources: BTreeMap<GatewayId, Source>,
     contributors: u32,
-    reviewed_at: Micros,
-    heard_at: Micros,
+    refreshed_at: Micros,
+    last_seen: Micros,
 }
 
-/// What is known of a gateway's run: messages of earlier runs are ignored, and those up to `floor` for tenants whose
-/// last count has been forgotten.
+/// The latest run of a gateway. Messages of earlier runs are ignored, as are those up to sequence number `floor` for
+/// tenants whose counts were evicted.
 #[derive(Clone, Copy, Debug)]
 struct Run {
     incarnation: Incarnation,
     floor: u64,
-    heard_at: Micros,
+    last_seen: Micros,
 }
 
-/// Totals of tenants from the counts of all gateways, on the clock of the owner.
+/// Aggregates the counts of all gateways into totals per tenant, on the owner's clock.
 ///
-/// Gateways tell cumulative counts with a sequence number, so a message that is lost is made up for by the next one,
-/// and one that comes twice or late changes nothing.
+/// Gateways send cumulative counts with sequence numbers, so the next message makes up for a lost one, and duplicated or
+/// reordered messages have no effect.
 #[derive(Clone, Debug)]
 pub struct OwnerTable {
     settings: OwnerSettings,
@@ -70,55 +70,61 @@
 }
 
 impl OwnerTable {
-    /// An empty table.
+    /// Creates an empty table.
     pub fn new(settings: OwnerSettings) -> OwnerTable {
         OwnerTable { settings, tenants: LruMap::new(), runs: BTreeMap::new() }
     }
 
-    /// Tenants kept.
+    /// Number of tenants.
     pub fn len(&self) -> usize {
         self.tenants.len()
     }
 
-    /// Whether no tenant is kept.
+    /// Whether there are no tenants.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    /// Takes in a gateway's counts, and answers with the totals.
+    /// Records a gateway's counts and returns the totals.
     pub fn receive(&mut self, now: Micros, from: GatewayId, adds: &Adds) -> Totals {
-        self.age(now);
+        self.evict_idle(now);
         let mut tenants = Vec::new();
         if self.is_current_run(now, from, adds.incarnation) {
             tenants =
-                adds.tenants.iter().filter_map(|add| self.take(now, from, adds.sequence, add)).collect();
+                adds.tenants.iter().filter_map(|add| self.record(now, from, adds.sequence, add)).collect();
         }
         Totals { incarnation: adds.incarnation, sequence: adds.sequence, tenants }
     }
 
     fn is_current_run(&mut self, now: Micros, from: GatewayId, incarnation: Incarnation) -> bool {
-        if self.runs.len() >= GATEWAYS && !self.runs.contains_key(&from) {
-            self.forget_oldest_run();
+        if self.runs.len() >= MAX_GATEWAYS && !self.runs.contains_key(&from) {
+            self.evict_oldest_run();
         }
-        let run = self.runs.entry(from).or_insert(Run { incarnation, floor: 0, heard_at: now });
+        let run = self.runs.entry(from).or_insert(Run { incarnation, floor: 0, last_seen: now });
         if incarnation < run.incarnation {
             return false;
         }
         if incarnation > run.incarnation {
-            *run = Run { incarnation, floor: 0, heard_at: now };
+            *run = Run { incarnation, floor: 0, last_seen: now };
         }
-        run.heard_at = now;
+        run.last_seen = now;
         true
     }
 
-    fn forget_oldest_run(&mut self) {
-        let oldest = self.runs.iter().min_by_key(|(_, run)| run.heard_at).map(|(gateway, _)| *gateway);
+    fn evict_oldest_run(&mut self) {
+        let oldest = self.runs.iter().min_by_key(|(_, run)| run.last_seen).map(|(gateway, _)| *gateway);
         if let Some(gateway) = oldest {
             self.runs.remove(&gateway);
         }
     }
 
-    fn take(&mut self, now: Micros, from: GatewayId, sequence: u64, add: &TenantAdd) -> Option<TenantTotal> {
+    fn record(
+        &mut self,
+        now: Micros,
+        from: GatewayId,
+        sequence: u64,
+        add: &TenantAdd,
+    ) -> Option<TenantTotal> {
         let run = *self.runs.get(&from)?;
         let handle = match self.tenants.find(&add.tenant) {
             Some(handle) => handle,
@@ -126,9 +132,9 @@
         };
         self.tenants.touch(handle);
         let tenant = self.tenants.get_mut(handle)?;
-        tenant.heard_at = now;
+        tenant.last_seen = now;
         tenant.count.set_window(now, add.window);
-        tenant.review(now, &mut self.runs);
+        tenant.refresh_sources(now, &mut self.runs);
         tenant.add(now, from, &run, sequence, add);
         tenant.total(now, from, add)
     }
@@ -136,31 +142,31 @@
     fn insert(&mut self, now: Micros, add: &TenantAdd) -> Handle {
         while self.tenants.len() >= self.settings.entries.max(1) {
             let Some(oldest) = self.tenants.oldest() else { break };
-            self.forget(oldest);
+            self.evict(oldest);
         }
         let tenant = OwnedTenant {
             count: SlidingCount::new(now, add.window),
             open: 0,
             sources: BTreeMap::new(),
             contributors: 0,
-            reviewed_at: now,
-            heard_at: now,
+            refreshed_at: now,
+            last_seen: now,
         };
         self.tenants.insert(add.tenant.clone(), tenant)
     }
 
-    fn age(&mut self, now: Micros) {
-        for _ in 0..AGED_AT_ONCE {
+    fn evict_idle(&mut self, now: Micros) {
+        for _ in 0..EXPIRY_BATCH {
             let Some(oldest) = self.tenants.oldest() else { return };
             let Some((_, tenant)) = self.tenants.get(oldest) else { return };
-            if now.saturating_sub(tenant.heard_at) < self.settings.idle {
+            if now.saturating_sub(tenant.last_seen) < self.settings.idle {
                 return;
             }
-            self.forget(oldest);
+            self.evict(oldest);
         }
     }
 
-    fn forget(&mut self, handle: Handle) {
+    fn evict(&mut self, handle: Handle) {
         let Some(tenant) = self.tenants.remove(handle) else { return };
         for (gateway, source) in tenant.sources {
             raise_floor(&mut self.runs, gateway, source.sequence);
@@ -175,22 +181,22 @@
 }
 
 impl OwnedTenant {
-    /// Forgets gateways that have been silent, and counts those that contribute: twice in a window.
-    fn review(&mut self, now: Micros, runs: &mut BTreeMap<GatewayId, Run>) {
+    /// Twice per window, evicts silent gateways and recounts the contributing ones.
+    fn refresh_sources(&mut self, now: Micros, runs: &mut BTreeMap<GatewayId, Run>) {
         let window = self.count.window();
-        if now.saturating_sub(self.reviewed_at) < window / 2 {
+        if now.saturating_sub(self.refreshed_at) < window / 2 {
             return;
         }
-        self.reviewed_at = now;
+        self.refreshed_at = now;
         let (mut open, mut contributors) = (0, 0);
         self.sources.retain(|gateway, source| {
-            let silent = now.saturating_sub(source.heard_at);
-            if silent >= window.saturating_mul(SOURCE_WINDOWS).max(SILENCE_LEAST) {
+            let silence = now.saturating_sub(source.last_seen);
+            if silence >= window.saturating_mul(SOURCE_EXPIRY_WINDOWS).max(MIN_SOURCE_EXPIRY) {
                 raise_floor(runs, *gateway, source.sequence);
                 return false;
             }
             open += source.open;
-            contributors += u32::from(silent < window);
+            contributors += u32::from(silence < window);
             true
         });
         self.open = open;
@@ -205,13 +211,13 @@
             }
             return;
         };
-        // The first message of a new run counts anew: its sequence begins again, and its count does.
-        let anew = source.heard_run != run.incarnation;
-        if !anew && sequence <= source.sequence {
+        // The sequence number and the cumulative count of a new run start over.
+        let new_run = source.run != run.incarnation;
+        if !new_run && sequence <= source.sequence {
             return;
         }
-        let long_ago = now.saturating_sub(source.heard_at) >= add.window;
-        let units = match (anew, long_ago) {
+        let stale = now.saturating_sub(source.last_seen) >= add.window;
+        let units = match (new_run, stale) {
             (true, _) => recent,
             (false, true) => difference(add.cumulative, source.cumulative).min(recent),
             (false, false) => difference(add.cumulative, source.cumulative),
@@ -220,11 +226,11 @@
         source.count.set_window(now, add.window);
         source.count.add(now, units);
         self.open = (self.open + add.open).saturating_sub(source.open);
-        source.heard_run = run.incarnation;
+        source.run = run.incarnation;
         source.sequence = sequence;
         source.cumulative = add.cumulative;
         source.open = add.open;
-        source.heard_at = now;
+        source.last_seen = now;
     }
 
     fn add_source(
@@ -241,11 +247,11 @@
         self.open += add.open;
         self.contributors += 1;
         let source = Source {
-            heard_run: incarnation,
+            run: incarnation,
             sequence,
             cumulative: add.cumulative,
             open: add.open,
-            heard_at: now,
+            last_seen: now,
             count,
         };
         self.sources.insert(from, source);
@@ -265,12 +271,12 @@
     }
 }
 
-/// How much a cumulative count has grown; it shrinks when requests are given back.
+/// Change of a cumulative count; negative if requests were refunded.
 #[allow(clippy::cast_precision_loss)]
-fn difference(count: u64, before: u64) -> f32 {
-    if count >= before {
-        (count - before) as f32
+fn difference(count: u64, previous: u64) -> f32 {
+    if count >= previous {
+        (count - previous) as f32
     } else {
-        -((before - count) as f32)
+        -((previous - count) as f32)
     }
 }
--- a/crates/quota/src/part.rs
+++ b/crates/quota/src/part.rs
@@ -1,24 +1,24 @@
-//! The part of every common limit that one gateway holds, and what it has come to over time.
+//! The part of every shared limit that one gateway holds, and its integral over time.
 
 use crate::{seconds, Micros};
 use std::collections::VecDeque;
 
-/// One gateway's even part of every common limit, under a lease.
+/// One gateway's even part of every shared limit, under a lease.
 ///
-/// Whoever grants parts sees to it that the shares that are valid at any moment never come to more than one.
+/// The grantor ensures that the valid shares never total more than one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Part {
-    /// The part is one of so many. None at all for 0.
+    /// Number of gateways that the limits are divided among; 0 for no part.
     pub gateways: u32,
-    /// From this moment on the part is nothing.
+    /// Expiry of the lease.
     pub valid_until: Micros,
 }
 
 impl Part {
-    /// No part of anything.
+    /// No part.
     pub const NONE: Part = Part { gateways: 0, valid_until: 0 };
 
-    /// The share of the whole at a moment: 0 once the lease has ended.
+    /// The fraction of the whole at `now`; 0 once the lease has expired.
     pub fn share(&self, now: Micros) -> f64 {
         if now < self.valid_until {
             self.leased_share()
@@ -36,28 +36,27 @@
     }
 }
 
-/// Ended spans that a meter remembers. Beyond, the two oldest become one with the smaller share.
-const SPANS: usize = 64;
+/// Maximum number of past spans in a meter. Beyond it, the two oldest are merged with the smaller share.
+const MAX_SPANS: usize = 64;
 
-/// A moment, and what a meter had earned by then.
+/// A point in time with the meter's integral up to it.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(crate) struct Mark {
+pub(crate) struct MeterReading {
     pub(crate) at: Micros,
     pub(crate) earned: f64,
 }
 
-/// A span of constant share that has ended.
+/// A past span of constant share.
 #[derive(Clone, Copy, Debug)]
 struct Span {
-    end: Mark,
+    end: MeterReading,
     share: f64,
 }
 
-/// Follows the part that a gateway holds, so that buckets which are used rarely can be brought up to date exactly:
-/// they ask for the integral of the share since their last use, and for the smallest share since then.
+/// Tracks the share that a gateway holds, so that rarely used buckets can be refilled exactly: they query the integral of
+/// the share and the smallest share since their last use.
 ///
-/// A renewal has to be observed before the lease ends: what happened after the end of the last lease known is taken
-/// for nothing held.
+/// A renewal must be observed before the lease expires; from the expiry of the last known lease on, no share is held.
 #[derive(Clone, Debug)]
 pub struct PartMeter {
     valid_until: Micros,
@@ -69,17 +68,17 @@
 }
 
 impl PartMeter {
-    /// Begins without a part.
+    /// Creates a meter without a share.
     pub fn new(now: Micros) -> PartMeter {
         PartMeter { valid_until: 0, at: now, share: 0.0, earned: 0.0, lowest: VecDeque::new() }
     }
 
-    /// Takes in the part that holds from now on.
+    /// Records the part held from now on.
     pub fn observe(&mut self, now: Micros, part: Part) {
         self.observe_share(now, part.leased_share(), part.valid_until);
     }
 
-    /// Takes in any share of the whole that holds from now on, until its lease ends.
+    /// Records an arbitrary share held from now on, until its lease expires.
     pub fn observe_share(&mut self, now: Micros, share: f64, valid_until: Micros) {
         self.advance(now);
         self.valid_until = valid_until;
@@ -89,7 +88,7 @@
         }
     }
 
-    /// Moves on to a moment with the part known.
+    /// Advances the meter to `now` with the current share.
     pub fn advance(&mut self, now: Micros) {
         if now <= self.at {
             return;
@@ -102,33 +101,33 @@
         self.at = now;
     }
 
-    /// The moment that the meter has come to.
+    /// The time that the meter has advanced to.
     pub fn now(&self) -> Micros {
         self.at
     }
 
-    /// The share held now.
+    /// The current share.
     pub fn share(&self) -> f64 {
         self.share
     }
 
-    /// The integral of the share held since the start, in seconds of the whole.
+    /// The integral of the share since the start, in seconds of the whole.
     pub fn earned(&self) -> f64 {
         self.earned
     }
 
-    /// The smallest share held at any time since a moment.
+    /// The smallest share held since `moment`.
     pub fn lowest_since(&self, moment: Micros) -> f64 {
         self.lowest_from(self.first_after(moment))
     }
 
-    /// Now, and what has been earned until now.
-    pub(crate) fn mark(&self) -> Mark {
-        Mark { at: self.at, earned: self.earned }
+    /// The current reading.
+    pub(crate) fn reading(&self) -> MeterReading {
+        MeterReading { at: self.at, earned: self.earned }
     }
 
-    /// The ends of low shares after a moment, each with the smallest share held since then.
-    pub(crate) fn ends_after(&self, moment: Micros) -> impl Iterator<Item = (Mark, f64)> + '_ {
+    /// The ends of spans with a low share after `moment`, each with the smallest share held since.
+    pub(crate) fn ends_after(&self, moment: Micros) -> impl Iterator<Item = (MeterReading, f64)> + '_ {
         let first = self.first_after(moment);
         (first..self.lowest.len()).map(|index| (self.lowest[index].end, self.lowest_from(index + 1)))
     }
@@ -142,13 +141,13 @@
     }
 
     fn change(&mut self, at: Micros, share: f64) {
-        let end = Mark { at, earned: self.earned };
+        let end = MeterReading { at, earned: self.earned };
         while self.lowest.back().is_some_and(|span| span.share >= self.share) {
             self.lowest.pop_back();
         }
         self.lowest.push_back(Span { end, share: self.share });
         self.share = share;
-        if self.lowest.len() > SPANS {
+        if self.lowest.len() > MAX_SPANS {
             self.merge_oldest();
         }
     }
--- a/crates/quota/src/share_holder.rs
+++ b/crates/quota/src/share_holder.rs
@@ -1,10 +1,10 @@
-//! A gateway that holds an uneven share.
+//! Holder of an uneven share of a limit.
 
 use crate::{Incarnation, Micros, PartMeter, ShareAnswer, ShareGrant, ShareReport, Term, WHOLE};
 use std::collections::VecDeque;
 
-/// Reports whose answers are still waited for.
-const PENDING: usize = 16;
+/// Maximum number of unanswered reports.
+const MAX_PENDING: usize = 16;
 
 #[derive(Clone, Copy, Debug)]
 struct Pending {
@@ -12,10 +12,10 @@
     sent_at: Micros,
 }
 
-/// Holds a share of one common limit, granted by an owner under a lease.
+/// Holds a share of one shared limit, granted by an owner under a lease.
 ///
-/// The lease begins when the report that asked for it was sent, so it ends here before it ends at the owner, whatever
-/// the way took. Once the answer to a later report has been applied, that to an earlier one never is.
+/// The lease starts when the requesting report is sent, so it expires here before it expires at the owner, whatever the
+/// network delay. Once the answer to a report has been applied, answers to earlier ones are ignored.
 #[derive(Clone, Debug)]
 pub struct ShareHolder {
     incarnation: Incarnation,
@@ -28,7 +28,7 @@
 }
 
 impl ShareHolder {
-    /// A holder that begins with nothing.
+    /// Creates a holder without a share.
     pub fn new(incarnation: Incarnation) -> ShareHolder {
         ShareHolder {
             incarnation,
@@ -41,7 +41,7 @@
         }
     }
 
-    /// The units held: none once the lease has ended.
+    /// The units held; 0 once the lease has expired.
     pub fn units(&self, now: Micros) -> u32 {
         if now < self.valid_until {
             self.units
@@ -50,15 +50,15 @@
         }
     }
 
-    /// Tells a meter what is held.
+    /// Reports the held share to a meter.
     pub fn observe(&self, now: Micros, meter: &mut PartMeter) {
         meter.observe_share(now, f64::from(self.units) / f64::from(WHOLE), self.valid_until);
     }
 
-    /// Asks for a share. Due several times within a lease.
+    /// Creates a report that requests a share. Must be called several times within a lease.
     pub fn report(&mut self, now: Micros, demand: f64) -> ShareReport {
         self.sequence += 1;
-        if self.pending.len() == PENDING {
+        if self.pending.len() == MAX_PENDING {
             self.pending.pop_front();
         }
         self.pending.push_back(Pending { sequence: self.sequence, sent_at: now });
@@ -72,16 +72,16 @@
         }
     }
 
-    /// Takes in an owner's answer.
+    /// Processes an owner's answer.
     pub fn receive(&mut self, answer: &ShareAnswer) {
         match answer {
-            ShareAnswer::NewTerm(term) => self.enter(*term),
+            ShareAnswer::NewTerm(term) => self.advance_term(*term),
             ShareAnswer::Granted(grant) => self.apply(grant),
         }
     }
 
-    /// What is held stays held until its lease ends, or a grant of the new tenure takes its place.
-    fn enter(&mut self, term: Term) {
+    /// Switches to a newer term. The held share stays valid until its lease expires or a grant of the new term replaces it.
+    fn advance_term(&mut self, term: Term) {
         if term > self.term {
             self.term = term;
             self.applied = 0;
--- a/crates/quota/src/share_messages.rs
+++ b/crates/quota/src/share_messages.rs
@@ -1,54 +1,54 @@
-//! What the holders of uneven shares and their owner tell each other.
+//! Messages between the holders of uneven shares and their owner.
 
 use crate::{Incarnation, Micros};
 use serde::{Deserialize, Serialize};
 
-/// The whole of a common limit, in units of shares.
+/// The whole of a shared limit, in units.
 pub const WHOLE: u32 = 1_000_000;
 
-/// One tenure of an owner. A later tenure has a greater one, whoever the owner is.
+/// Identifies one term of ownership. Later terms have greater values, whoever the owner is.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Term(pub u64);
 
-/// A holder asks for its share to be renewed.
+/// A holder's request to renew its share.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ShareReport {
     /// The run of the holder.
     pub incarnation: Incarnation,
-    /// Grows with every report of this run.
+    /// Incremented with every report of this run.
     pub sequence: u64,
-    /// The latest tenure that the holder has heard of.
+    /// The latest term known to the holder.
     pub term: Term,
-    /// The last grant of that tenure that the holder goes by; it goes by none before. 0 for none.
+    /// The last grant of that term that the holder applied, which replaces all earlier ones; 0 for none.
     pub applied: u64,
-    /// The units that the holder holds as it reports.
+    /// The units held at the time of the report.
     pub held: u32,
-    /// What the holder would use, in any unit that all holders share.
+    /// The holder's demand, in any unit common to all holders.
     pub demand: f64,
 }
 
 /// An owner's answer to a report.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum ShareAnswer {
-    /// The report was of an earlier tenure: report again.
+    /// The report named an earlier term; the holder must report again.
     NewTerm(Term),
-    /// A share.
+    /// A granted share.
     Granted(ShareGrant),
 }
 
-/// A share under a lease that began when the report was sent.
+/// A share under a lease that started when the report was sent.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ShareGrant {
-    /// The owner's tenure.
+    /// The owner's term.
     pub term: Term,
-    /// Grows with every grant of the tenure.
+    /// Incremented with every grant of the term.
     pub grant: u64,
-    /// The run of the holder that asked.
+    /// The run of the requesting holder.
     pub incarnation: Incarnation,
-    /// The report that is answered.
+    /// The sequence number of the report that is answered.
     pub sequence: u64,
     /// The share, out of [`WHOLE`].
     pub units: u32,
-    /// How long it holds from the moment the report was sent, on the holder's clock.
+    /// Duration of the lease from the sending of the report, on the holder's clock, µs.
     pub lease: Micros,
 }
--- a/crates/quota/src/table.rs
+++ b/crates/quota/src/table.rs
@@ -1,9 +1,9 @@
-//! The table of tenants of one gateway.
+//! Admission control of one gateway: per-tenant limits in a bounded table.
 
-use crate::bucket::gathered;
+use crate::bucket::refilled_level;
 use crate::hash::{hash_bytes, mix};
 use crate::lru::{Handle, LruMap};
-use crate::part::Mark;
+use crate::part::MeterReading;
 use crate::{
     micros, Adds, BucketLimit, GatewayId, Incarnation, Micros, Part, PartMeter, SharedBucket, SlidingCount,
     TenantAdd, Totals, SECOND,
@@ -11,36 +11,37 @@
 use compact_str::CompactString;
 use std::collections::{BTreeMap, VecDeque};
 
-/// The window of tenants that have no rate.
-const WINDOW_WITHOUT_RATE: Micros = 10 * SECOND;
-/// The shortest window: bursts that are far smaller than the rate.
-const WINDOW_LEAST: Micros = SECOND / 10;
-/// The longest window: rates that are far smaller than the burst.
-const WINDOW_MOST: Micros = 3_600 * SECOND;
-/// Entries looked at for their age with each request, and busy ones passed over to find one that can go.
-const AGED_AT_ONCE: usize = 2;
-const PASSED_AT_ONCE: usize = 64;
-/// The wait told where nobody knows when there will be a token.
-const RETRY_WITHOUT_LEASE: Micros = SECOND / 4;
-/// Part of the slack that a boxed tenant has no use of. Tenants within their quota pass their burst by chance now and
-/// then, so most of the slack, which evens out what comes to one gateway, is left to them.
-const BOX_RESERVE: f64 = 0.25;
-/// The shortest and the longest wait told, before it is spread.
-const RETRY_LEAST: Micros = SECOND / 100;
-const RETRY_MOST: Micros = 60 * SECOND;
-/// Windows after which a total read back counts for nothing.
-const TOTAL_WINDOWS: Micros = 2;
-
-/// The bounds of a [`TenantTable`].
+/// Window of tenants without a rate.
+const DEFAULT_WINDOW: Micros = 10 * SECOND;
+/// Minimum window, for bursts far smaller than the rate.
+const MIN_WINDOW: Micros = SECOND / 10;
+/// Maximum window, for rates far smaller than the burst.
+const MAX_WINDOW: Micros = 3_600 * SECOND;
+/// Maximum number of entries checked for expiry with each request.
+const EXPIRY_BATCH: usize = 2;
+/// Maximum number of busy entries skipped to find one to evict.
+const EVICTION_SCAN: usize = 64;
+/// Retry delay if the time of the next token is unknown.
+const DEFAULT_RETRY_DELAY: Micros = SECOND / 4;
+/// Fraction of the slack withheld from penalized tenants. It is small since tenants within their quota occasionally
+/// exceed their burst by chance, and the slack compensates for uneven load between gateways.
+const PENALTY_SLACK_RESERVE: f64 = 0.25;
+/// Bounds of the retry delay, before jitter.
+const MIN_RETRY_DELAY: Micros = SECOND / 100;
+const MAX_RETRY_DELAY: Micros = 60 * SECOND;
+/// Number of windows after which the counts of other gateways are stale.
+const OTHERS_EXPIRY_WINDOWS: Micros = 2;
+
+/// Limits of a [`TenantTable`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TableSettings {
-    /// Tenants kept at most.
+    /// Maximum number of tenants.
     pub entries: usize,
-    /// A tenant idle for so long is forgotten.
+    /// Idle time after which a tenant is evicted.
     pub idle: Micros,
-    /// The time between two pushes of counts.
+    /// Minimum interval between two pushes of counts.
     pub push_interval: Micros,
-    /// Tenants in one push at most, for all owners together.
+    /// Maximum number of tenants in one push, over all owners.
     pub push_batch: usize,
 }
 
@@ -50,24 +51,23 @@
     }
 }
 
-/// A tenant's limits, common to all gateways.
+/// A tenant's limits, over all gateways.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct TenantLimits {
-    /// Requests a second; 0 for no limit.
+    /// Requests per second; 0 for no limit.
     pub rate_per_s: f64,
-    /// Requests at once.
+    /// Burst size in requests.
     pub burst: f64,
-    /// Requests at once beyond the burst that the hard bound lets pass, for all gateways together. The threshold of
-    /// the penalty box doesn't know them.
+    /// Requests beyond the burst that the hard bound admits. The penalty threshold does not include them.
     pub slack: f64,
-    /// Requests open at the same time.
+    /// Maximum number of open requests.
     pub open_cap: Option<u32>,
-    /// Never enters the penalty box.
+    /// Exempt from the penalty box.
     pub exempt: bool,
-    /// Part of burst and slack that a request leaves to others of the tenant: it is refused where less would be left.
+    /// Fraction of burst and slack that must remain after a request; otherwise the request is refused.
     pub reserve: f64,
-    /// Whether each gateway may gather a whole token, however small its part of burst and slack is. The parts of all
-    /// then come to as many tokens as there are gateways.
+    /// Whether each gateway may accumulate a whole token, however small its part of burst and slack. The total may then
+    /// reach one token per gateway.
     pub whole_tokens: bool,
 }
 
@@ -78,14 +78,13 @@
 
     fn window(&self) -> Micros {
         if self.is_limited() {
-            micros(self.burst / self.rate_per_s).clamp(WINDOW_LEAST, WINDOW_MOST)
+            micros(self.burst / self.rate_per_s).clamp(MIN_WINDOW, MAX_WINDOW)
         } else {
-            WINDOW_WITHOUT_RATE
+            DEFAULT_WINDOW
         }
     }
 
-    /// The count over a window beyond which a tenant is a fast refresher: the burst, unless the window is longer than
-    /// the burst makes it.
+    /// The count per window above which a tenant is penalized: the burst, or the rate times the window if that is more.
     fn threshold(&self) -> f64 {
         self.burst.max(self.rate_per_s * crate::seconds(self.window()))
     }
@@ -103,42 +102,42 @@
 /// Why a request is refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RefusalReason {
-    /// The tenant is in the penalty box, and its rate's part is used up.
+    /// The tenant is in the penalty box and has used up its part of the rate.
     PenaltyBox,
-    /// Too many requests are open: the tenant's, or those of all tenants in a table whose every entry is busy.
+    /// Too many requests are open for the tenant, or all table entries have open requests.
     OpenCap,
-    /// This gateway holds no part of the tenant's limit.
+    /// This gateway holds no valid part of the limits.
     NoLease,
     /// This gateway's part of the tenant's limit is used up.
     HardBound,
 }
 
-/// The answer to a request.
+/// The admission decision for a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Admission {
-    /// The request may be sent. [`TenantTable::ended`] is due when it ends.
+    /// The request may be sent. Its end must be reported by [`TenantTable::ended`].
     Admitted,
     /// The request must not be sent.
     Refused {
-        /// When a token is expected.
+        /// Delay after which a token is expected, with jitter.
         retry_after: Micros,
-        /// Why.
+        /// The reason.
         reason: RefusalReason,
     },
 }
 
-/// A refusal before its wait is spread.
+/// A refusal without jitter.
 struct Refusal {
     wait: Micros,
     reason: RefusalReason,
 }
 
-/// The counts of the other gateways, as read back.
+/// The total count of the other gateways, from the owner.
 #[derive(Clone, Copy, Debug)]
-struct Others {
-    read_at: Micros,
+struct OtherCounts {
+    received_at: Micros,
     count: f64,
-    /// By which the count grows each microsecond.
+    /// Change of the count per microsecond.
     slope: f64,
 }
 
@@ -147,49 +146,49 @@
     count: SlidingCount,
     open: u32,
     last_used: Micros,
-    /// In the penalty box before this moment.
-    boxed_until: Micros,
-    /// The next request that is let pass while in the box.
-    boxed_pass_at: Micros,
+    /// End of the penalty.
+    penalized_until: Micros,
+    /// Time at which the next request is admitted during the penalty.
+    next_penalized_admit: Micros,
     bucket: SharedBucket,
-    others: Option<Others>,
+    others: Option<OtherCounts>,
     cumulative: u64,
-    /// What the owner confirmed of the cumulative count.
+    /// The cumulative count confirmed by the owner.
     confirmed: u64,
     queued: bool,
 }
 
-/// A bounded table of tenants, which decides whether a request may pass.
+/// Decides on the admission of requests, with a bounded table of tenants.
 ///
-/// A request is counted, then judged: by the penalty box, by the open requests, by this gateway's part of the limit
-/// (the hard bound). A request that is refused, and one that ends without having run, isn't counted any longer.
-/// Every entry can be forgotten without harm to the hard bound: a tenant that isn't in the table has what an empty
-/// bucket would have gathered since the table began, or since the last use of any entry that was forgotten, and at most
-/// its burst's part.
+/// A request is counted, then checked against the penalty box, the cap on open requests and this gateway's part of the
+/// limit (the hard bound). Refused requests, and those that end without having run, are not counted.
+/// Evicting an entry never violates the hard bound: a tenant not in the table starts with the tokens that an empty bucket
+/// would have accumulated since the table was created, or since the last use of any evicted entry, and at most its part
+/// of the burst.
 ///
-/// Requests are counted when they are admitted: a caller that keeps admitted requests waiting asks when it sends them.
+/// Requests are counted at admission: a caller that queues requests asks for admission when it sends them.
 #[derive(Clone, Debug)]
 pub struct TenantTable {
     settings: TableSettings,
     incarnation: Incarnation,
     meter: PartMeter,
     tenants: LruMap<Tenant>,
-    /// A tenant that isn't in the table may have used its tokens up at this moment, but not later.
-    unseen_since: Mark,
+    /// Latest time at which a tenant not in the table may have used tokens.
+    evicted_until: MeterReading,
     changed: VecDeque<Handle>,
     sequence: u64,
     pushed_at: Option<Micros>,
 }
 
 impl TenantTable {
-    /// An empty table of a gateway's run that begins now.
+    /// Creates an empty table for a run that starts now.
     pub fn new(now: Micros, incarnation: Incarnation, settings: TableSettings) -> TenantTable {
         let meter = PartMeter::new(now);
         TenantTable {
             settings,
             incarnation,
             tenants: LruMap::new(),
-            unseen_since: meter.mark(),
+            evicted_until: meter.reading(),
             meter,
             changed: VecDeque::new(),
             sequence: 0,
@@ -197,79 +196,83 @@
         }
     }
 
-    /// Tenants in the table.
+    /// Number of tenants.
     pub fn len(&self) -> usize {
         self.tenants.len()
     }
 
-    /// Whether no tenant is in the table.
+    /// Whether there are no tenants.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
     /// Whether a tenant is in the penalty box.
-    pub fn is_boxed(&self, now: Micros, tenant: &str) -> bool {
+    pub fn is_penalized(&self, now: Micros, tenant: &str) -> bool {
         let entry = self.tenants.find(tenant).and_then(|handle| self.tenants.get(handle));
-        entry.is_some_and(|(_, tenant)| now < tenant.boxed_until)
+        entry.is_some_and(|(_, tenant)| now < tenant.penalized_until)
     }
 
-    /// Takes in the part that holds from now on. Due at each renewal, also when no request comes: tokens gathered
-    /// before a lease is known to have ended are lost.
+    /// Records the part held from now on. Must be called at each lease renewal, even without requests: tokens accumulated
+    /// before an observed expiry are lost.
     pub fn observe_part(&mut self, now: Micros, part: Part) {
         self.meter.observe(now, part);
     }
 
-    /// Decides whether a request may be sent. `spread` is anything that differs between requests: it spreads the
-    /// moments at which those refused are told to come again.
+    /// Decides whether a request may be sent. `jitter_seed` should differ between requests; it determines the jitter of the
+    /// retry delay.
     pub fn admit(
         &mut self,
         now: Micros,
         tenant: &str,
         limits: TenantLimits,
         part: Part,
-        spread: u64,
+        jitter_seed: u64,
     ) -> Admission {
-        self.admit_with(now, tenant, limits, part, spread, 0.0)
+        self.admit_with(now, tenant, limits, part, jitter_seed, 0.0)
     }
 
-    /// The same, with tokens that other gateways have lent for it.
+    /// Like [`Self::admit`], with tokens `lent` by other gateways for this request.
     pub fn admit_with(
         &mut self,
         now: Micros,
         tenant: &str,
         limits: TenantLimits,
         part: Part,
-        spread: u64,
+        jitter_seed: u64,
         lent: f64,
     ) -> Admission {
         self.meter.observe(now, part);
-        self.age(now);
+        self.evict_idle(now);
         let Some(handle) = self.find_or_insert(now, tenant, &limits) else {
-            return refused(Refusal { wait: RETRY_WITHOUT_LEASE, reason: RefusalReason::OpenCap }, spread);
+            return refused(
+                Refusal { wait: DEFAULT_RETRY_DELAY, reason: RefusalReason::OpenCap },
+                jitter_seed,
+            );
         };
         self.tenants.touch(handle);
-        let Some(entry) = self.tenants.get_mut(handle) else { unreachable!("just found") };
-        match entry.judge(now, &limits, &self.meter, lent) {
+        let Some(entry) = self.tenants.get_mut(handle) else { unreachable!("found or inserted above") };
+        match entry.check(now, &limits, &self.meter, lent) {
             Ok(()) => {
                 entry.cumulative += 1;
                 entry.open += 1;
                 self.note_changed(handle);
                 Admission::Admitted
             }
-            Err(refusal) => refused(refusal, spread),
+            Err(refusal) => refused(refusal, jitter_seed),
         }
     }
 
-    /// What a tenant's bucket lacks of a whole token; none where the tenant is boxed or not known.
+    /// The missing fraction of a token in a tenant's bucket; `None` if the bucket lacks nothing, or the tenant is penalized
+    /// or unknown.
     pub fn lacks(&self, now: Micros, tenant: &str) -> Option<f64> {
         let handle = self.tenants.find(tenant)?;
         let (_, entry) = self.tenants.get(handle)?;
-        let boxed = now < entry.boxed_until;
-        Some(1.0 - entry.bucket.level()).filter(|lacks| !boxed && *lacks > 0.0)
+        let penalized = now < entry.penalized_until;
+        Some(1.0 - entry.bucket.level()).filter(|lacks| !penalized && *lacks > 0.0)
     }
 
-    /// Gives tokens of a tenant away to another gateway that lacks them, at most so many.
-    pub fn lend(&mut self, now: Micros, tenant: &str, limits: TenantLimits, part: Part, most: f64) -> f64 {
+    /// Lends at most `max` tokens of a tenant to another gateway and returns their number.
+    pub fn lend(&mut self, now: Micros, tenant: &str, limits: TenantLimits, part: Part, max: f64) -> f64 {
         self.meter.observe(now, part);
         if !limits.is_limited() || self.meter.share() <= 0.0 {
             return 0.0;
@@ -277,12 +280,12 @@
         let Some(handle) = self.find_or_insert(now, tenant, &limits) else { return 0.0 };
         let Some(entry) = self.tenants.get_mut(handle) else { return 0.0 };
         entry.last_used = now;
-        let lent = entry.bucket.lend(&self.meter, limits.hard_bound(), most);
+        let lent = entry.bucket.lend(&self.meter, limits.hard_bound(), max);
         self.tenants.touch(handle);
         lent
     }
 
-    /// An admitted request has ended. One that never ran at a worker is given back.
+    /// Records the end of an admitted request. A request that never ran on a worker is refunded.
     pub fn ended(&mut self, now: Micros, tenant: &str, ran: bool) {
         self.meter.advance(now);
         let Some(handle) = self.tenants.find(tenant) else { return };
@@ -296,15 +299,15 @@
         } else {
             entry.count.add(now, -1.0);
             entry.cumulative -= 1;
-            entry.bucket.give_back(&self.meter, entry.open);
+            entry.bucket.refund(&self.meter, entry.open);
         }
         entry.open -= 1;
         self.tenants.touch(handle);
         self.note_changed(handle);
     }
 
-    /// The counts that owners may not know yet, once every push interval. Counts are told again until a total that
-    /// has them is read back.
+    /// Returns the counts that owners have not confirmed, at most once per push interval. Counts are sent again until a
+    /// total confirms them.
     pub fn collect_adds(
         &mut self,
         now: Micros,
@@ -316,7 +319,7 @@
         self.pushed_at = Some(now);
         self.sequence += 1;
         let mut by_owner: BTreeMap<GatewayId, Vec<TenantAdd>> = BTreeMap::new();
-        self.drop_forgotten_changes();
+        self.drop_evicted_changes();
         for _ in 0..self.changed.len().min(self.settings.push_batch) {
             let Some((owner, add)) = self.next_add(now, &owner_of) else { continue };
             by_owner.entry(owner).or_default().push(add);
@@ -328,7 +331,7 @@
             .collect()
     }
 
-    /// Takes in totals: the counts of the others count in the judgement until they are two windows old.
+    /// Records totals from an owner. The counts of other gateways affect decisions until they are two windows old.
     pub fn apply_totals(&mut self, now: Micros, totals: &Totals) {
         if totals.incarnation != self.incarnation {
             return;
@@ -337,7 +340,7 @@
             let Some(handle) = self.tenants.find(&total.tenant) else { continue };
             let Some(entry) = self.tenants.get_mut(handle) else { continue };
             entry.confirmed = total.counted;
-            entry.read_back(now, (total.total - total.yours).max(0.0));
+            entry.record_others(now, (total.total - total.yours).max(0.0));
         }
     }
 
@@ -351,7 +354,7 @@
         let name = name.clone();
         let entry = self.tenants.get_mut(handle)?;
         let owner = owner_of(&name);
-        // What is told now is told again at the next push, until it is confirmed.
+        // Queued again below until the owner confirms the count.
         entry.queued = false;
         let add = entry.add(now, name);
         if entry.cumulative != entry.confirmed {
@@ -360,8 +363,8 @@
         Some((owner?, add))
     }
 
-    /// Entries that were forgotten leave handles in the queue that lead nowhere.
-    fn drop_forgotten_changes(&mut self) {
+    /// Removes the handles of evicted entries from the queue.
+    fn drop_evicted_changes(&mut self) {
         let tenants = &self.tenants;
         self.changed.retain(|handle| tenants.get(*handle).is_some());
     }
@@ -373,7 +376,7 @@
             self.changed.push_back(handle);
         }
         if self.changed.len() > 2 * self.settings.entries {
-            self.drop_forgotten_changes();
+            self.drop_evicted_changes();
         }
     }
 
@@ -381,25 +384,25 @@
         if let Some(handle) = self.tenants.find(tenant) {
             return Some(handle);
         }
-        if self.tenants.len() >= self.settings.entries && !self.make_room() {
+        if self.tenants.len() >= self.settings.entries && !self.evict_one() {
             return None;
         }
-        let entry = self.unseen(now, limits);
+        let entry = self.new_tenant(now, limits);
         Some(self.tenants.insert(CompactString::from(tenant), entry))
     }
 
-    /// A tenant that wasn't seen before begins with its burst's part, as far as a bucket that was empty when the tenant
-    /// may last have been seen would have it.
-    fn unseen(&self, now: Micros, limits: &TenantLimits) -> Tenant {
+    /// Creates an entry. Its level is that of a bucket that was empty when the tenant may last have been used, and at most
+    /// its part of the burst.
+    fn new_tenant(&self, now: Micros, limits: &TenantLimits) -> Tenant {
         let limit = limits.hard_bound();
         let start = BucketLimit { depth: limits.burst, ..limit };
-        let level = gathered(&self.meter, self.unseen_since, 0.0, start);
+        let level = refilled_level(&self.meter, self.evicted_until, 0.0, start);
         Tenant {
             count: SlidingCount::new(now, limits.window()),
             open: 0,
             last_used: now,
-            boxed_until: 0,
-            boxed_pass_at: 0,
+            penalized_until: 0,
+            next_penalized_admit: 0,
             bucket: SharedBucket::new(&self.meter, limit, level),
             others: None,
             cumulative: 0,
@@ -408,8 +411,8 @@
         }
     }
 
-    fn age(&mut self, now: Micros) {
-        for _ in 0..AGED_AT_ONCE {
+    fn evict_idle(&mut self, now: Micros) {
+        for _ in 0..EXPIRY_BATCH {
             let Some(oldest) = self.tenants.oldest() else { return };
             let Some((_, tenant)) = self.tenants.get(oldest) else { return };
             if now.saturating_sub(tenant.last_used) < self.settings.idle {
@@ -418,18 +421,18 @@
             if tenant.open > 0 {
                 self.tenants.touch(oldest);
             } else {
-                self.forget(oldest);
+                self.evict(oldest);
             }
         }
     }
 
-    /// Forgets the entry used least recently that has no open requests. Busy ones count as used now.
-    fn make_room(&mut self) -> bool {
-        for _ in 0..PASSED_AT_ONCE {
+    /// Evicts the least recently used entry without open requests. Busy entries are marked as used.
+    fn evict_one(&mut self) -> bool {
+        for _ in 0..EVICTION_SCAN {
             let Some(oldest) = self.tenants.oldest() else { return false };
             let Some((_, tenant)) = self.tenants.get(oldest) else { return false };
             if tenant.open == 0 {
-                self.forget(oldest);
+                self.evict(oldest);
                 return true;
             }
             self.tenants.touch(oldest);
@@ -437,17 +440,17 @@
         false
     }
 
-    fn forget(&mut self, handle: Handle) {
+    fn evict(&mut self, handle: Handle) {
         let Some(tenant) = self.tenants.remove(handle) else { return };
-        let used = tenant.bucket.used();
-        if used.at > self.unseen_since.at {
-            self.unseen_since = used;
+        let last_used = tenant.bucket.last_used();
+        if last_used.at > self.evicted_until.at {
+            self.evicted_until = last_used;
         }
     }
 }
 
 impl Tenant {
-    fn judge(
+    fn check(
         &mut self,
         now: Micros,
         limits: &TenantLimits,
@@ -457,14 +460,14 @@
         self.last_used = now;
         self.count.set_window(now, limits.window());
         self.count.add(now, 1.0);
-        let judged = self.judge_counted(now, limits, meter, lent);
-        if judged.is_err() {
+        let result = self.check_counted(now, limits, meter, lent);
+        if result.is_err() {
             self.count.add(now, -1.0);
         }
-        judged
+        result
     }
 
-    fn judge_counted(
+    fn check_counted(
         &mut self,
         now: Micros,
         limits: &TenantLimits,
@@ -472,54 +475,60 @@
         lent: f64,
     ) -> Result<(), Refusal> {
         if limits.is_limited() && meter.share() <= 0.0 && lent < 1.0 {
-            return Err(Refusal { wait: RETRY_WITHOUT_LEASE, reason: RefusalReason::NoLease });
+            return Err(Refusal { wait: DEFAULT_RETRY_DELAY, reason: RefusalReason::NoLease });
         }
-        self.judge_speed(now, limits);
-        let boxed = now < self.boxed_until && !limits.exempt;
-        if boxed && now < self.boxed_pass_at && !self.quota_allows(limits, meter) {
-            let wait = self.boxed_pass_at.min(self.boxed_until) - now;
+        self.update_penalty(now, limits);
+        let penalized = now < self.penalized_until && !limits.exempt;
+        if penalized && now < self.next_penalized_admit && !self.quota_allows(limits, meter) {
+            let wait = self.next_penalized_admit.min(self.penalized_until) - now;
             return Err(Refusal { wait, reason: RefusalReason::PenaltyBox });
         }
-        self.judge_open(now, limits, meter)?;
-        self.judge_hard_bound(limits, meter, lent)?;
-        if boxed {
-            self.boxed_pass_at = now.saturating_add(micros(1.0 / (limits.rate_per_s * meter.share())));
+        self.check_open_cap(now, limits, meter)?;
+        self.check_hard_bound(limits, meter, lent)?;
+        if penalized {
+            self.next_penalized_admit = now.saturating_add(micros(1.0 / (limits.rate_per_s * meter.share())));
         }
         Ok(())
     }
 
-    /// Whether the quota still allows a request of a boxed tenant: tokens are left beyond a part of the slack's. A part
-    /// of the burst that is less than one token has all of the slack's to be whole.
+    /// Whether a penalized tenant still has a token beyond the withheld slack. Nothing is withheld if the part of the
+    /// burst is below one token.
     fn quota_allows(&mut self, limits: &TenantLimits, meter: &PartMeter) -> bool {
         self.bucket.refresh(meter, limits.hard_bound());
-        let whole = limits.burst * meter.share() >= 1.0;
-        let reserve = if whole { limits.slack * meter.share() * BOX_RESERVE } else { 0.0 };
+        let has_whole_token = limits.burst * meter.share() >= 1.0;
+        let reserve =
+            if has_whole_token { limits.slack * meter.share() * PENALTY_SLACK_RESERVE } else { 0.0 };
         self.bucket.level() >= 1.0 + reserve
     }
 
-    /// A tenant whose count has passed the threshold is boxed for one window.
-    fn judge_speed(&mut self, now: Micros, limits: &TenantLimits) {
+    /// Penalizes a tenant for one window if its count exceeds the threshold.
+    fn update_penalty(&mut self, now: Micros, limits: &TenantLimits) {
         if limits.exempt || !limits.is_limited() {
-            self.boxed_until = 0;
+            self.penalized_until = 0;
             return;
         }
         let count = self.count.count(now) + self.count_of_others(now);
-        if count > limits.threshold() && now >= self.boxed_until {
-            self.boxed_until = now + limits.window();
-            self.boxed_pass_at = self.boxed_pass_at.max(now);
+        if count > limits.threshold() && now >= self.penalized_until {
+            self.penalized_until = now + limits.window();
+            self.next_penalized_admit = self.next_penalized_admit.max(now);
         }
     }
 
-    fn judge_open(&mut self, now: Micros, limits: &TenantLimits, meter: &PartMeter) -> Result<(), Refusal> {
+    fn check_open_cap(
+        &mut self,
+        now: Micros,
+        limits: &TenantLimits,
+        meter: &PartMeter,
+    ) -> Result<(), Refusal> {
         let Some(cap) = limits.open_cap else { return Ok(()) };
-        let part = f64::from(cap) * self.share_of_counts(now, meter);
-        if f64::from(self.open) + 1.0 > part.max(1.0) {
-            return Err(Refusal { wait: RETRY_WITHOUT_LEASE, reason: RefusalReason::OpenCap });
+        let local_cap = f64::from(cap) * self.share_of_counts(now, meter);
+        if f64::from(self.open) + 1.0 > local_cap.max(1.0) {
+            return Err(Refusal { wait: DEFAULT_RETRY_DELAY, reason: RefusalReason::OpenCap });
         }
         Ok(())
     }
 
-    fn judge_hard_bound(
+    fn check_hard_bound(
         &mut self,
         limits: &TenantLimits,
         meter: &PartMeter,
@@ -532,51 +541,53 @@
         if !limits.is_limited() {
             return Ok(());
         }
-        taken.map_err(|wait| Refusal { wait: wait.unwrap_or(RETRY_MOST), reason: RefusalReason::HardBound })
+        taken.map_err(|wait| Refusal {
+            wait: wait.unwrap_or(MAX_RETRY_DELAY),
+            reason: RefusalReason::HardBound,
+        })
     }
 
-    /// How long it takes until a token is there beside what the request leaves to others; none where it is. What was
-    /// lent and isn't used is lost.
+    /// The time until a token is available beyond the reserve; `None` if it is available now. Unused lent tokens are lost.
     fn wait_for_reserve(&mut self, limits: &TenantLimits, meter: &PartMeter, lent: f64) -> Option<Micros> {
         let share = meter.share();
         if limits.reserve <= 0.0 || !limits.is_limited() || share <= 0.0 {
             return None;
         }
         self.bucket.refresh(meter, limits.hard_bound());
-        let wanted = 1.0 + limits.reserve * (limits.burst + limits.slack) * share;
-        let lacking = wanted - self.bucket.level() - lent;
+        let required = 1.0 + limits.reserve * (limits.burst + limits.slack) * share;
+        let lacking = required - self.bucket.level() - lent;
         (lacking > 0.0).then(|| micros(lacking / (limits.rate_per_s * share)))
     }
 
-    /// This gateway's share of the tenant's recent requests: by counts where those of the others are known, else by
+    /// This gateway's share of the tenant's recent requests: by counts if those of other gateways are known, otherwise by
     /// the part held.
     fn share_of_counts(&mut self, now: Micros, meter: &PartMeter) -> f64 {
-        let mine = self.count.count(now);
+        let local = self.count.count(now);
         if self.fresh_others(now).is_none() {
             return meter.share();
         }
-        mine / (mine + self.count_of_others(now)).max(1.0)
+        local / (local + self.count_of_others(now)).max(1.0)
     }
 
-    fn fresh_others(&self, now: Micros) -> Option<Others> {
-        let old = self.count.window().saturating_mul(TOTAL_WINDOWS);
-        self.others.filter(|others| now.saturating_sub(others.read_at) < old)
+    fn fresh_others(&self, now: Micros) -> Option<OtherCounts> {
+        let max_age = self.count.window().saturating_mul(OTHERS_EXPIRY_WINDOWS);
+        self.others.filter(|others| now.saturating_sub(others.received_at) < max_age)
     }
 
-    /// The count of the others, predicted from the last two totals: for a window at most, and to no more than twice.
+    /// The count of other gateways, extrapolated from the last two totals by at most one window and a factor of two.
     #[allow(clippy::cast_precision_loss)]
     fn count_of_others(&self, now: Micros) -> f64 {
         let Some(others) = self.fresh_others(now) else { return 0.0 };
-        let passed = now.saturating_sub(others.read_at).min(self.count.window());
-        (others.count + others.slope * passed as f64).clamp(0.0, others.count * 2.0)
+        let elapsed = now.saturating_sub(others.received_at).min(self.count.window());
+        (others.count + others.slope * elapsed as f64).clamp(0.0, others.count * 2.0)
     }
 
     #[allow(clippy::cast_precision_loss)]
-    fn read_back(&mut self, now: Micros, count: f64) {
-        let before = self.fresh_others(now).filter(|others| others.read_at < now);
+    fn record_others(&mut self, now: Micros, count: f64) {
+        let previous = self.fresh_others(now).filter(|others| others.received_at < now);
         let slope =
-            before.map_or(0.0, |before| (count - before.count) / now.saturating_sub(before.read_at) as f64);
-        self.others = Some(Others { read_at: now, count, slope });
+            previous.map_or(0.0, |last| (count - last.count) / now.saturating_sub(last.received_at) as f64);
+        self.others = Some(OtherCounts { received_at: now, count, slope });
     }
 
     #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss)]
@@ -587,8 +598,8 @@
     }
 }
 
-fn refused(refusal: Refusal, spread: u64) -> Admission {
-    let wait = refusal.wait.clamp(RETRY_LEAST, RETRY_MOST);
-    let retry_after = wait + mix(hash_bytes(&spread.to_le_bytes())) % (wait / 2 + 1);
+fn refused(refusal: Refusal, jitter_seed: u64) -> Admission {
+    let wait = refusal.wait.clamp(MIN_RETRY_DELAY, MAX_RETRY_DELAY);
+    let retry_after = wait + mix(hash_bytes(&jitter_seed.to_le_bytes())) % (wait / 2 + 1);
     Admission::Refused { retry_after, reason: refusal.reason }
 }
--- a/crates/quota/tests/steps.rs
+++ b/crates/quota/tests/limit_changes.rs
@@ -1,4 +1,4 @@
-//! A limit that shrinks in steps at all gateways at once, and requests that leave a reserve to others.
+//! Limits that change in steps on all gateways at once, and requests that must leave a reserve.
 
 use hingestage_quota::{Admission, Incarnation, Micros, Part, TableSettings, TenantLimits, TenantTable};
 use std::collections::VecDeque;
@@ -34,89 +34,96 @@
     (0..GATEWAYS).map(table).collect()
 }
 
-/// Asks all gateways for `demand` requests a second from `from` to `until`, and tells when each was let pass.
-fn ask(
+/// Sends `demand` requests per second to all gateways in turn from `from` to `until`; returns the times of admission.
+fn send(
     tables: &mut [TenantTable],
     from: Micros,
     until: Micros,
     demand: u64,
     limits: TenantLimits,
 ) -> Vec<Micros> {
-    let mut passed = Vec::new();
+    let mut admitted = Vec::new();
     for number in 0..(until - from) * demand / S {
         let now = from + number * S / demand;
-        let place = (number % u64::from(GATEWAYS)) as usize;
-        if tables[place].admit(now, "t", limits, PART, number) == Admission::Admitted {
-            tables[place].ended(now, "t", true);
-            passed.push(now);
+        let index = (number % u64::from(GATEWAYS)) as usize;
+        if tables[index].admit(now, "t", limits, PART, number) == Admission::Admitted {
+            tables[index].ended(now, "t", true);
+            admitted.push(now);
         }
     }
-    passed
+    admitted
 }
 
-/// The most in any window of five seconds that begins at or after a moment.
-fn most_in_a_window(passed: &[Micros], from: Micros) -> usize {
+/// Maximum number of admissions in any window of 5 s that starts at or after `from`.
+fn max_in_a_window(admitted: &[Micros], from: Micros) -> usize {
     let mut window: VecDeque<Micros> = VecDeque::new();
-    let mut most = 0;
-    for now in passed.iter().filter(|now| **now >= from) {
+    let mut max = 0;
+    for now in admitted.iter().filter(|now| **now >= from) {
         window.push_back(*now);
         while window.front().is_some_and(|first| now - first >= 5 * S) {
             window.pop_front();
         }
-        most = most.max(window.len());
+        max = max.max(window.len());
     }
-    most
+    max
 }
 
-fn whole(limits: TenantLimits) -> usize {
+fn window_bound(limits: TenantLimits) -> usize {
     (limits.rate_per_s * 5.0 + limits.burst + limits.slack).ceil() as usize
 }
 
 #[test]
-fn a_tenant_at_eight_times_its_rate_gets_no_more_than_each_step_leaves() {
+fn overloading_tenant_stays_within_the_limit_of_each_step() {
     let mut tables = tables();
     let demand = 8 * LIMITS.rate_per_s as u64;
     for (number, share) in [1.0, 0.6, 0.3, 0.1].into_iter().enumerate() {
         let from = (10 + 10 * number as u64) * S;
-        let passed = ask(&mut tables, from, from + 10 * S, demand, scaled(share));
-        let most = most_in_a_window(&passed, from);
-        assert!(most <= whole(scaled(share)), "{most} passed with {share} of the limit");
-        let usual = LIMITS.rate_per_s * share * 10.0 * 0.6;
-        assert!(passed.len() as f64 >= usual, "{} passed with {share}: what is left is used", passed.len());
+        let admitted = send(&mut tables, from, from + 10 * S, demand, scaled(share));
+        let max = max_in_a_window(&admitted, from);
+        assert!(max <= window_bound(scaled(share)), "{max} admitted with {share} of the limit");
+        let expected_min = LIMITS.rate_per_s * share * 10.0 * 0.6;
+        assert!(
+            admitted.len() as f64 >= expected_min,
+            "{} admitted with {share} of the limit: too few",
+            admitted.len()
+        );
     }
 }
 
 #[test]
-fn a_quota_that_changes_within_a_step_binds_as_a_step_does() {
+fn quota_change_within_a_step_is_enforced() {
     let mut tables = tables();
-    ask(&mut tables, 10 * S, 20 * S, 100, scaled(0.6));
+    send(&mut tables, 10 * S, 20 * S, 100, scaled(0.6));
     let lowered = TenantLimits { rate_per_s: 10.0, burst: 10.0, slack: 20.0, ..LIMITS };
-    let under_step = TenantLimits { rate_per_s: 6.0, burst: 6.0, slack: 12.0, ..lowered };
-    let passed = ask(&mut tables, 20 * S, 40 * S, 100, under_step);
-    assert!(most_in_a_window(&passed, 20 * S) <= whole(under_step));
-    // Paid: the limit grows again, and levels don't jump.
-    let passed = ask(&mut tables, 40 * S, 60 * S, 400, LIMITS);
-    assert!(most_in_a_window(&passed, 40 * S) <= whole(LIMITS));
+    let lowered_step = TenantLimits { rate_per_s: 6.0, burst: 6.0, slack: 12.0, ..lowered };
+    let admitted = send(&mut tables, 20 * S, 40 * S, 100, lowered_step);
+    assert!(max_in_a_window(&admitted, 20 * S) <= window_bound(lowered_step));
+    // A growing limit must not raise the levels at once.
+    let admitted = send(&mut tables, 40 * S, 60 * S, 400, LIMITS);
+    assert!(max_in_a_window(&admitted, 40 * S) <= window_bound(LIMITS));
 }
 
 #[test]
-fn requests_that_leave_a_reserve_are_refused_before_those_that_do_not() {
+fn requests_with_a_reserve_are_refused_first() {
     let mut tables = tables();
     let limits = TenantLimits { exempt: true, ..scaled(0.6) };
     let reserving = TenantLimits { reserve: 0.5, ..limits };
-    // Both kinds ask for more than there is, in turns.
-    let (mut ordinary, mut last) = (0, 0);
+    // Both kinds of requests alternate and exceed the limit.
+    let (mut with_reserve, mut without_reserve) = (0, 0);
     for number in 0..4_000 {
         let now = 10 * S + number * S / 200;
         let table = &mut tables[(number / 2 % u64::from(GATEWAYS)) as usize];
         let limits = if number % 2 == 0 { reserving } else { limits };
         if table.admit(now, "t", limits, PART, number) == Admission::Admitted {
             table.ended(now, "t", true);
-            *(if number % 2 == 0 { &mut ordinary } else { &mut last }) += 1;
+            *(if number % 2 == 0 { &mut with_reserve } else { &mut without_reserve }) += 1;
         }
     }
-    assert!(last > 20 * ordinary / 10, "{last} that are refused last, {ordinary} others");
-    // Alone they get what there is.
-    let alone = ask(&mut tables, 40 * S, 60 * S, 400, reserving).len();
+    assert!(
+        without_reserve > 20 * with_reserve / 10,
+        "{without_reserve} without reserve, {with_reserve} with"
+    );
+    // Without competing requests, those with a reserve get the whole rate.
+    let alone = send(&mut tables, 40 * S, 60 * S, 400, reserving).len();
     assert!(alone as f64 > limits.rate_per_s * 20.0 * 0.9, "{alone}");
 }
--- a/crates/quota/tests/sums.rs
+++ b/crates/quota/tests/total_bounds.rs
@@ -1,4 +1,4 @@
-//! The sum of what all gateways admit, in worlds of changing parts, restarts, lapsed leases and requests given back.
+//! Total admissions over all gateways under changing parts, restarts, expired leases, refunds and borrowing.
 
 mod common;
 
@@ -11,31 +11,31 @@
 
 const S: Micros = 1_000_000;
 const GATEWAYS: usize = 5;
-/// How long tokens that are lent may be on their way.
-const LENT_FOR: Micros = 60_000;
+/// Maximum transit time of lent tokens, µs.
+const MAX_TRANSIT: Micros = 60_000;
 
 #[derive(Clone, Debug)]
 enum Step {
     Wait(Micros),
-    /// Grants one gateway a part, where the leases of the others leave room for it.
+    /// Grants a part to one gateway, if the leases of the others permit it.
     Grant {
         gateway: usize,
         gateways: u32,
         lease: Micros,
     },
     Restart(usize),
-    Ask {
+    Request {
         gateway: usize,
         requests: usize,
     },
-    /// Ends the oldest open request of a gateway.
+    /// Ends the oldest open request of one gateway.
     End {
         gateway: usize,
         ran: bool,
     },
-    /// Fills the table with other tenants.
-    Crowd(usize),
-    /// A gateway asks another one for tokens, which come after a while, and uses what it gets.
+    /// Evicts the tenant by requests of others.
+    Evict(usize),
+    /// One gateway borrows tokens from another and uses them after a delay.
     Borrow {
         gateway: usize,
         from: usize,
@@ -52,45 +52,45 @@
         4 => (gateway.clone(), 1..=GATEWAYS as u32, S..60 * S)
             .prop_map(|(gateway, gateways, lease)| Step::Grant { gateway, gateways, lease }),
         1 => gateway.clone().prop_map(Step::Restart),
-        6 => (gateway.clone(), 1_usize..12).prop_map(|(gateway, requests)| Step::Ask { gateway, requests }),
+        6 => (gateway.clone(), 1_usize..12).prop_map(|(gateway, requests)| Step::Request { gateway, requests }),
         4 => (gateway.clone(), any::<bool>()).prop_map(|(gateway, ran)| Step::End { gateway, ran }),
-        3 => (gateway.clone(), gateway.clone(), 1_u32..25, 0..LENT_FOR)
+        3 => (gateway.clone(), gateway.clone(), 1_u32..25, 0..MAX_TRANSIT)
             .prop_map(|(gateway, from, tenths, after)| Step::Borrow { gateway, from, tenths, after }),
-        1 => gateway.prop_map(Step::Crowd),
+        1 => gateway.prop_map(Step::Evict),
     ]
 }
 
-/// One gateway, and the times at which its open requests were admitted.
+/// One gateway and the admission times of its open requests.
 struct Gateway {
     table: TenantTable,
     open: Vec<Micros>,
 }
 
-struct World {
+struct Cluster {
     now: Micros,
     limits: TenantLimits,
     gateways: Vec<Gateway>,
     grants: Grants,
     runs: u64,
-    /// When requests were admitted that ran, or may still run.
+    /// Admission times of requests that ran or may still run.
     ran: Vec<Micros>,
 }
 
-impl World {
-    fn new(limits: TenantLimits) -> World {
+impl Cluster {
+    fn new(limits: TenantLimits) -> Cluster {
         let new = || Gateway { table: new_table(0, 0), open: Vec::new() };
         let gateways = (0..GATEWAYS).map(|_| new()).collect();
-        World { now: 0, limits, gateways, grants: Grants::none(GATEWAYS), runs: 0, ran: Vec::new() }
+        Cluster { now: 0, limits, gateways, grants: Grants::none(GATEWAYS), runs: 0, ran: Vec::new() }
     }
 
-    fn play(&mut self, step: &Step) {
+    fn apply(&mut self, step: &Step) {
         match *step {
             Step::Wait(span) => self.now += span,
             Step::Grant { gateway, gateways, lease } => self.grant(gateway, gateways, lease),
             Step::Restart(gateway) => self.restart(gateway),
-            Step::Ask { gateway, requests } => (0..requests).for_each(|_| self.ask(gateway)),
+            Step::Request { gateway, requests } => (0..requests).for_each(|_| self.request(gateway)),
             Step::End { gateway, ran } => self.end(gateway, ran),
-            Step::Crowd(gateway) => self.crowd(gateway),
+            Step::Evict(gateway) => self.evict(gateway),
             Step::Borrow { gateway, from, tenths, after } => {
                 self.borrow(gateway, from, f64::from(tenths) / 10.0, after);
             }
@@ -111,18 +111,18 @@
         restarted.table = new_table(self.now, self.runs);
     }
 
-    fn ask(&mut self, gateway: usize) {
+    fn request(&mut self, gateway: usize) {
         let (part, Gateway { table, open }) = (self.grants.0[gateway], &mut self.gateways[gateway]);
         if table.admit(self.now, "acme", self.limits, part, 0) == Admission::Admitted {
             open.push(self.now);
         }
     }
 
-    fn borrow(&mut self, gateway: usize, from: usize, most: f64, after: Micros) {
+    fn borrow(&mut self, gateway: usize, from: usize, max: f64, after: Micros) {
         if gateway == from {
             return;
         }
-        let lent = self.gateways[from].table.lend(self.now, "acme", self.limits, self.grants.0[from], most);
+        let lent = self.gateways[from].table.lend(self.now, "acme", self.limits, self.grants.0[from], max);
         self.now += after;
         let (part, Gateway { table, open }) = (self.grants.0[gateway], &mut self.gateways[gateway]);
         if table.admit_with(self.now, "acme", self.limits, part, 0, lent) == Admission::Admitted {
@@ -142,7 +142,7 @@
         }
     }
 
-    fn crowd(&mut self, gateway: usize) {
+    fn evict(&mut self, gateway: usize) {
         let (part, table) = (self.grants.0[gateway], &mut self.gateways[gateway].table);
         for name in ["one", "two", "three"] {
             if table.admit(self.now, name, self.limits, part, 0) == Admission::Admitted {
@@ -151,16 +151,16 @@
         }
     }
 
-    /// The most that any window has beyond what the rate gives in it.
-    fn worst(mut self) -> f64 {
+    /// Maximum over all windows of the admissions beyond the rate.
+    fn max_excess(mut self) -> f64 {
         self.gateways.iter_mut().for_each(|gateway| self.ran.append(&mut gateway.open));
         self.ran.sort_unstable();
-        let beyond = |from: usize, to: usize| {
+        let excess = |from: usize, to: usize| {
             let window = (self.ran[to] - self.ran[from]) as f64 / S as f64;
             (to - from + 1) as f64 - window * self.limits.rate_per_s
         };
         let windows = (0..self.ran.len()).flat_map(|from| (from..self.ran.len()).map(move |to| (from, to)));
-        windows.map(|(from, to)| beyond(from, to)).fold(0.0, f64::max)
+        windows.map(|(from, to)| excess(from, to)).fold(0.0, f64::max)
     }
 }
 
@@ -168,17 +168,17 @@
     TenantTable::new(now, Incarnation(run), TableSettings { entries: 2, ..TableSettings::default() })
 }
 
-fn worst(limits: TenantLimits, steps: &[Step]) -> f64 {
-    let mut world = World::new(limits);
-    steps.iter().for_each(|step| world.play(step));
-    world.worst()
+fn max_excess(limits: TenantLimits, steps: &[Step]) -> f64 {
+    let mut cluster = Cluster::new(limits);
+    steps.iter().for_each(|step| cluster.apply(step));
+    cluster.max_excess()
 }
 
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(2_000))]
 
     #[test]
-    fn the_sum_of_all_gateways_stays_within_rate_burst_and_slack(
+    fn total_admissions_stay_within_rate_burst_and_slack(
         steps in prop::collection::vec(step(), 1..120),
         (rate, burst, slack) in (1_u32..20, 10_u32..30, 0_u32..10),
         exempt: bool,
@@ -186,47 +186,47 @@
     ) {
         let (rate_per_s, burst, slack) = (rate.into(), burst.into(), slack.into());
         let limits = TenantLimits { rate_per_s, burst, slack, open_cap: None, exempt, reserve: 0.0, whole_tokens };
-        let on_the_way = rate_per_s * LENT_FOR as f64 / S as f64;
-        prop_assert!(worst(limits, &steps) <= burst + slack + on_the_way + ROUNDING);
+        let in_transit = rate_per_s * MAX_TRANSIT as f64 / S as f64;
+        prop_assert!(max_excess(limits, &steps) <= burst + slack + in_transit + ROUNDING);
     }
 
-    /// A bucket that is used rarely never has more than one that is brought up to date at every change of the part.
+    /// A rarely refreshed bucket never exceeds one that is refreshed at every change of the part.
     #[test]
-    fn a_bucket_used_rarely_has_no_more_than_one_that_follows_every_change(
+    fn rarely_refreshed_bucket_does_not_exceed_a_continuously_refreshed_one(
         changes in prop::collection::vec((1_u32..12, S / 10..3 * S, S / 10..3 * S), 1..150),
     ) {
         let limit = BucketLimit { rate: 8.0, depth: 30.0, least_cap: 1.0 };
         let (mut now, mut meter) = (0, PartMeter::new(0));
         meter.observe(0, Part { gateways: 1, valid_until: 10 * S });
-        let mut follows = SharedBucket::new(&meter, limit, 30.0);
-        let mut rare = follows.clone();
+        let mut continuous = SharedBucket::new(&meter, limit, 30.0);
+        let mut rarely_refreshed = continuous.clone();
         for (gateways, lease, span) in changes {
             meter.observe(now, Part { gateways, valid_until: now + lease });
-            follows.refresh(&meter, limit);
+            continuous.refresh(&meter, limit);
             meter.advance(now + span.min(lease));
-            follows.refresh(&meter, limit);
+            continuous.refresh(&meter, limit);
             now += span;
             meter.advance(now);
-            let mut rare = rare.clone();
-            rare.refresh(&meter, limit);
-            prop_assert!(rare.level() <= follows.level() + ROUNDING);
+            let mut rarely_refreshed = rarely_refreshed.clone();
+            rarely_refreshed.refresh(&meter, limit);
+            prop_assert!(rarely_refreshed.level() <= continuous.level() + ROUNDING);
         }
-        rare.refresh(&meter, limit);
-        prop_assert!(rare.level() <= 30.0 * meter.share().max(1.0 / 30.0));
+        rarely_refreshed.refresh(&meter, limit);
+        prop_assert!(rarely_refreshed.level() <= 30.0 * meter.share().max(1.0 / 30.0));
     }
 
     #[test]
-    fn parts_below_one_token_cost_at_most_one_for_each_gateway(
+    fn parts_below_one_token_add_at_most_one_token_per_gateway(
         steps in prop::collection::vec(step(), 1..120),
         (rate, burst) in (0.05_f64..2.0, 0.0_f64..5.0),
     ) {
         let limits = TenantLimits { rate_per_s: rate, burst, slack: 0.0, open_cap: None, exempt: true, reserve: 0.0, whole_tokens: true };
-        prop_assert!(worst(limits, &steps) <= burst + GATEWAYS as f64 + ROUNDING);
+        prop_assert!(max_excess(limits, &steps) <= burst + GATEWAYS as f64 + ROUNDING);
     }
 }
 
 #[test]
-fn even_parts_come_to_the_whole_and_not_less() {
+fn even_parts_admit_the_whole_limit() {
     let limits = TenantLimits {
         rate_per_s: 10.0,
         burst: 20.0,
@@ -241,16 +241,16 @@
     steps.extend(all.clone().map(|gateway| Step::Grant { gateway, gateways: 5, lease: 1_000 * S }));
     for _ in 0..100 {
         steps.push(Step::Wait(S));
-        steps.extend(all.clone().map(|gateway| Step::Ask { gateway, requests: 9 }));
+        steps.extend(all.clone().map(|gateway| Step::Request { gateway, requests: 9 }));
     }
-    let mut world = World::new(limits);
-    steps.iter().for_each(|step| world.play(step));
-    let admitted: usize = world.gateways.iter().map(|gateway| gateway.open.len()).sum();
+    let mut cluster = Cluster::new(limits);
+    steps.iter().for_each(|step| cluster.apply(step));
+    let admitted: usize = cluster.gateways.iter().map(|gateway| gateway.open.len()).sum();
     assert!((995..=1_020).contains(&admitted), "{admitted}");
 }
 
 #[test]
-fn a_part_below_one_token_gives_out_its_rate_in_the_long_run() {
+fn part_below_one_token_sustains_its_rate() {
     let limits = TenantLimits {
         rate_per_s: 0.5,
         burst: 1.0,
@@ -260,13 +260,13 @@
         reserve: 0.0,
         whole_tokens: true,
     };
-    let mut world = World::new(limits);
-    world.play(&Step::Grant { gateway: 0, gateways: 5, lease: 100_000 * S });
+    let mut cluster = Cluster::new(limits);
+    cluster.apply(&Step::Grant { gateway: 0, gateways: 5, lease: 100_000 * S });
     for _ in 0..1_000 {
-        world.play(&Step::Wait(S));
-        world.play(&Step::Ask { gateway: 0, requests: 2 });
+        cluster.apply(&Step::Wait(S));
+        cluster.apply(&Step::Request { gateway: 0, requests: 2 });
     }
-    let admitted = world.gateways[0].open.len();
+    let admitted = cluster.gateways[0].open.len();
     assert!((99..=101).contains(&admitted), "{admitted}");
     assert_eq!(SharedBucket::worst_depth(1.0, 5), 5.0);
 }
--- a/crates/shares/src/lease.rs
+++ b/crates/shares/src/lease.rs
@@ -1,178 +1,179 @@
-//! Leases on parts, by votes.
+//! Quorum leases on shares of a common resource.
 //!
-//! # The rule
-//! The gateways `0..n` have a vote each, the counter has `w`. A gateway's *contact* with a voter is the time at
-//! which it issued the last word that the voter confirmed to have heard. With the confirmation comes the
-//! voter's list of absent gateways: those of whom it has heard no new word for `absent`.
+//! # The protocol
+//! The gateways `0..n` have one vote each, the counter has `w`. A gateway's *contact* with a voter is the time at
+//! which it sent the latest heartbeat that the voter has acknowledged. Each acknowledgement carries the voter's list
+//! of absent gateways: those without a new heartbeat for `absent`.
 //!
-//! 1. A voter counts for a gateway while its contact is younger than `lease`, once that has been so without a
-//!    gap for `settles` since the first confirmation came. A gateway counts for itself. It *holds* while more than half of all votes count.
-//! 2. One that does not hold uses `kept` of its part, whatever happens, and nothing else.
-//! 3. One that holds uses its part, and `1 - kept` of the parts of those whom all counting voters and itself
-//!    list as absent, divided by the number of gateways that are not so listed.
+//! 1. A voter counts for a gateway while its contact is younger than `lease`, once this has been so without a gap for
+//!    `settles` since the first acknowledgement. A gateway counts for itself. It *holds* the lease while more than
+//!    half of all votes count.
+//! 2. A gateway without the lease uses only `kept` of its own share.
+//! 3. A gateway with the lease uses its own share, and `1 - kept` of the shares of the gateways that all counting
+//!    voters and it itself list as absent, divided by the number of gateways not so listed.
 //!
-//! # The bound
-//! With `absent >= lease` and `settles >= lease`, at each instant the uses add up to the whole at most, for any
-//! number of gateways, with views of any age, whatever is lost, delayed, stopped or started anew.
+//! # Safety
+//! With `absent >= lease` and `settles >= lease`, the total in use never exceeds the whole, for any number of
+//! gateways, with views of any age, under message loss, delay, stalls and restarts.
 //!
-//! *Nobody uses more than `kept` of a part that another has taken.* Let `i` hold and list `j`, and let `j` hold
-//! as well. Two sets of more than half of the votes share a voter `x`. (a) `j` held without a gap since the word
-//! that `x` last confirmed before it listed `j`: `x` heard that word no earlier than it was issued, and listed
-//! `j` at least `absent` later, when the contact was `lease` old: `j` holds no more by `x`. (b) `x` heard a new
-//! word of `j` after it had listed it: what it confirms to `i` from then on does not list `j`, and what it
-//! confirmed before answers words of `i` that were issued before, so that by rule 1 it counts for `lease` at
-//! most from then. `j` counts `x` no earlier than `settles` after it knew that `x` had heard it. So `j` does not hold; it uses
-//! `kept`, and takers use `1 - kept`.
+//! *Nobody uses more than `kept` of a share that another gateway has taken over.* Let `i` hold the lease and list `j`,
+//! and assume that `j` holds it as well. Two majorities have a voter `x` in common. (a) `j` has held without a gap
+//! since the last heartbeat that `x` acknowledged before listing `j`: `x` received it no earlier than it was sent, and
+//! listed `j` at least `absent` later, when the contact was `lease` old: `x` no longer counts for `j`. (b) `x` received a
+//! new heartbeat of `j` after listing it: later acknowledgements to `i` do not list `j`, and earlier ones answer
+//! heartbeats of `i` sent before, which by rule 1 count for at most `lease` from then on. `j` counts `x` no earlier
+//! than `settles` after it knew of the acknowledgement. So `j` does not hold; it uses `kept`, and takers use `1 - kept`.
 //!
-//! *A goodbye* is the word of a life that holds no more from then on, whatever contacts it has (it uses `kept` until it
-//! ends). Voters list it at once. In (a) it does not hold since it said so, and a later life of it is a new word (b).
+//! *A leave message* is sent by an instance that no longer holds from then on, whatever its contacts (it uses `kept`
+//! until it ends). Voters list it at once. In (a) it has not held since it left, and a later instance sends a new
+//! heartbeat (b).
 //!
-//! *Takers share what is taken.* Whoever holds is listed by nobody who holds, by the above. So the takers are
-//! among the gateways that each of them does not list, and as many parts as these are made.
+//! *Takers divide what is taken over.* By the above, a gateway that holds is listed by no gateway that holds. So the
+//! takers are among the gateways that none of them lists, and the taken shares are divided by the number of these.
 //!
-//! *Two processes of one number*, by mistake or while one stands still, are one gateway to all others. The older
-//! uses nothing once it has heard of the newer. Until then it uses `kept` of the part at most, because a voter
-//! that has heard the newer confirms it to no one else: the whole is exceeded by `kept / n` at most, and by the
-//! rest of the part for `lease` where the older held to the last.
+//! *Two processes with the same number*, by mistake or while one is stalled, are one gateway to all others. The older
+//! one uses nothing once it has learned of the newer. Until then it uses at most `kept` of the share, because a voter
+//! that has heard the newer one acknowledges no other: the whole is exceeded by at most `kept / n`, and by the rest of
+//! the share for `lease` if the older one held the lease until then.
 //!
-//! The clocks of gateways need not agree, but must run alike: `lease` is in practice a margin shorter than the
-//! two others. The counter hears a word when it adds a gateway's mark to the roll of a slot, and lists whoever
-//! has no mark on the last slots; see `hingestage_fleet::roll` for its margins.
+//! The clocks of gateways need not agree but must run at the same rate; in practice `lease` is shorter than the two
+//! other timeouts by a margin. The counter receives a heartbeat when a gateway increments its mark for a time slot,
+//! and lists every gateway without a mark in the latest slots; see `hingestage_fleet::roll` for the margins.
 
 use crate::Micros;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Who confirms to have heard a gateway.
+/// A voter that acknowledges heartbeats.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Voter {
     /// Another gateway.
     Gateway(u32),
-    /// The counter, by the roll call on it.
+    /// The shared counter, by the heartbeat marks on it.
     Counter,
 }
 
-/// The figures of the rule. All gateways must have the same.
+/// Protocol parameters. They must be equal on all gateways.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Figures {
-    /// Gateways that parts are made for; a vote each.
+    /// Number of gateways that the resource is divided among; one vote each.
     pub gateways: u32,
     /// Votes of the counter.
     pub counter_votes: u32,
-    /// How old a contact may be, µs.
+    /// Maximum age of a contact that counts, µs.
     pub lease: Micros,
-    /// A voter lists whom it has not heard for so long, µs.
+    /// Time without a heartbeat after which a voter lists a gateway as absent, µs.
     pub absent: Micros,
-    /// A voter counts after so long without a gap, µs.
+    /// Time without a gap in contact before a voter counts, µs.
     pub settles: Micros,
-    /// What a gateway uses of its own part in any case, 0 to 1.
+    /// Fraction of its own share that a gateway may use without the lease, 0 to 1.
     pub kept: f64,
 }
 
 impl Figures {
-    /// Votes that more than half of all are.
+    /// Smallest number of votes that is a majority.
     pub fn quorum(&self) -> u32 {
         (self.gateways + self.counter_votes) / 2 + 1
     }
 }
 
-/// A part of something common.
+/// A share of the common resource.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Part {
-    /// How much, of 1.
+    /// Fraction of the whole, 0 to 1.
     pub amount: f64,
-    /// It may be less from then on, and must be asked for again.
+    /// Time from which the share must be computed anew, since it may have shrunk.
     pub until: Micros,
-    /// The view that it was made by: one more with each change.
+    /// Version of the view it was computed from.
     pub view: u64,
 }
 
-/// What a gateway may go by: a value that says for any set of gateways what part of theirs it may use.
+/// A gateway's view of its lease, from which its share of any resource is computed.
 #[derive(Clone, Debug, PartialEq)]
 pub struct View {
-    /// One more with each change of what follows, less `until`.
+    /// Version, incremented with each change of a field other than `until`.
     pub number: u64,
-    /// This gateway.
+    /// Number of this gateway.
     pub me: u32,
-    /// Gateways that parts are made for.
+    /// Number of gateways that the resource is divided among.
     pub gateways: u32,
-    /// What is used of an own part in any case; 0 for one that is superseded.
+    /// Fraction of its own share usable without the lease; 0 for a superseded instance.
     pub kept: f64,
-    /// Whether it holds.
+    /// Whether this gateway holds the lease.
     pub holds: bool,
-    /// Whose parts may be taken; none where it does not hold.
+    /// Gateways whose shares may be taken over; empty without the lease.
     pub absent: BTreeSet<u32>,
-    /// From then on it holds no more, unless a later view says so.
+    /// Expiry of the lease, unless a later view extends it.
     pub until: Micros,
 }
 
 impl View {
-    /// Whether it says the same as another, but for how long.
+    /// Whether both views have the same version; they may differ in expiry.
     pub fn same(&self, other: &View) -> bool {
         self.number == other.number
     }
 
-    /// Gateways that are not known to be gone.
+    /// Gateways not listed as absent.
     pub fn living(&self) -> impl Iterator<Item = u32> + '_ {
         (0..self.gateways).filter(|gateway| !self.absent.contains(gateway))
     }
 
-    /// The part of something that is cut alike for the gateways of a set: `spread` of them from `first` on.
+    /// This gateway's share of a resource divided evenly among `spread` gateways, starting with `first`.
     pub fn part(&self, now: Micros, first: u32, spread: u32) -> Part {
         let amount = self.multiple(now, first, spread) / f64::from(spread.clamp(1, self.gateways.max(1)));
         Part { amount, until: self.until, view: self.number }
     }
 
-    /// The same as a multiple of the even part. One that is not of the set has no part of its own; it shares in
-    /// what may be taken where all of the set are absent.
+    /// The share as a multiple of the even share. A gateway outside the set has no share of its own, but takes part in
+    /// the takeover if the whole set is absent.
     pub fn multiple(&self, now: Micros, first: u32, spread: u32) -> f64 {
         let all = self.gateways.max(1);
         let spread = spread.clamp(1, all);
-        let mine = (self.me + all - first % all) % all < spread;
+        let member = (self.me + all - first % all) % all < spread;
         let gone = match self.absent.is_empty() {
             true => 0,
             false => (0..spread).filter(|n| self.absent.contains(&((first + n) % all))).count() as u32,
         };
-        self.multiple_of(now, mine, spread, gone)
+        self.multiple_of(now, member, spread, gone)
     }
 
-    /// The same for any set that all gateways agree on: whether this one is of it, how many are, and how many of these
-    /// are absent.
-    pub fn multiple_of(&self, now: Micros, mine: bool, spread: u32, gone: u32) -> f64 {
+    /// The same for any set that all gateways agree on: `member` tells whether this gateway belongs to it, `spread` is the
+    /// size of the set, and `gone` the number of its absent members.
+    pub fn multiple_of(&self, now: Micros, member: bool, spread: u32, gone: u32) -> f64 {
         if !self.holds || now >= self.until {
-            return if mine { self.kept } else { 0.0 };
+            return if member { self.kept } else { 0.0 };
         }
         let all = self.gateways.max(1);
-        let taken = (1.0 - self.kept) * f64::from(gone);
-        match (mine, spread - gone) {
-            (true, there @ 1..) => 1.0 + taken / f64::from(there),
-            (false, 0) => taken / f64::from(all - self.absent.len() as u32),
+        let taken_over = (1.0 - self.kept) * f64::from(gone);
+        match (member, spread - gone) {
+            (true, present @ 1..) => 1.0 + taken_over / f64::from(present),
+            (false, 0) => taken_over / f64::from(all - self.absent.len() as u32),
             _ => 0.0,
         }
     }
 }
 
-/// Whether a gateway holds, for those who look at it from outside.
+/// State of a lease, for status reports.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Standing {
-    /// It holds, by so many votes.
+    /// Held, with this number of votes.
     Holds(u32),
-    /// It keeps to what it may use in any case; so many votes count.
+    /// Not held: only the reserved fraction may be used. Carries the number of votes that count.
     Keeps(u32),
-    /// Another life of this gateway is newer: this one holds no more.
+    /// A newer instance of this gateway exists; this one never holds the lease again.
     Superseded,
 }
 
-/// What a voter confirmed last.
+/// The latest acknowledgement of a voter.
 #[derive(Clone)]
 struct Contact {
-    /// When the confirmed word was issued.
+    /// When the acknowledged heartbeat was sent.
     issued: Micros,
-    /// When the first confirmation came of those without a gap.
+    /// Start of the current period of contact without a gap.
     since: Micros,
     absent: BTreeSet<u32>,
 }
 
-/// One gateway's lease on its part and on those of the absent.
+/// One gateway's lease on its share and on those of absent gateways.
 #[derive(Clone)]
 pub struct Lease {
     me: u32,
@@ -180,20 +181,20 @@
     contacts: BTreeMap<Voter, Contact>,
     superseded: bool,
     renounced: bool,
-    /// The number of the last view, and what it said.
-    number: u64,
-    seen: (bool, f64, BTreeSet<u32>),
+    /// Version and content of the latest view.
+    version: u64,
+    last_view: (bool, f64, BTreeSet<u32>),
 }
 
 impl Lease {
-    /// That of a gateway which has just started: it has no contacts, whatever its former life had.
+    /// Creates the lease of a gateway that has just started. Contacts never outlive a restart.
     pub fn new(me: u32, figures: Figures) -> Lease {
-        let (contacts, seen) = (BTreeMap::new(), (false, figures.kept, BTreeSet::new()));
-        Lease { me, figures, contacts, superseded: false, renounced: false, number: 0, seen }
+        let (contacts, last_view) = (BTreeMap::new(), (false, figures.kept, BTreeSet::new()));
+        Lease { me, figures, contacts, superseded: false, renounced: false, version: 0, last_view }
     }
 
-    /// A voter has confirmed a word that was issued at a time, and lists these as absent. The confirmation is
-    /// here now: when the voter heard the word is not known, only that it was before.
+    /// Records that a voter acknowledged a heartbeat sent at `issued`, with the voter's list of absent gateways. Contact
+    /// starts now, on receipt, since the time at which the voter received the heartbeat is unknown.
     pub fn confirmed(&mut self, now: Micros, voter: Voter, issued: Micros, absent: BTreeSet<u32>) {
         let known = matches!(voter, Voter::Counter)
             || matches!(voter, Voter::Gateway(n) if n < self.figures.gateways);
@@ -201,7 +202,7 @@
             return;
         }
         let since = match self.contacts.get(&voter) {
-            // Answers may overtake each other; an older one tells nothing new.
+            // Acknowledgements may be reordered; ignore an older one.
             Some(last) if issued < last.issued => return,
             Some(last) if issued < last.issued + self.figures.lease => last.since,
             _ => now,
@@ -209,17 +210,17 @@
         self.contacts.insert(voter, Contact { issued, since, absent });
     }
 
-    /// Another life of this very gateway is known that began later: this one never holds again.
+    /// A newer instance of this gateway exists: this one never holds the lease again.
     pub fn supersede(&mut self) {
         self.superseded = true;
     }
 
-    /// This life holds no more, and says goodbye: it keeps to its least until it ends.
+    /// Gives up the lease before a shutdown: only the reserved fraction is used from now on.
     pub fn renounce(&mut self) {
         self.renounced = true;
     }
 
-    /// The contacts that count now.
+    /// Contacts that count now.
     fn counting(&self, now: Micros) -> impl Iterator<Item = (&Voter, &Contact)> {
         let Figures { lease, settles, .. } = self.figures;
         self.contacts
@@ -228,14 +229,14 @@
     }
 
     fn votes(&self, now: Micros) -> u32 {
-        let of = |voter: &Voter| match voter {
+        let weight = |voter: &Voter| match voter {
             Voter::Gateway(_) => 1,
             Voter::Counter => self.figures.counter_votes,
         };
-        1 + self.counting(now).map(|(voter, _)| of(voter)).sum::<u32>()
+        1 + self.counting(now).map(|(voter, _)| weight(voter)).sum::<u32>()
     }
 
-    /// Whether it holds.
+    /// State of the lease.
     pub fn standing(&self, now: Micros) -> Standing {
         let votes = self.votes(now);
         match (self.superseded, votes >= self.figures.quorum() && !self.renounced) {
@@ -245,7 +246,7 @@
         }
     }
 
-    /// Those whose parts may be taken, given those whom this gateway itself has not heard.
+    /// Gateways whose shares may be taken over; `unheard` are those that this gateway itself lists as absent.
     fn absent(&self, now: Micros, unheard: &BTreeSet<u32>) -> BTreeSet<u32> {
         let mut absent = unheard.clone();
         absent.remove(&self.me);
@@ -255,24 +256,24 @@
         absent
     }
 
-    /// What this gateway may go by now, given those whom it has not heard itself.
+    /// The current view; `unheard` are the gateways that this gateway itself lists as absent.
     pub fn view(&mut self, now: Micros, unheard: &BTreeSet<u32>) -> View {
         let holds = matches!(self.standing(now), Standing::Holds(_));
         let absent = if holds { self.absent(now, unheard) } else { BTreeSet::new() };
         let kept = if self.superseded { 0.0 } else { self.figures.kept };
-        let seen = (holds, kept, absent);
-        if self.seen != seen {
-            (self.number, self.seen) = (self.number + 1, seen.clone());
+        let current = (holds, kept, absent);
+        if self.last_view != current {
+            (self.version, self.last_view) = (self.version + 1, current.clone());
         }
-        let (holds, kept, absent) = seen;
+        let (holds, kept, absent) = current;
         let Figures { gateways, .. } = self.figures;
-        View { number: self.number, me: self.me, gateways, kept, holds, absent, until: self.until(now) }
+        View { number: self.version, me: self.me, gateways, kept, holds, absent, until: self.until(now) }
     }
 
-    /// Until when nothing that counts runs out. One gateway alone holds for ever.
+    /// Earliest expiry of the contacts that count. A single gateway holds the lease forever.
     fn until(&self, now: Micros) -> Micros {
-        let alone = if self.figures.quorum() == 1 { Micros::MAX } else { now };
-        self.counting(now).map(|(_, contact)| contact.issued + self.figures.lease).min().unwrap_or(alone)
+        let default = if self.figures.quorum() == 1 { Micros::MAX } else { now };
+        self.counting(now).map(|(_, contact)| contact.issued + self.figures.lease).min().unwrap_or(default)
     }
 }
 
@@ -284,11 +285,11 @@
     const FIGURES: Figures =
         Figures { gateways: 10, counter_votes: 5, lease: 2 * S, absent: 3 * S, settles: 3 * S, kept: 0.5 };
 
-    fn set(some: impl IntoIterator<Item = u32>) -> BTreeSet<u32> {
-        some.into_iter().collect()
+    fn set(members: impl IntoIterator<Item = u32>) -> BTreeSet<u32> {
+        members.into_iter().collect()
     }
 
-    /// A lease of gateway 0 that has had contact with these for 4 s, who list `absent`.
+    /// A lease of gateway 0 with 4 s of contact with `voters`, which list `absent`.
     fn lease(voters: &[Voter], absent: &[u32]) -> Lease {
         let mut lease = Lease::new(0, FIGURES);
         for second in 0..5 {
@@ -299,14 +300,14 @@
         lease
     }
 
-    fn gateways(some: std::ops::Range<u32>) -> Vec<Voter> {
-        some.map(Voter::Gateway).collect()
+    fn gateways(range: std::ops::Range<u32>) -> Vec<Voter> {
+        range.map(Voter::Gateway).collect()
     }
 
     #[test]
-    fn more_than_half_of_the_votes_hold() {
+    fn lease_is_held_by_a_majority_of_votes() {
         assert_eq!(FIGURES.quorum(), 8);
-        for (voters, stands) in [
+        for (voters, expected) in [
             (gateways(1..8), Standing::Holds(8)),
             (gateways(1..7), Standing::Keeps(7)),
             (vec![Voter::Counter, Voter::Gateway(1), Voter::Gateway(2)], Standing::Holds(8)),
@@ -314,12 +315,12 @@
             (vec![], Standing::Keeps(1)),
             (vec![Voter::Counter, Voter::Gateway(0), Voter::Gateway(77)], Standing::Keeps(6)),
         ] {
-            assert_eq!(lease(&voters, &[]).standing(4 * S), stands, "{voters:?}");
+            assert_eq!(lease(&voters, &[]).standing(4 * S), expected, "{voters:?}");
         }
     }
 
     #[test]
-    fn a_voter_counts_after_a_time_without_a_gap_and_no_longer_than_its_lease() {
+    fn voter_counts_after_warm_up_and_until_its_contact_expires() {
         let mut lease = Lease::new(0, Figures { gateways: 2, counter_votes: 0, ..FIGURES });
         let other = Voter::Gateway(1);
         let holds = |lease: &Lease, at| matches!(lease.standing(at), Standing::Holds(_));
@@ -329,16 +330,16 @@
         assert!(!holds(&lease, 3 * S - 1) && holds(&lease, 3 * S));
         assert!(holds(&lease, 5 * S - 1) && !holds(&lease, 5 * S));
         lease.confirmed(5 * S, other, 5 * S, set([]));
-        assert!(!holds(&lease, 5 * S), "a gap as long as the lease begins anew");
+        assert!(!holds(&lease, 5 * S), "a gap as long as the lease restarts the warm-up");
         (6..9).for_each(|second| lease.confirmed(second * S, other, second * S, set([])));
         assert!(!holds(&lease, 8 * S - 1) && holds(&lease, 8 * S));
     }
 
     #[test]
-    fn a_word_long_on_its_way_settles_from_its_confirmation_on() {
+    fn warm_up_starts_when_a_delayed_acknowledgement_arrives() {
         let mut lease = Lease::new(0, Figures { gateways: 2, counter_votes: 0, ..FIGURES });
         let other = Voter::Gateway(1);
-        // Issued at 0, and on its way for 1.5 s: the other may have listed this gateway until then.
+        // Sent at 0 and delayed by 1.5 s: the voter may have listed this gateway as absent until then.
         lease.confirmed(3 * S / 2, other, 0, set([]));
         (1..5).for_each(|second| lease.confirmed(3 * S / 2 + second, other, second * S, set([])));
         assert_eq!(lease.standing(4 * S), Standing::Keeps(1));
@@ -346,14 +347,14 @@
     }
 
     #[test]
-    fn an_older_answer_that_comes_late_tells_nothing() {
+    fn reordered_older_acknowledgement_is_ignored() {
         let mut lease = lease(&gateways(1..8), &[9]);
         lease.confirmed(4 * S, Voter::Gateway(1), 3 * S, set([8, 9]));
         assert_eq!(lease.absent(4 * S, &set([8, 9])), set([9]));
     }
 
     #[test]
-    fn parts_of_those_whom_all_list_are_taken_and_shared() {
+    fn shares_of_unanimously_absent_gateways_are_taken_over_and_divided() {
         let voters = [Voter::Counter, Voter::Gateway(1), Voter::Gateway(2)];
         let gone: Vec<u32> = (3..10).collect();
         let unheard = set(gone.iter().copied());
@@ -361,20 +362,20 @@
         let part = all.view(4 * S, &unheard).part(4 * S, 0, 10);
         assert!((part.amount - (0.1 + 0.05 * 7.0 / 3.0)).abs() < 1e-12);
         assert_eq!(part.until, 6 * S);
-        // A set of which it is not, with all of it gone, with one that is there, and of which nothing is known.
+        // Sets without this gateway: all members absent, one member present, and with the lease expired.
         assert!((all.view(4 * S, &unheard).part(4 * S, 5, 2).amount - 0.5 / 3.0).abs() < 1e-12);
         assert_eq!(all.view(4 * S, &unheard).part(4 * S, 2, 2).amount, 0.0);
         assert_eq!(all.view(9 * S, &unheard).part(9 * S, 5, 2).amount, 0.0);
-        // A set with one other that is gone.
+        // A set of this gateway and one absent gateway.
         assert!((all.view(4 * S, &unheard).part(4 * S, 9, 2).amount - 0.75).abs() < 1e-12);
-        // Whom it has heard itself it takes nothing from; nor from whom one voter has heard.
+        // Nothing is taken from a gateway that this one, or any voter, has heard.
         assert!((all.view(4 * S, &set([9])).part(4 * S, 0, 10).amount - (0.1 + 0.05 / 9.0)).abs() < 1e-12);
         all.confirmed(4 * S, Voter::Gateway(2), 4 * S, set([9]));
         assert!((all.view(4 * S, &unheard).part(4 * S, 0, 10).amount - (0.1 + 0.05 / 9.0)).abs() < 1e-12);
     }
 
     #[test]
-    fn without_a_quorum_it_keeps_to_its_least_and_superseded_to_nothing() {
+    fn without_a_quorum_only_the_reserve_is_used_and_nothing_once_superseded() {
         let mut few = lease(&gateways(1..4), &[9]);
         assert_eq!(few.view(4 * S, &set([9])).part(4 * S, 0, 10).amount, 0.05);
         let mut old = lease(&gateways(1..10), &[]);
@@ -387,16 +388,16 @@
     }
 
     #[test]
-    fn one_that_renounces_keeps_to_its_least_whoever_confirms_it() {
-        let mut leaves = lease(&gateways(1..10), &[9]);
-        assert!(leaves.view(4 * S, &set([9])).part(4 * S, 0, 10).amount > 0.1);
-        leaves.renounce();
-        assert_eq!(leaves.view(4 * S, &set([9])).part(4 * S, 0, 10).amount, 0.05);
-        assert_eq!(leaves.standing(4 * S), Standing::Keeps(10));
+    fn after_release_only_the_reserve_is_used_despite_acknowledgements() {
+        let mut leaving = lease(&gateways(1..10), &[9]);
+        assert!(leaving.view(4 * S, &set([9])).part(4 * S, 0, 10).amount > 0.1);
+        leaving.renounce();
+        assert_eq!(leaving.view(4 * S, &set([9])).part(4 * S, 0, 10).amount, 0.05);
+        assert_eq!(leaving.standing(4 * S), Standing::Keeps(10));
     }
 
     #[test]
-    fn a_view_changes_its_number_only_with_what_it_says() {
+    fn view_version_changes_only_with_its_content() {
         let mut lease = lease(&gateways(1..10), &[9]);
         let first = lease.view(4 * S, &set([])).part(4 * S, 0, 10).view;
         assert_eq!(lease.view(4 * S, &set([])).part(4 * S, 3, 2).view, first);
@@ -405,7 +406,7 @@
     }
 
     #[test]
-    fn one_gateway_alone_holds_by_its_own_vote() {
+    fn single_gateway_holds_the_lease_by_its_own_vote() {
         let alone = Figures { gateways: 1, counter_votes: 0, ..FIGURES };
         assert_eq!(Lease::new(0, alone).view(0, &set([])).part(0, 0, 1).amount, 1.0);
     }
--- a/crates/shares/src/lib.rs
+++ b/crates/shares/src/lib.rs
@@ -1,16 +1,16 @@
-//! Parts that add up: how much of something common a gateway may use, until when, and by which view.
+//! Quorum-based leases on shares of a common resource.
 //!
-//! Each gateway of a fixed number has a part of its own. A part is used by its owner, or by others once the
-//! owner can't be using it any more: never by both, whatever each of them believes of the fleet. [`Lease`] is
-//! the rule, and its documentation has the proof. Nothing here reads a clock or a socket.
+//! Each gateway of a fixed number owns a share. When an owner can no longer be using its share, the others may take
+//! over a part of it; the total in use never exceeds the whole, however stale each gateway's view is. [`Lease`]
+//! implements the protocol; the `lease` module documents its proof. The crate is free of I/O and reads no clock.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
-mod few;
 mod lease;
+mod subset;
 
-pub use few::sharers;
 pub use lease::{Figures, Lease, Part, Standing, View, Voter};
+pub use subset::sharers;
 
-/// A point in time or a span, in microseconds, on one clock that never goes back.
+/// A point in time or a duration in microseconds, on one monotonic clock.
 pub type Micros = u64;
