--- a/crates/gateway/src/fleet.rs
+++ b/crates/gateway/src/fleet.rs
@@ -11,8 +11,8 @@
 use hingestage_fleet::table::{Message, Standing, Table, MESSAGE_MAX};
 use hingestage_operator::Fleet as Figures;
 use hingestage_platform::Platform;
-use hingestage_policy::{CounterName, CounterOutcome, Event, Micros, View};
-use hingestage_shares::{Lease, Standing as Holding, Voter};
+use hingestage_policy::{CounterName, CounterOutcome, Event, LeaseView, Micros};
+use hingestage_shares::{Lease, LeaseState, Voter};
 use hyper::header::HeaderValue;
 use hyper::{Method, StatusCode};
 use std::cell::{Cell, RefCell};
@@ -46,7 +46,7 @@
     table: RefCell<Table>,
     roll: Option<RefCell<Roll>>,
     lease: RefCell<Lease>,
-    view: RefCell<Option<View>>,
+    view: RefCell<Option<LeaseView>>,
     /// Words that wait for an answer.
     out: Cell<usize>,
 }
@@ -69,13 +69,13 @@
         let absent = micros(figures.absent) * scale;
         let lease = Lease::new(
             me,
-            hingestage_shares::Figures {
+            hingestage_shares::LeaseConfig {
                 gateways,
                 counter_votes: if roll.is_some() { votes } else { 0 },
                 lease: micros(figures.lease) * scale,
-                absent,
-                settles: micros(figures.settles) * scale,
-                kept: figures.kept,
+                absence_timeout: absent,
+                warm_up: micros(figures.settles) * scale,
+                reserved_fraction: figures.kept,
             },
         );
         let table = Table::new(me, now, gateways, absent);
@@ -118,17 +118,17 @@
             (table.absent(now), table.superseded())
         };
         self.hear_goodbyes(now);
-        if superseded && !matches!(self.lease.borrow().standing(now), Holding::Superseded) {
+        if superseded && !matches!(self.lease.borrow().state(now), LeaseState::Superseded) {
             self.platform.log(format_args!("another process has this gateway's number: no parts are used"));
             self.lease.borrow_mut().supersede();
         }
         let view = self.lease.borrow_mut().view(now, &unheard);
         let last = self.view.replace(Some(view.clone()));
-        let same = last.as_ref().is_some_and(|last| last.same(&view));
+        let same = last.as_ref().is_some_and(|last| last.same_version(&view));
         if !same {
             let absent: Vec<u32> = view.absent.iter().copied().collect();
-            let how = if view.holds { "holds its part" } else { "keeps to its least" };
-            self.platform.log(format_args!("fleet: view {}: {how}; absent: {absent:?}", view.number));
+            let how = if view.holds_lease { "holds its part" } else { "keeps to its least" };
+            self.platform.log(format_args!("fleet: view {}: {how}; absent: {absent:?}", view.version));
         }
         if last != Some(view.clone()) {
             driver.feed(Event::Fleet(view));
@@ -140,7 +140,7 @@
         let goodbyes = self.table.borrow().goodbyes();
         let found = self.roll.as_ref().and_then(|roll| roll.borrow_mut().goodbyes(goodbyes));
         if let Some(found) = found {
-            self.lease.borrow_mut().confirmed(now, Voter::Counter, found.issued, found.absent);
+            self.lease.borrow_mut().record_ack(now, Voter::Counter, found.issued, found.absent);
         }
     }
 
@@ -177,7 +177,7 @@
         let Ok(Some(message)) = answer else { return };
         let Some(heard) = self.now() else { return };
         if self.table.borrow_mut().take(heard, &message) {
-            self.lease.borrow_mut().confirmed(heard, Voter::Gateway(message.from), now, message.absent);
+            self.lease.borrow_mut().record_ack(heard, Voter::Gateway(message.from), now, message.absent);
             self.look();
         }
     }
@@ -194,7 +194,7 @@
     /// This gateway has been told to end: it holds no part any more, and all others are told at once, so that they
     /// need not wait until it has not been heard for long.
     pub fn goodbye(self: &Rc<Self>) {
-        self.lease.borrow_mut().renounce();
+        self.lease.borrow_mut().release();
         let last_slot = self.roll.as_ref().map(|roll| roll.borrow_mut().leave());
         self.table.borrow_mut().goodbye(last_slot);
         self.platform.log(format_args!("fleet: goodbye; its part is for the others"));
@@ -257,7 +257,7 @@
         let total = if let CounterOutcome::Total(total) = outcome { Some(total) } else { None };
         let found = roll.borrow_mut().answered(&name.0, total);
         if let (Some(found), Some(now)) = (found, self.now()) {
-            self.lease.borrow_mut().confirmed(now, Voter::Counter, found.issued, found.absent);
+            self.lease.borrow_mut().record_ack(now, Voter::Counter, found.issued, found.absent);
         }
     }
 
@@ -275,10 +275,10 @@
     pub fn explain(&self) -> String {
         let Some(now) = self.now() else { return String::new() };
         let (table, lease) = (self.table.borrow(), self.lease.borrow());
-        let mut text = match lease.standing(now) {
-            Holding::Holds(votes) => format!("holds its part, by {votes} votes\n"),
-            Holding::Keeps(votes) => format!("keeps to its least, with {votes} votes\n"),
-            Holding::Superseded => "another process has this gateway's number\n".to_owned(),
+        let mut text = match lease.state(now) {
+            LeaseState::Held(votes) => format!("holds its part, by {votes} votes\n"),
+            LeaseState::NotHeld(votes) => format!("keeps to its least, with {votes} votes\n"),
+            LeaseState::Superseded => "another process has this gateway's number\n".to_owned(),
         };
         let view = self.view.borrow();
         for (number, at) in &self.figures.peers {
--- a/crates/policy/examples/fleet_cost.rs
+++ b/crates/policy/examples/fleet_cost.rs
@@ -2,7 +2,7 @@
 //! `cargo run --release -p hingestage-policy --example fleet_cost`.
 
 use hingestage_policy::{
-    Action, Event, Gatekeeper, ListScope, Settings, View, WorkerId, WorkerInfo, WorkerList,
+    Action, Event, Gatekeeper, LeaseView, ListScope, Settings, WorkerId, WorkerInfo, WorkerList,
 };
 use std::time::{Duration, Instant};
 
@@ -22,7 +22,15 @@
 /// Seven in ten are gone.
 fn view(number: u64, gateways: u32) -> Event {
     let absent = (0..gateways).filter(|n| n % 10 >= 3 && *n != 7).collect();
-    Event::Fleet(View { number, me: 7, gateways, kept: 0.5, holds: true, absent, until: u64::MAX })
+    Event::Fleet(LeaseView {
+        version: number,
+        me: 7,
+        gateways,
+        reserved_fraction: 0.5,
+        holds_lease: true,
+        absent,
+        valid_until: u64::MAX,
+    })
 }
 
 fn middle(mut times: Vec<Duration>) -> f64 {
--- a/crates/policy/src/api.rs
+++ b/crates/policy/src/api.rs
@@ -1,7 +1,7 @@
 //! Types, settings, events and actions of the gatekeeper. No logic lives here.
 
 pub use hingestage_failover::View as SitesView;
-pub use hingestage_shares::View;
+pub use hingestage_shares::LeaseView;
 
 /// A point in time or a span, in microseconds. Points are read off one clock that never goes back.
 pub type Micros = u64;
@@ -368,7 +368,7 @@
     Successor(bool),
     /// What is known of the fleet: how much of an even part this gateway may use, and who is gone. Without it
     /// all gateways are taken to be there.
-    Fleet(View),
+    Fleet(LeaseView),
     /// What is believed of whole sites: how much may go there, where loads go, who is refused first. Without it
     /// all may go anywhere.
     Sites(SitesView),
--- a/crates/policy/src/rules.rs
+++ b/crates/policy/src/rules.rs
@@ -3,7 +3,7 @@
 //! Here: tuned values, tables, events. What follows from them is in `customers`, `requests` and `workers`.
 use crate::api::*;
 use crate::state::*;
-use hingestage_shares::sharers;
+use hingestage_shares::subset_size;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 mod customers;
@@ -119,7 +119,7 @@
     /// Since when another process fills this gateway's part of each ceiling.
     succeeded: Option<Micros>,
     /// What is known of the fleet, and since when it says what it does.
-    view: Option<View>,
+    view: Option<LeaseView>,
     viewed: Micros,
     /// What is believed of sites, the last probe of one that was used, and requests that found no worker.
     sites: SitesView,
@@ -281,7 +281,7 @@
 
     /// Gateways that are not known to be gone.
     fn living(&self) -> u32 {
-        self.view.as_ref().map_or(self.set.instances, |view| view.living().count() as u32).max(1)
+        self.view.as_ref().map_or(self.set.instances, |view| view.live_gateways().count() as u32).max(1)
     }
 
     /// What is in a store stays in it as far as the new one has room, which fills at its own rate from here
@@ -301,8 +301,9 @@
     }
 
     /// Stores have filled by the view that held until now; from here on they fill by the new one.
-    fn on_fleet(&mut self, view: View, out: &mut Vec<Action>) {
-        let goes_on = self.view.as_ref().is_some_and(|old| old.same(&view) && self.now < old.until);
+    fn on_fleet(&mut self, view: LeaseView, out: &mut Vec<Action>) {
+        let goes_on =
+            self.view.as_ref().is_some_and(|old| old.same_version(&view) && self.now < old.valid_until);
         if !goes_on {
             self.advance_all();
             self.settle_credits();
--- a/crates/policy/src/rules/customers.rs
+++ b/crates/policy/src/rules/customers.rs
@@ -72,7 +72,7 @@
     /// How many gateways a customer's even parts are for, by what this one may use: for its ceiling, and for
     /// its quota, which is no one's to keep.
     pub(super) fn sharers(&self, c: &Customer) -> (f64, f64) {
-        let multiple = |view: &View| view.multiple(self.now, c.first, c.gateways as u32);
+        let multiple = |view: &LeaseView| view.share_multiple(self.now, c.first, c.gateways as u32);
         let multiple = self.view.as_ref().map_or(1.0, multiple);
         (c.gateways / multiple, c.gateways / multiple.max(1.0))
     }
--- a/crates/policy/src/rules/workers.rs
+++ b/crates/policy/src/rules/workers.rs
@@ -77,7 +77,7 @@
 
     /// Gateways that share a cold worker.
     pub(super) fn cold_gateways(&self) -> u32 {
-        sharers(self.set.instances, self.ready.len() as u32, COLD_SHARE)
+        subset_size(self.set.instances, self.ready.len() as u32, COLD_SHARE)
     }
 
     /// Notes what each worker's credit is, before it comes to fill by something else.
--- a/crates/policy/src/state.rs
+++ b/crates/policy/src/state.rs
@@ -235,10 +235,10 @@
 
 /// What a gateway may use of its even part of a cold worker's sends, as a multiple: one of the `few` that come first
 /// before the worker, of whom some are gone.
-pub fn cold_multiple(view: Option<&View>, now: Micros, mark: u64, few: u32) -> f64 {
+pub fn cold_multiple(view: Option<&LeaseView>, now: Micros, mark: u64, few: u32) -> f64 {
     let Some(view) = view else { return 1.0 };
     if view.absent.is_empty() {
-        return view.multiple_of(now, true, few, 0);
+        return view.share_multiple_of_set(now, true, few, 0);
     }
     let mut order: Vec<(u64, u32)> = (0..view.gateways).map(|other| (draw(mark, other), other)).collect();
     let few = order.len().min(few as usize);
@@ -246,13 +246,13 @@
         order.select_nth_unstable(few - 1);
     }
     let gone = order[..few].iter().filter(|(_, other)| view.absent.contains(other)).count() as u32;
-    view.multiple_of(now, true, few as u32, gone)
+    view.share_multiple_of_set(now, true, few as u32, gone)
 }
 
 /// This gateway's place before a worker among the living: that among all, where nobody is known to be gone.
-pub fn near_place(view: Option<&View>, me: u32, mark: u64, among_all: u32) -> u32 {
+pub fn near_place(view: Option<&LeaseView>, me: u32, mark: u64, among_all: u32) -> u32 {
     let some_gone = view.filter(|view| !view.absent.is_empty());
-    some_gone.map_or(among_all, |view| place(mark, me, view.living()))
+    some_gone.map_or(among_all, |view| place(mark, me, view.live_gateways()))
 }
 
 #[cfg(test)]
--- a/crates/policy/tests/views.rs
+++ b/crates/policy/tests/views.rs
@@ -15,7 +15,15 @@
 
 fn view(number: u64, holds: bool, absent: &[u32], until: Micros) -> Event {
     let absent = absent.iter().copied().collect();
-    Event::Fleet(View { number, me: 0, gateways: GATEWAYS, kept: 0.5, holds, absent, until })
+    Event::Fleet(LeaseView {
+        version: number,
+        me: 0,
+        gateways: GATEWAYS,
+        reserved_fraction: 0.5,
+        holds_lease: holds,
+        absent,
+        valid_until: until,
+    })
 }
 
 const FOR_EVER: Micros = Micros::MAX;
@@ -108,14 +116,14 @@
 #[test]
 fn one_that_is_superseded_sends_nothing_on() {
     let mut s = Stage::new(settings(), &[1, 2]);
-    s.event(Event::Fleet(View {
-        number: 1,
+    s.event(Event::Fleet(LeaseView {
+        version: 1,
         me: 0,
         gateways: GATEWAYS,
-        kept: 0.0,
-        holds: false,
+        reserved_fraction: 0.0,
+        holds_lease: false,
         absent: Default::default(),
-        until: FOR_EVER,
+        valid_until: FOR_EVER,
     }));
     assert_eq!(through(&mut s, 5), 0.0);
 }
--- a/crates/quota/src/borrowing.rs
+++ b/crates/quota/src/borrowing.rs
@@ -6,8 +6,8 @@
 
 /// Maximum number of pending borrow requests.
 const MAX_PENDING: usize = 64;
-/// Backoff after other gateways lacked tokens of a tenant, µs. Without it, client retries would cause a burst of datagrams
-/// for each refusal, and on slow links the answers would arrive too late to be used.
+/// Backoff after other gateways lacked tokens of a tenant, µs. Without it, client retries would cause a burst
+/// of datagrams for each refusal, and on slow links the answers would arrive too late to be used.
 const EXHAUSTED_BACKOFF: Micros = 200_000;
 /// Maximum number of tenants in backoff.
 const MAX_EXHAUSTED: usize = 10_000;
@@ -54,8 +54,8 @@
         Some(number)
     }
 
-    /// Replaces the gateways that are asked; later answers of the previous ones are discarded. Returns the amount that is
-    /// still lacking.
+    /// Replaces the gateways that are asked; later answers of the previous ones are discarded. Returns the
+    /// amount that is still lacking.
     pub fn ask(&mut self, number: u64, asked: &[P]) -> f64 {
         let Some(pending) = self.pending.get_mut(&number) else { return 0.0 };
         pending.asked = asked.to_vec();
--- a/crates/quota/src/bucket.rs
+++ b/crates/quota/src/bucket.rs
@@ -3,7 +3,8 @@
 use crate::part::MeterReading;
 use crate::{micros, Micros, PartMeter};
 
-/// Floating-point tolerance for a whole token. The difference is charged to the next token, so it does not accumulate.
+/// Floating-point tolerance for a whole token. The difference is charged to the next token, so it does not
+/// accumulate.
 const ROUNDING: f64 = 1e-9;
 
 /// A rate limit shared by all gateways.
@@ -13,8 +14,8 @@
     pub rate: f64,
     /// Bucket capacity in tokens, over all gateways.
     pub depth: f64,
-    /// Minimum capacity of one gateway's bucket, however small its part: 1 lets every gateway accumulate a token, 0 keeps
-    /// the total strictly within `depth`.
+    /// Minimum capacity of one gateway's bucket, however small its part: 1 lets every gateway accumulate a
+    /// token, 0 keeps the total strictly within `depth`.
     pub least_cap: f64,
 }
 
@@ -31,33 +32,33 @@
 
 /// A token bucket that enforces one gateway's part of a shared limit.
 ///
-/// It refills at the shared rate times the share held, and its level never exceeds the shared depth times the smallest
-/// share held since the last use. When the limit or the part grows, rate and capacity grow but the level does not jump;
-/// when either shrinks, the level is cut.
+/// It refills at the shared rate times the share held, and its level never exceeds the shared depth times the
+/// smallest share held since the last use. When the limit or the part grows, rate and capacity grow but the
+/// level does not jump; when either shrinks, the level is cut.
 ///
 /// # Bound over all gateways
-/// In a window of `W` seconds from `s`, a bucket issues at most its level at `s` plus its refills. The shares never exceed
-/// one in total, so all levels at `s` total at most `depth`, and all refills at most `rate x W`. After a restart, a bucket
-/// starts no higher than its predecessor's level.
+/// In a window of `W` seconds from `s`, a bucket issues at most its level at `s` plus its refills. The shares
+/// never exceed one in total, so all levels at `s` total at most `depth`, and all refills at most `rate x W`.
+/// After a restart, a bucket starts no higher than its predecessor's level.
 ///
 /// # Borrowing
-/// A gateway may borrow tokens and use them within a time `t` of its request. They have left the lender's level by then,
-/// so at any moment the levels and the tokens in transit total at most `depth + rate x t`: the levels `t` ago plus the
-/// refills since. With borrowing, a window issues at most `depth + rate x (W + t)`.
+/// A gateway may borrow tokens and use them within a time `t` of its request. They have left the lender's level
+/// by then, so at any moment the levels and the tokens in transit total at most `depth + rate x t`: the levels
+/// `t` ago plus the refills since. With borrowing, a window issues at most `depth + rate x (W + t)`.
 ///
 /// # Capacities below one token
-/// If the part of the depth is below one token, no whole token would ever be issued. With a `least_cap` of one, the level
-/// may still reach one. This adds at most one token per gateway: all levels total at most
-/// [`SharedBucket::worst_depth`], which is `max(depth, gateways)` for even parts, and less than `depth + gateways` for
-/// any. Callers compare this with their depth and slack, and pass a smaller depth if necessary. With more gateways than
-/// slack, even parts cannot both serve every gateway and keep the bound: a `least_cap` of zero keeps the bound and issues
-/// nothing to gateways with less than a token.
+/// If the part of the depth is below one token, no whole token would ever be issued. With a `least_cap` of one,
+/// the level may still reach one. This adds at most one token per gateway: all levels total at most
+/// [`SharedBucket::worst_depth`], which is `max(depth, gateways)` for even parts, and less than `depth +
+/// gateways` for any. Callers compare this with their depth and slack, and pass a smaller depth if necessary.
+/// With more gateways than slack, even parts cannot both serve every gateway and keep the bound: a `least_cap`
+/// of zero keeps the bound and issues nothing to gateways with less than a token.
 ///
 /// # Refunds
-/// An unused token is refunded, unless the bucket would have lost it to overflow had it not been issued. `refundable` is
-/// the number of issued tokens that may still be refunded; `level + refundable` is capped like a level and grows only by
-/// refills: taking moves a token from the level to `refundable`, a refund moves it back. The bucket does not know which
-/// issued tokens overflowed, so the first ones returned count as lost.
+/// An unused token is refunded, unless the bucket would have lost it to overflow had it not been issued.
+/// `refundable` is the number of issued tokens that may still be refunded; `level + refundable` is capped like
+/// a level and grows only by refills: taking moves a token from the level to `refundable`, a refund moves it
+/// back. The bucket does not know which issued tokens overflowed, so the first ones returned count as lost.
 #[derive(Clone, Debug)]
 pub struct SharedBucket {
     level: f64,
@@ -107,8 +108,8 @@
         Err((rate > 0.0).then(|| micros((1.0 - self.level) / rate)))
     }
 
-    /// Takes one token with the help of `lent` tokens from other gateways. Unused lent tokens are added to the level, up
-    /// to its capacity.
+    /// Takes one token with the help of `lent` tokens from other gateways. Unused lent tokens are added to the
+    /// level, up to its capacity.
     ///
     /// # Errors
     /// As for [`Self::try_take`].
@@ -170,8 +171,8 @@
 
 /// Lower bound on the level of a bucket that had `level` at `since`, if nothing was taken in between.
 ///
-/// The level is capped by each share held in between. It is at least the refilled level capped by the smallest share,
-/// and at least the level of a bucket that was empty at any later time.
+/// The level is capped by each share held in between. It is at least the refilled level capped by the smallest
+/// share, and at least the level of a bucket that was empty at any later time.
 pub(crate) fn refilled_level(meter: &PartMeter, since: MeterReading, level: f64, limit: BucketLimit) -> f64 {
     let filled = |level: f64, since: MeterReading, lowest: f64| {
         (level + limit.rate * (meter.earned() - since.earned)).min(limit.cap(lowest))
--- a/crates/quota/src/cold.rs
+++ b/crates/quota/src/cold.rs
@@ -6,7 +6,8 @@
 use compact_str::CompactString;
 use std::collections::VecDeque;
 
-/// Maximum number of tracked workers. Beyond it, no request goes to a new worker until a tracked one was idle for a second.
+/// Maximum number of tracked workers. Beyond it, no request goes to a new worker until a tracked one was idle
+/// for a second.
 const MAX_WORKERS: usize = 16_384;
 /// Floating-point tolerance for a whole request.
 const ROUNDING: f64 = 1e-9;
@@ -40,17 +41,17 @@
 
 /// Bounds the requests to each cold worker over all gateways.
 ///
-/// A gateway sends at most `floor(limit x share)` requests within any second, by the smallest share that it held within
-/// that second. If this is below one, rendezvous hashing selects `floor(limit)` gateways of the list for each worker,
-/// and each of them may send one request per second.
+/// A gateway sends at most `floor(limit x share)` requests within any second, by the smallest share that it
+/// held within that second. If this is below one, rendezvous hashing selects `floor(limit)` gateways of the
+/// list for each worker, and each of them may send one request per second.
 ///
 /// # Bound over all gateways
-/// Take any second that begins at `s`. A gateway's last request within it is sent at `t < s + 1`, so `s` lies within the
-/// second that ends at `t`, and the gateway sends at most `limit x` its share at `s` from `s` to `t`. The shares at `s`
-/// total at most one. A gateway sends nothing within its first second, since its previous run may have sent.
-/// Selection requires that all parts valid at one moment belong to the same list: the grantor of parts lets all leases
-/// of one list expire before the next list starts. A gateway uses selection only after it has had its list for a second,
-/// so at `s` the same list holds for all senders.
+/// Take any second that begins at `s`. A gateway's last request within it is sent at `t < s + 1`, so `s` lies
+/// within the second that ends at `t`, and the gateway sends at most `limit x` its share at `s` from `s` to
+/// `t`. The shares at `s` total at most one. A gateway sends nothing within its first second, since its
+/// previous run may have sent. Selection requires that all parts valid at one moment belong to the same list:
+/// the grantor of parts lets all leases of one list expire before the next list starts. A gateway uses
+/// selection only after it has had its list for a second, so at `s` the same list holds for all senders.
 ///
 /// Requests are counted when they are sent: callers subtract from the slack what network jitter may add on arrival.
 #[derive(Clone, Debug)]
--- a/crates/quota/src/lib.rs
+++ b/crates/quota/src/lib.rs
@@ -1,9 +1,9 @@
 //! Distributed rate limits that many gateways enforce together, without I/O.
 //!
 //! Every gateway holds a [`Part`] of each shared limit under a lease and never admits more than its part
-//! ([`SharedBucket`]), so the total stays within the limit even if gateways cannot reach each other. Counts that
-//! gateways exchange ([`TenantTable::collect_adds`], [`OwnerTable`]) improve penalty decisions, but no bound depends
-//! on them.
+//! ([`SharedBucket`]), so the total stays within the limit even if gateways cannot reach each other. Counts
+//! that gateways exchange ([`TenantTable::collect_adds`], [`OwnerTable`]) improve penalty decisions, but no
+//! bound depends on them.
 //!
 //! Time is passed in as [`Micros`] of one monotonic clock. The crate reads no clock, socket or random source.
 #![forbid(unsafe_code)]
--- a/crates/quota/src/owner.rs
+++ b/crates/quota/src/owner.rs
@@ -49,8 +49,8 @@
     last_seen: Micros,
 }
 
-/// The latest run of a gateway. Messages of earlier runs are ignored, as are those up to sequence number `floor` for
-/// tenants whose counts were evicted.
+/// The latest run of a gateway. Messages of earlier runs are ignored, as are those up to sequence number
+/// `floor` for tenants whose counts were evicted.
 #[derive(Clone, Copy, Debug)]
 struct Run {
     incarnation: Incarnation,
@@ -60,8 +60,8 @@
 
 /// Aggregates the counts of all gateways into totals per tenant, on the owner's clock.
 ///
-/// Gateways send cumulative counts with sequence numbers, so the next message makes up for a lost one, and duplicated or
-/// reordered messages have no effect.
+/// Gateways send cumulative counts with sequence numbers, so the next message makes up for a lost one, and
+/// duplicated or reordered messages have no effect.
 #[derive(Clone, Debug)]
 pub struct OwnerTable {
     settings: OwnerSettings,
--- a/crates/quota/src/part.rs
+++ b/crates/quota/src/part.rs
@@ -53,10 +53,11 @@
     share: f64,
 }
 
-/// Tracks the share that a gateway holds, so that rarely used buckets can be refilled exactly: they query the integral of
-/// the share and the smallest share since their last use.
+/// Tracks the share that a gateway holds, so that rarely used buckets can be refilled exactly: they query the
+/// integral of the share and the smallest share since their last use.
 ///
-/// A renewal must be observed before the lease expires; from the expiry of the last known lease on, no share is held.
+/// A renewal must be observed before the lease expires; from the expiry of the last known lease on, no share is
+/// held.
 #[derive(Clone, Debug)]
 pub struct PartMeter {
     valid_until: Micros,
--- a/crates/quota/src/retry.rs
+++ b/crates/quota/src/retry.rs
@@ -13,8 +13,8 @@
 /// Floating-point tolerance for a whole token.
 const ROUNDING: f64 = 1e-9;
 
-/// The retry limit: in any window, attempts beyond the first of each request total at most `ratio` times the requests plus
-/// `slack`.
+/// The retry limit: in any window, attempts beyond the first of each request total at most `ratio` times the
+/// requests plus `slack`.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RetryLimit {
     /// Retries per request.
@@ -46,20 +46,20 @@
 
 /// Bounds the retries for one service over all gateways.
 ///
-/// Each first attempt earns 0.8 of the ratio, usable by the same gateway within a quarter of the window; in addition, each
-/// gateway has its part of 0.7 of the slack in a token bucket. Every attempt beyond the first takes a token, including
-/// attempts that a worker rejected and those of a request that was itself a retry.
+/// Each first attempt earns 0.8 of the ratio, usable by the same gateway within a quarter of the window; in
+/// addition, each gateway has its part of 0.7 of the slack in a token bucket. Every attempt beyond the first
+/// takes a token, including attempts that a worker rejected and those of a request that was itself a retry.
 ///
 /// # Bound over all gateways
-/// Take any window `[s, s + W]`. The buckets issue at most their levels at `s` (half of the shared slack, as all shares
-/// total at most one) and their refills within `W` (the other half): `0.7 x slack` in total.
-/// Every other token was earned within `[s - W/4, s + W]`, each by a distinct request. Let `R` be the requests that the
-/// limit counts (the maximum over this window, the previous one and the one half a window earlier), and `x` those in
-/// `[s - W/4, s)`. Earned tokens total at most `0.8 x ratio x (R + x)`. So the total stays within `ratio x R + slack` as
-/// long as `0.8 x ratio x x <= 0.2 x ratio x R + 0.3 x slack`: whenever a quarter of a window has at most a quarter of
-/// the window's requests, as under an even load, plus `0.375 x slack / ratio`.
-/// A load that stops abruptly can exceed this: in the worst case (all `R` came right before `s`, and as many in the
-/// window) the total is `1.6 x ratio x R + 0.7 x slack`.
+/// Take any window `[s, s + W]`. The buckets issue at most their levels at `s` (half of the shared slack, as
+/// all shares total at most one) and their refills within `W` (the other half): `0.7 x slack` in total. Every
+/// other token was earned within `[s - W/4, s + W]`, each by a distinct request. Let `R` be the requests that
+/// the limit counts (the maximum over this window, the previous one and the one half a window earlier), and `x`
+/// those in `[s - W/4, s)`. Earned tokens total at most `0.8 x ratio x (R + x)`. So the total stays within
+/// `ratio x R + slack` as long as `0.8 x ratio x x <= 0.2 x ratio x R + 0.3 x slack`: whenever a quarter of a
+/// window has at most a quarter of the window's requests, as under an even load, plus `0.375 x slack / ratio`.
+/// A load that stops abruptly can exceed this: in the worst case (all `R` came right before `s`, and as many in
+/// the window) the total is `1.6 x ratio x R + 0.7 x slack`.
 #[derive(Clone, Debug)]
 pub struct RetryBudget {
     limit: RetryLimit,
--- a/crates/quota/src/share_holder.rs
+++ b/crates/quota/src/share_holder.rs
@@ -14,8 +14,9 @@
 
 /// Holds a share of one shared limit, granted by an owner under a lease.
 ///
-/// The lease starts when the requesting report is sent, so it expires here before it expires at the owner, whatever the
-/// network delay. Once the answer to a report has been applied, answers to earlier ones are ignored.
+/// The lease starts when the requesting report is sent, so it expires here before it expires at the owner,
+/// whatever the network delay. Once the answer to a report has been applied, answers to earlier ones are
+/// ignored.
 #[derive(Clone, Debug)]
 pub struct ShareHolder {
     incarnation: Incarnation,
@@ -80,7 +81,8 @@
         }
     }
 
-    /// Switches to a newer term. The held share stays valid until its lease expires or a grant of the new term replaces it.
+    /// Switches to a newer term. The held share stays valid until its lease expires or a grant of the new term
+    /// replaces it.
     fn advance_term(&mut self, term: Term) {
         if term > self.term {
             self.term = term;
--- a/crates/quota/src/share_owner.rs
+++ b/crates/quota/src/share_owner.rs
@@ -40,15 +40,17 @@
 /// Grants shares of one shared limit by demand.
 ///
 /// # Safety
-/// A holder is charged the greatest share among the grants that it may still use: those with an unexpired lease, starting
-/// with the last one that it reported as applied. A grant never exceeds the whole minus what all others are charged. A
-/// lost grant blocks its units no longer than its lease; a smaller share frees units once the holder reports it as applied.
+/// A holder is charged the greatest share among the grants that it may still use: those with an unexpired
+/// lease, starting with the last one that it reported as applied. A grant never exceeds the whole minus what
+/// all others are charged. A lost grant blocks its units no longer than its lease; a smaller share frees units
+/// once the holder reports it as applied.
 ///
 /// # Change of owner
-/// Two owners must never grant at the same time: a term ends at `owned_until`, which the assigner of owners extends, and
-/// the next term starts later with a greater [`Term`]. A new owner does not know earlier grants, so for one lease it raises
-/// no share: it grants at most what a holder reports to hold. Such a report must name the new term, which proves that it
-/// was sent after the previous term ended: what the holder held then was granted to no one else.
+/// Two owners must never grant at the same time: a term ends at `owned_until`, which the assigner of owners
+/// extends, and the next term starts later with a greater [`Term`]. A new owner does not know earlier grants,
+/// so for one lease it raises no share: it grants at most what a holder reports to hold. Such a report must
+/// name the new term, which proves that it was sent after the previous term ended: what the holder held then
+/// was granted to no one else.
 #[derive(Clone, Debug)]
 pub struct ShareOwner {
     settings: ShareSettings,
--- a/crates/quota/src/sliding.rs
+++ b/crates/quota/src/sliding.rs
@@ -2,8 +2,8 @@
 
 use crate::{seconds, Micros};
 
-/// A count over the last window: the current slot plus the previous one, weighted by its overlap with the window. Slots
-/// start on the local clock and need not be aligned between gateways.
+/// A count over the last window: the current slot plus the previous one, weighted by its overlap with the
+/// window. Slots start on the local clock and need not be aligned between gateways.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct SlidingCount {
     window: Micros,
--- a/crates/quota/src/table.rs
+++ b/crates/quota/src/table.rs
@@ -66,8 +66,8 @@
     pub exempt: bool,
     /// Fraction of burst and slack that must remain after a request; otherwise the request is refused.
     pub reserve: f64,
-    /// Whether each gateway may accumulate a whole token, however small its part of burst and slack. The total may then
-    /// reach one token per gateway.
+    /// Whether each gateway may accumulate a whole token, however small its part of burst and slack. The total
+    /// may then reach one token per gateway.
     pub whole_tokens: bool,
 }
 
@@ -84,7 +84,8 @@
         }
     }
 
-    /// The count per window above which a tenant is penalized: the burst, or the rate times the window if that is more.
+    /// The count per window above which a tenant is penalized: the burst, or the rate times the window if that
+    /// is more.
     fn threshold(&self) -> f64 {
         self.burst.max(self.rate_per_s * crate::seconds(self.window()))
     }
@@ -160,11 +161,11 @@
 
 /// Decides on the admission of requests, with a bounded table of tenants.
 ///
-/// A request is counted, then checked against the penalty box, the cap on open requests and this gateway's part of the
-/// limit (the hard bound). Refused requests, and those that end without having run, are not counted.
-/// Evicting an entry never violates the hard bound: a tenant not in the table starts with the tokens that an empty bucket
-/// would have accumulated since the table was created, or since the last use of any evicted entry, and at most its part
-/// of the burst.
+/// A request is counted, then checked against the penalty box, the cap on open requests and this gateway's part
+/// of the limit (the hard bound). Refused requests, and those that end without having run, are not counted.
+/// Evicting an entry never violates the hard bound: a tenant not in the table starts with the tokens that an
+/// empty bucket would have accumulated since the table was created, or since the last use of any evicted entry,
+/// and at most its part of the burst.
 ///
 /// Requests are counted at admission: a caller that queues requests asks for admission when it sends them.
 #[derive(Clone, Debug)]
@@ -212,14 +213,14 @@
         entry.is_some_and(|(_, tenant)| now < tenant.penalized_until)
     }
 
-    /// Records the part held from now on. Must be called at each lease renewal, even without requests: tokens accumulated
-    /// before an observed expiry are lost.
+    /// Records the part held from now on. Must be called at each lease renewal, even without requests: tokens
+    /// accumulated before an observed expiry are lost.
     pub fn observe_part(&mut self, now: Micros, part: Part) {
         self.meter.observe(now, part);
     }
 
-    /// Decides whether a request may be sent. `jitter_seed` should differ between requests; it determines the jitter of the
-    /// retry delay.
+    /// Decides whether a request may be sent. `jitter_seed` should differ between requests; it determines the
+    /// jitter of the retry delay.
     pub fn admit(
         &mut self,
         now: Micros,
@@ -262,8 +263,8 @@
         }
     }
 
-    /// The missing fraction of a token in a tenant's bucket; `None` if the bucket lacks nothing, or the tenant is penalized
-    /// or unknown.
+    /// The missing fraction of a token in a tenant's bucket; `None` if the bucket lacks nothing, or the tenant
+    /// is penalized or unknown.
     pub fn lacks(&self, now: Micros, tenant: &str) -> Option<f64> {
         let handle = self.tenants.find(tenant)?;
         let (_, entry) = self.tenants.get(handle)?;
@@ -306,8 +307,8 @@
         self.note_changed(handle);
     }
 
-    /// Returns the counts that owners have not confirmed, at most once per push interval. Counts are sent again until a
-    /// total confirms them.
+    /// Returns the counts that owners have not confirmed, at most once per push interval. Counts are sent again
+    /// until a total confirms them.
     pub fn collect_adds(
         &mut self,
         now: Micros,
@@ -391,8 +392,8 @@
         Some(self.tenants.insert(CompactString::from(tenant), entry))
     }
 
-    /// Creates an entry. Its level is that of a bucket that was empty when the tenant may last have been used, and at most
-    /// its part of the burst.
+    /// Creates an entry. Its level is that of a bucket that was empty when the tenant may last have been used,
+    /// and at most its part of the burst.
     fn new_tenant(&self, now: Micros, limits: &TenantLimits) -> Tenant {
         let limit = limits.hard_bound();
         let start = BucketLimit { depth: limits.burst, ..limit };
@@ -491,8 +492,8 @@
         Ok(())
     }
 
-    /// Whether a penalized tenant still has a token beyond the withheld slack. Nothing is withheld if the part of the
-    /// burst is below one token.
+    /// Whether a penalized tenant still has a token beyond the withheld slack. Nothing is withheld if the part
+    /// of the burst is below one token.
     fn quota_allows(&mut self, limits: &TenantLimits, meter: &PartMeter) -> bool {
         self.bucket.refresh(meter, limits.hard_bound());
         let has_whole_token = limits.burst * meter.share() >= 1.0;
@@ -547,7 +548,8 @@
         })
     }
 
-    /// The time until a token is available beyond the reserve; `None` if it is available now. Unused lent tokens are lost.
+    /// The time until a token is available beyond the reserve; `None` if it is available now. Unused lent
+    /// tokens are lost.
     fn wait_for_reserve(&mut self, limits: &TenantLimits, meter: &PartMeter, lent: f64) -> Option<Micros> {
         let share = meter.share();
         if limits.reserve <= 0.0 || !limits.is_limited() || share <= 0.0 {
@@ -559,8 +561,8 @@
         (lacking > 0.0).then(|| micros(lacking / (limits.rate_per_s * share)))
     }
 
-    /// This gateway's share of the tenant's recent requests: by counts if those of other gateways are known, otherwise by
-    /// the part held.
+    /// This gateway's share of the tenant's recent requests: by counts if those of other gateways are known,
+    /// otherwise by the part held.
     fn share_of_counts(&mut self, now: Micros, meter: &PartMeter) -> f64 {
         let local = self.count.count(now);
         if self.fresh_others(now).is_none() {
@@ -574,7 +576,8 @@
         self.others.filter(|others| now.saturating_sub(others.received_at) < max_age)
     }
 
-    /// The count of other gateways, extrapolated from the last two totals by at most one window and a factor of two.
+    /// The count of other gateways, extrapolated from the last two totals by at most one window and a factor of
+    /// two.
     #[allow(clippy::cast_precision_loss)]
     fn count_of_others(&self, now: Micros) -> f64 {
         let Some(others) = self.fresh_others(now) else { return 0.0 };
--- a/crates/quota/tests/adds.rs
+++ b/crates/quota/tests/adds.rs
@@ -167,7 +167,8 @@
 }
 
 proptest! {
-    /// Under loss, duplication and reordering, the total never exceeds the true count and is exact after one more message.
+    /// Under loss, duplication and reordering, the total never exceeds the true count and is exact after one
+    /// more message.
     #[test]
     fn lost_duplicated_and_reordered_adds_never_count_twice(
         steps in prop::collection::vec((0_u64..5, 0_usize..3, 0_usize..8), 1..60),
--- a/crates/quota/tests/limit_changes.rs
+++ b/crates/quota/tests/limit_changes.rs
@@ -34,7 +34,8 @@
     (0..GATEWAYS).map(table).collect()
 }
 
-/// Sends `demand` requests per second to all gateways in turn from `from` to `until`; returns the times of admission.
+/// Sends `demand` requests per second to all gateways in turn from `from` to `until`; returns the times of
+/// admission.
 fn send(
     tables: &mut [TenantTable],
     from: Micros,
--- a/crates/rendezvous/src/lib.rs
+++ b/crates/rendezvous/src/lib.rs
@@ -1,7 +1,7 @@
 //! Rendezvous hashing (highest random weight): assigns keys to members.
 //!
-//! Processes with the same member list agree without communication, and a membership change moves only the keys of the
-//! affected member. The hashes are stable across processes and versions.
+//! Processes with the same member list agree without communication, and a membership change moves only the keys
+//! of the affected member. The hashes are stable across processes and versions.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
@@ -32,7 +32,8 @@
     members.into_iter().max_by_key(|member| (weight(key, *member), *member))
 }
 
-/// The `count` members with the highest weights for a key, in the order of `members`. `hash` returns a member's hash.
+/// The `count` members with the highest weights for a key, in the order of `members`. `hash` returns a member's
+/// hash.
 pub fn choose<T>(
     key: u64,
     members: impl IntoIterator<Item = T>,
--- a/crates/shares/src/lib.rs
+++ b/crates/shares/src/lib.rs
@@ -9,8 +9,8 @@
 mod lease;
 mod subset;
 
-pub use lease::{Figures, Lease, Part, Standing, View, Voter};
-pub use subset::sharers;
+pub use lease::{Lease, LeaseConfig, LeaseState, LeaseView, Share, Voter};
+pub use subset::subset_size;
 
 /// A point in time or a duration in microseconds, on one monotonic clock.
 pub type Micros = u64;
--- a/crates/shares/tests/counter_partition.rs
+++ b/crates/shares/tests/counter_partition.rs
@@ -1,8 +1,8 @@
-//! Partition with the counter as the only common voter: a gateway that restarts on one side must not hold its lease while
-//! the other side still relies on heartbeat marks read before the restart.
+//! Partition with the counter as the only common voter: a gateway that restarts on one side must not hold its
+//! lease while the other side still relies on heartbeat marks read before the restart.
 
 use hingestage_fleet::roll::Roll;
-use hingestage_shares::{Figures, Lease, Micros, Standing, Voter};
+use hingestage_shares::{Lease, LeaseConfig, LeaseState, Micros, Voter};
 use std::collections::{BTreeMap, BTreeSet};
 
 const S: Micros = 1_000_000;
@@ -11,8 +11,15 @@
 const FIRST_SIDE: [u32; 2] = [0, 1];
 const SECOND_SIDE: [u32; 3] = [2, 3, 4];
 
-fn figures() -> Figures {
-    Figures { gateways: 5, counter_votes: 2, lease: 18 * S / 10, absent: 2 * S, settles: 2 * S, kept: 0.5 }
+fn config() -> LeaseConfig {
+    LeaseConfig {
+        gateways: 5,
+        counter_votes: 2,
+        lease: 18 * S / 10,
+        absence_timeout: 2 * S,
+        warm_up: 2 * S,
+        reserved_fraction: 0.5,
+    }
 }
 
 struct Gateway {
@@ -23,7 +30,7 @@
 }
 
 fn start(me: u32, now: Micros) -> Gateway {
-    Gateway { me, roll: Roll::new(me, 5, now), lease: Lease::new(me, figures()), up: true }
+    Gateway { me, roll: Roll::new(me, 5, now), lease: Lease::new(me, config()), up: true }
 }
 
 /// Faults of gateway 0, which reads the marks late.
@@ -62,7 +69,7 @@
             let last = if faults.leave == LeaveMessage::NeverExpires { u64::MAX - 1 } else { last };
             for gateway in gateways[..2].iter_mut().filter(|_| faults.leave != LeaveMessage::None) {
                 if let Some(found) = gateway.roll.goodbyes([(2, last)].into()) {
-                    gateway.lease.confirmed(now, Voter::Counter, found.issued, found.absent);
+                    gateway.lease.record_ack(now, Voter::Counter, found.issued, found.absent);
                 }
             }
         }
@@ -80,7 +87,7 @@
                 let lost = gateway.me == 0 && is_within(since, faults.lost);
                 *total += if lost { 0.0 } else { call.amount };
                 if let Some(found) = gateway.roll.answered(&call.name, Some(*total).filter(|_| !lost)) {
-                    gateway.lease.confirmed(clock, Voter::Counter, found.issued, found.absent);
+                    gateway.lease.record_ack(clock, Voter::Counter, found.issued, found.absent);
                 }
             }
             // Heartbeats pass only within a gateway. Gateways down there have been absent long enough to be listed.
@@ -90,15 +97,15 @@
             for other in
                 side_of(gateway.me).iter().filter(|other| **other != gateway.me && up.contains(other))
             {
-                gateway.lease.confirmed(clock, Voter::Gateway(*other), clock, unheard(*other));
+                gateway.lease.record_ack(clock, Voter::Gateway(*other), clock, unheard(*other));
             }
         }
         let mut sum = 0.0;
         for gateway in gateways.iter_mut().filter(|gateway| up.contains(&gateway.me)) {
             let clock = now - if gateway.me == 0 { faults.clock_lag } else { 0 };
             let unheard = (0..5).filter(|g| !side_of(gateway.me).contains(g)).collect();
-            sum += gateway.lease.view(clock, &unheard).part(clock, 0, 5).amount;
-            held |= matches!(gateway.lease.standing(clock), Standing::Holds(_));
+            sum += gateway.lease.view(clock, &unheard).share(clock, 0, 5).fraction;
+            held |= matches!(gateway.lease.state(clock), LeaseState::Held(_));
         }
         max = max.max(sum);
     }
--- a/crates/shares/tests/random_faults.rs
+++ b/crates/shares/tests/random_faults.rs
@@ -1,22 +1,23 @@
-//! Randomized fault injection on small fleets: lost, delayed and reordered messages, one-way partitions, stalls, kills and
-//! restarts. The total in use must never exceed the whole. Injected defects verify that the faults suffice to find them.
+//! Randomized fault injection on small fleets: lost, delayed and reordered messages, one-way partitions,
+//! stalls, kills and restarts. The total in use must never exceed the whole. Injected defects verify that the
+//! faults suffice to find them.
 
 use fastrand::Rng;
 use hingestage_fleet::roll::Roll;
 use hingestage_fleet::table::{Message, Table};
-use hingestage_shares::{Figures, Lease, Micros, Standing, Voter};
+use hingestage_shares::{Lease, LeaseConfig, LeaseState, Micros, Voter};
 use std::collections::BTreeMap;
 
 const MS: Micros = 1_000;
 /// Four heartbeats to other gateways are sent in this interval.
 const HEARTBEAT_ROUND: Micros = 250 * MS;
-const FIGURES: Figures = Figures {
+const CONFIG: LeaseConfig = LeaseConfig {
     gateways: 5,
     counter_votes: 2,
     lease: 1_800 * MS,
-    absent: 2_000 * MS,
-    settles: 2_000 * MS,
-    kept: 0.5,
+    absence_timeout: 2_000 * MS,
+    warm_up: 2_000 * MS,
+    reserved_fraction: 0.5,
 };
 
 /// An injected defect that the simulation must detect.
@@ -80,17 +81,17 @@
     duplicates: bool,
 }
 
-fn figures(defect: Defect) -> Figures {
+fn config(defect: Defect) -> LeaseConfig {
     match defect {
-        Defect::NoWarmUp => Figures { settles: 0, ..FIGURES },
-        _ => FIGURES,
+        Defect::NoWarmUp => LeaseConfig { warm_up: 0, ..CONFIG },
+        _ => CONFIG,
     }
 }
 
 fn absence_timeout(defect: Defect) -> Micros {
     match defect {
         Defect::EarlyTakeover => 500 * MS,
-        _ => FIGURES.absent,
+        _ => CONFIG.absence_timeout,
     }
 }
 
@@ -109,7 +110,7 @@
             took_over: false,
             duplicates,
         };
-        for me in 0..FIGURES.gateways {
+        for me in 0..CONFIG.gateways {
             let gateway = sim.start(me);
             sim.gateways.push(gateway);
         }
@@ -120,9 +121,9 @@
         self.instances += 1;
         Gateway {
             me,
-            table: Table::new(me, self.instances, FIGURES.gateways, absence_timeout(self.defect)),
-            roll: Roll::new(me, FIGURES.gateways, self.now),
-            lease: Lease::new(me, figures(self.defect)),
+            table: Table::new(me, self.instances, CONFIG.gateways, absence_timeout(self.defect)),
+            roll: Roll::new(me, CONFIG.gateways, self.now),
+            lease: Lease::new(me, config(self.defect)),
             next_heartbeat: self.now,
             stalled_until: 0,
             down_until: None,
@@ -169,7 +170,7 @@
             5 => self.broken_links.extend((0..all).map(|n| ((n, COUNTER), self.now + duration))),
             6 => self.gateways[one].stalled_until = self.now + duration,
             7 => self.totals.clear(),
-            8 if self.duplicates && all == FIGURES.gateways as usize => self.start_duplicate(one),
+            8 if self.duplicates && all == CONFIG.gateways as usize => self.start_duplicate(one),
             8 | 9 if self.rng.bool() && self.awake(one) => self.leave(one, duration),
             _ => self.gateways[one].down_until = Some(self.now + duration),
         }
@@ -181,7 +182,7 @@
         let last_slot = gateway.roll.leave();
         gateway.table.goodbye(Some(last_slot));
         if self.defect != Defect::HoldAfterLeave {
-            gateway.lease.renounce();
+            gateway.lease.release();
         }
         gateway.shutdown.get_or_insert((ends, duration));
     }
@@ -251,7 +252,7 @@
         let gateway = &mut self.gateways[me];
         let goodbyes = gateway.table.goodbyes();
         if let Some(found) = gateway.roll.goodbyes(goodbyes) {
-            gateway.lease.confirmed(now, Voter::Counter, found.issued, found.absent);
+            gateway.lease.record_ack(now, Voter::Counter, found.issued, found.absent);
         }
         let (calls, life) = (gateway.roll.calls(now), gateway.table.word(now).life);
         for call in calls {
@@ -281,11 +282,11 @@
                 }
                 gateway.table.take(now, &message);
                 let absent = match defect {
-                    Defect::IgnoreVoterLists => (0..FIGURES.gateways).collect(),
+                    Defect::IgnoreVoterLists => (0..CONFIG.gateways).collect(),
                     _ => message.absent,
                 };
                 let voter = Voter::Gateway(of);
-                gateway.lease.confirmed(now, voter, issued, absent);
+                gateway.lease.record_ack(now, voter, issued, absent);
             }
             Envelope::Increment { from, life, name, amount } => {
                 let total = self.totals.entry(name.clone()).or_default();
@@ -301,10 +302,10 @@
                 }
                 if let Some(found) = gateway.roll.answered(&name, Some(total)) {
                     let absent = match defect {
-                        Defect::IgnoreVoterLists => (0..FIGURES.gateways).collect(),
+                        Defect::IgnoreVoterLists => (0..CONFIG.gateways).collect(),
                         _ => found.absent,
                     };
-                    gateway.lease.confirmed(now, Voter::Counter, found.issued, absent);
+                    gateway.lease.record_ack(now, Voter::Counter, found.issued, absent);
                 }
             }
             // Messages to a stalled gateway are delivered when it resumes.
@@ -330,19 +331,19 @@
             }
             let unheard = gateway.table.absent(now);
             let view = gateway.lease.view(now, &unheard);
-            let part = view.part(now, 0, FIGURES.gateways).amount;
+            let share = view.share(now, 0, CONFIG.gateways).fraction;
             // Sets of two gateways and of one.
-            sums[1] += view.part(now, 3, 2).amount;
-            sums[2] += view.part(now, 1, 1).amount;
-            let minority = matches!(gateway.lease.standing(now), Standing::Keeps(votes) if votes >= 2);
+            sums[1] += view.share(now, 3, 2).fraction;
+            sums[2] += view.share(now, 1, 1).fraction;
+            let minority = matches!(gateway.lease.state(now), LeaseState::NotHeld(votes) if votes >= 2);
             gateway.in_use = match defect {
                 Defect::SmallQuorum if minority => {
                     let gone = unheard.len() as f64;
-                    0.2 * (1.0 + FIGURES.kept * gone / (f64::from(FIGURES.gateways) - gone))
+                    0.2 * (1.0 + CONFIG.reserved_fraction * gone / (f64::from(CONFIG.gateways) - gone))
                 }
-                _ => part,
+                _ => share,
             };
-            self.took_over |= part > 0.2 + 1e-9;
+            self.took_over |= share > 0.2 + 1e-9;
             sums[0] += gateway.in_use;
         }
         // The bound with duplicate processes does not apply to small sets.
@@ -365,7 +366,7 @@
 
 /// The allowed fraction in use. With duplicate processes, it includes the older one's reserved fraction.
 fn bound(duplicates: bool) -> f64 {
-    let reserve = FIGURES.kept / f64::from(FIGURES.gateways);
+    let reserve = CONFIG.reserved_fraction / f64::from(CONFIG.gateways);
     1.0 + 1e-9 + if duplicates { reserve } else { 0.0 }
 }
 
--- a/crates/shares/tests/scenarios.rs
+++ b/crates/shares/tests/scenarios.rs
@@ -1,9 +1,10 @@
-//! Fleets of 20 to 300 gateways in fault scenarios, with heartbeats on the counter only: the total in use never exceeds
-//! the whole, and shares of dead gateways are taken over. The baseline is a fixed share for each gateway.
+//! Fleets of 20 to 300 gateways in fault scenarios, with heartbeats on the counter only: the total in use never
+//! exceeds the whole, and shares of dead gateways are taken over. The baseline is a fixed share for each
+//! gateway.
 
 use fastrand::Rng;
 use hingestage_fleet::roll::Roll;
-use hingestage_shares::{Figures, Lease, Micros, Voter};
+use hingestage_shares::{Lease, LeaseConfig, Micros, Voter};
 use std::collections::{BTreeMap, BTreeSet};
 
 const S: Micros = 1_000_000;
@@ -51,7 +52,7 @@
     slot: Micros,
     gateways: Vec<Gateway>,
     totals: BTreeMap<String, f64>,
-    figures: Figures,
+    config: LeaseConfig,
     partitioned: bool,
 }
 
@@ -72,32 +73,29 @@
         let now = 1_000_000 * S;
         let slot = Roll::new(0, n, now).slot();
         let scale = slot / S;
-        let figures = Figures {
+        let config = LeaseConfig {
             gateways: n,
             counter_votes: n - 1,
             lease: 18 * S / 10 * scale,
-            absent: 2 * S * scale,
-            settles: 2 * S * scale,
-            kept: 0.5,
+            absence_timeout: 2 * S * scale,
+            warm_up: 2 * S * scale,
+            reserved_fraction: 0.5,
         };
         let scenario = SCENARIOS[(seed % 6) as usize];
         let starts_up = |me: u32| scenario != Scenario::ScaleUp || me.is_multiple_of(4);
-        let start = |me| Gateway {
-            alive: starts_up(me),
-            roll: Roll::new(me, n, now),
-            lease: Lease::new(me, figures),
-        };
+        let start =
+            |me| Gateway { alive: starts_up(me), roll: Roll::new(me, n, now), lease: Lease::new(me, config) };
         let gateways = (0..n).map(start).collect();
         let (totals, partitioned) = (BTreeMap::new(), false);
-        Fleet { scenario, rng, now, slot, gateways, totals, figures, partitioned }
+        Fleet { scenario, rng, now, slot, gateways, totals, config, partitioned }
     }
 
     fn set(&mut self, me: usize, alive: bool) {
-        let (now, figures) = (self.now, self.figures);
+        let (now, config) = (self.now, self.config);
         let gateway = &mut self.gateways[me];
         if alive && !gateway.alive {
-            gateway.roll = Roll::new(me as u32, figures.gateways, now);
-            gateway.lease = Lease::new(me as u32, figures);
+            gateway.roll = Roll::new(me as u32, config.gateways, now);
+            gateway.lease = Lease::new(me as u32, config);
         }
         gateway.alive = alive;
     }
@@ -126,7 +124,8 @@
         }
     }
 
-    /// Runs one step, in which live gateways send their heartbeats, some of which are lost. Returns the fraction in use.
+    /// Runs one step, in which live gateways send their heartbeats, some of which are lost. Returns the
+    /// fraction in use.
     fn step(&mut self) -> f64 {
         self.now += self.slot / STEPS_PER_SLOT;
         let (now, n) = (self.now, self.gateways.len());
@@ -145,7 +144,7 @@
                 let total = self.totals.entry(call.name.clone()).or_default();
                 *total += call.amount;
                 if let Some(found) = gateway.roll.answered(&call.name, Some(*total)) {
-                    gateway.lease.confirmed(now, Voter::Counter, found.issued, found.absent);
+                    gateway.lease.record_ack(now, Voter::Counter, found.issued, found.absent);
                 }
             }
         }
@@ -154,10 +153,10 @@
 
     /// The fraction in use. Gateways hear of each other only through the counter.
     fn in_use(&mut self) -> f64 {
-        let (now, n) = (self.now, self.figures.gateways);
+        let (now, n) = (self.now, self.config.gateways);
         let unheard: BTreeSet<u32> = (0..n).collect();
-        let part = |gateway: &mut Gateway| gateway.lease.view(now, &unheard).part(now, 0, n).amount;
-        self.gateways.iter_mut().filter(|gateway| gateway.alive).map(part).sum()
+        let share = |gateway: &mut Gateway| gateway.lease.view(now, &unheard).share(now, 0, n).fraction;
+        self.gateways.iter_mut().filter(|gateway| gateway.alive).map(share).sum()
     }
 
     fn run(mut self) -> Usage {
--- a/crates/turns/tests/common/mod.rs
+++ b/crates/turns/tests/common/mod.rs
@@ -7,7 +7,7 @@
 use fastrand::Rng;
 use hingestage_fleet::roll::Roll;
 use hingestage_policy::*;
-use hingestage_shares::{Figures, Lease, Voter};
+use hingestage_shares::{Lease, LeaseConfig, Voter};
 use hingestage_turns::desk::{Desk, Do, Found};
 use hingestage_turns::post::{Ending, Post, Route, Word};
 use hingestage_turns::word::{Said, Told};
@@ -113,7 +113,7 @@
     desk: Desk<Asker>,
     roll: Roll,
     lease: Lease,
-    view: Option<View>,
+    view: Option<LeaseView>,
 }
 
 /// For whom the counter is called.
@@ -301,15 +301,15 @@
         let n = self.scene.gateways;
         let roll = Roll::new(me, n, self.now);
         let scale = roll.slot() / S;
-        let figures = Figures {
+        let config = LeaseConfig {
             gateways: n,
             counter_votes: n - 1,
             lease: 18 * S / 10 * scale,
-            absent: 2 * S * scale,
-            settles: 2 * S * scale,
-            kept: 0.5,
+            absence_timeout: 2 * S * scale,
+            warm_up: 2 * S * scale,
+            reserved_fraction: 0.5,
         };
-        let (desk, lease) = (Desk::new(n, WAIT), Lease::new(me, figures));
+        let (desk, lease) = (Desk::new(n, WAIT), Lease::new(me, config));
         Gateway { keeper, life, up: true, post, desk, roll, lease, view: None }
     }
 
@@ -342,7 +342,7 @@
         let mut view = self.gateways[by].lease.view(self.now, &unheard);
         if self.scene.own_views {
             let absent = unheard.into_iter().filter(|g| *g != by as u32).collect();
-            view = View { absent, ..view };
+            view = LeaseView { absent, ..view };
         }
         if self.gateways[by].view.replace(view.clone()) != Some(view.clone()) {
             self.feed(by, Event::Fleet(view));
@@ -645,7 +645,7 @@
             For::Roll => {
                 let gateway = &mut self.gateways[by];
                 if let Some(found) = gateway.roll.answered(&name, total.map(f64::from_bits)) {
-                    gateway.lease.confirmed(self.now, Voter::Counter, found.issued, found.absent);
+                    gateway.lease.record_ack(self.now, Voter::Counter, found.issued, found.absent);
                 }
                 return;
             }
