--- a/crates/capacity/src/quota.rs
+++ b/crates/capacity/src/quota.rs
@@ -3,7 +3,7 @@
 use crate::measure::{resident, seconds_each, thread_cpu, Report};
 use compact_str::{format_compact, CompactString};
 use eyre::Result;
-use hingestage_quota::{owner, GatewayId, Incarnation, Part, TableSettings, TenantLimits, TenantTable};
+use hingestage_quota::{owner, EvenShare, GatewayId, Incarnation, TableSettings, TenantLimits, TenantTable};
 use hingestage_replication::digest;
 use std::hint::black_box;
 
@@ -24,7 +24,7 @@
     reserve: 0.0,
     whole_tokens: true,
 };
-const PART: Part = Part { gateways: 9, valid_until: u64::MAX };
+const PART: EvenShare = EvenShare { gateways: 9, valid_until: u64::MAX };
 
 /// Plays a table of so many tenants.
 pub fn play(count: usize) -> Result<()> {
@@ -35,7 +35,7 @@
     let mut now = 1;
     for name in &names {
         table.admit(now, name, LIMITS, PART, now);
-        table.ended(now, name, true);
+        table.record_end(now, name, true);
     }
     report.bytes("memory of the table", resident().saturating_sub(before));
     let mut next = 0;
@@ -45,7 +45,7 @@
             now += STEP;
             next = (next + 7_919) % count;
             black_box(table.admit(now, &names[next], LIMITS, PART, now));
-            table.ended(now, &names[next], true);
+            table.record_end(now, &names[next], true);
         }),
     );
     for proxies in PROXIES {
--- a/crates/proxy/src/admission.rs
+++ b/crates/proxy/src/admission.rs
@@ -4,7 +4,7 @@
 use crate::server::Proxy;
 use compact_str::CompactString;
 use hingestage_configuration::Tenant;
-use hingestage_quota::{Admission, Part, RefusalReason, TenantLimits};
+use hingestage_quota::{Admission, EvenShare, RefusalReason, TenantLimits};
 use hingestage_replication::Micros;
 use hingestage_rpc::status::RequestOutcome;
 use hingestage_rpc::trials::TrialView;
@@ -48,7 +48,7 @@
 impl Drop for Admitted {
     fn drop(&mut self) {
         if !self.tenant.is_empty() {
-            self.proxy.tenants.borrow_mut().ended(self.proxy.now(), &self.tenant, self.ran);
+            self.proxy.tenants.borrow_mut().record_end(self.proxy.now(), &self.tenant, self.ran);
         }
     }
 }
@@ -155,7 +155,7 @@
         Judged { class, refusal: Some(refusal.after(Duration::from_micros(retry_after))) }
     }
 
-    fn ask_table(&self, tenant: &Tenant, limits: TenantLimits, part: Part, lent: f64) -> Admission {
+    fn ask_table(&self, tenant: &Tenant, limits: TenantLimits, part: EvenShare, lent: f64) -> Admission {
         let spread = fastrand::u64(..);
         self.tenants.borrow_mut().admit_with(self.now(), &tenant.name, limits, part, spread, lent)
     }
@@ -165,7 +165,7 @@
         &self,
         tenant: &Tenant,
         routed: &Routed,
-        part: Part,
+        part: EvenShare,
         leaves_reserve: bool,
     ) -> Result<Limits, Judged> {
         let quota = self.quota_of(tenant, part);
@@ -210,7 +210,7 @@
     }
 
     /// What may be lent of a tenant's quota now; none where that can't be judged.
-    pub(crate) fn lendable(&self, tenant: &Tenant, part: Part) -> Option<TenantLimits> {
+    pub(crate) fn lendable(&self, tenant: &Tenant, part: EvenShare) -> Option<TenantLimits> {
         let quota = self.quota_of(tenant, part);
         match self.view.borrow_mut().judge_trial(self.now(), &tenant.name) {
             Judgement::NoTrial => Some(quota),
@@ -220,7 +220,7 @@
     }
 
     /// A tenant's quota, as all proxies share it.
-    fn quota_of(&self, tenant: &Tenant, part: Part) -> TenantLimits {
+    fn quota_of(&self, tenant: &Tenant, part: EvenShare) -> TenantLimits {
         let bounds = &self.settings.bounds;
         let window = bounds.quota_window.as_secs_f64();
         let excess = bounds.quota_excess * (tenant.rate_per_s * window + tenant.burst) + bounds.quota_slack;
--- a/crates/proxy/src/lending.rs
+++ b/crates/proxy/src/lending.rs
@@ -34,7 +34,7 @@
 impl Loans {
     /// Takes in what another proxy lent.
     pub fn take(&self, from: SocketAddr, number: u64, lent: f64) {
-        if self.borrowing.borrow_mut().take(&from, number, lent) {
+        if self.borrowing.borrow_mut().record_answer(&from, number, lent) {
             self.answered.notify_waiters();
         }
     }
@@ -42,7 +42,7 @@
     async fn wait(&self, number: u64) {
         loop {
             let answered = self.answered.notified();
-            if self.borrowing.borrow().is_over(number) {
+            if self.borrowing.borrow().is_complete(number) {
                 return;
             }
             answered.await;
@@ -63,7 +63,7 @@
     /// Asks other proxies of the region for what a tenant's bucket lacks of a token. Gives what they lent.
     pub(crate) async fn borrow_tokens(&self, tenant: &CompactString) -> f64 {
         let now = self.now();
-        let lacking = self.tenants.borrow().lacks(now, tenant);
+        let lacking = self.tenants.borrow().missing_tokens(now, tenant);
         let Some(number) =
             lacking.and_then(|lacking| self.loans.borrowing.borrow_mut().begin(now, tenant, lacking))
         else {
--- a/crates/proxy/src/server.rs
+++ b/crates/proxy/src/server.rs
@@ -336,7 +336,7 @@
         if part.valid_until > 0 {
             self.services.set_proxies(part.gateways);
         }
-        self.tenants.borrow_mut().observe_part(self.now(), part);
+        self.tenants.borrow_mut().observe_share(self.now(), part);
     }
 
     /// Workers become usable as time passes.
--- a/crates/proxy/src/view.rs
+++ b/crates/proxy/src/view.rs
@@ -3,7 +3,7 @@
 use compact_str::CompactString;
 use hingestage_configuration::{Configuration, KeyTable, RouteTable};
 use hingestage_discovery::{Follower, Listed};
-use hingestage_quota::Part;
+use hingestage_quota::EvenShare;
 use hingestage_replication::{Freshness, Micros};
 use hingestage_rpc::messages::{ConfigDocument, ConfigVersion, Have, ProxyStatus, ZoneDrains};
 use hingestage_rpc::trials::{TrialNews, TrialRevision};
@@ -265,10 +265,10 @@
     }
 
     /// This proxy's part of what all share.
-    pub fn part(&self) -> Part {
+    pub fn part(&self) -> EvenShare {
         let holds = self.settled && self.members > 0;
         let valid_until = if holds { self.freshness.lease_until(self.spans.part_lease) } else { 0 };
-        Part { gateways: self.members.max(1), valid_until }
+        EvenShare { gateways: self.members.max(1), valid_until }
     }
 
     /// Proxies that share common limits, while this one has a part of them.
--- a/crates/quota/src/borrowing.rs
+++ b/crates/quota/src/borrowing.rs
@@ -63,18 +63,18 @@
     }
 
     /// Records the answer of another gateway. Returns whether the request is complete.
-    pub fn take(&mut self, from: &P, number: u64, lent: f64) -> bool {
+    pub fn record_answer(&mut self, from: &P, number: u64, lent: f64) -> bool {
         let Some(pending) = self.pending.get_mut(&number) else { return false };
         let Some(index) = pending.asked.iter().position(|asked| asked == from) else { return false };
         pending.asked.swap_remove(index);
         if lent.is_finite() {
             pending.lent += lent.clamp(0.0, 1.0);
         }
-        self.is_over(number)
+        self.is_complete(number)
     }
 
     /// Whether all asked gateways have answered, or enough tokens were lent.
-    pub fn is_over(&self, number: u64) -> bool {
+    pub fn is_complete(&self, number: u64) -> bool {
         self.pending.get(&number).is_none_or(|pending| pending.asked.is_empty()) || self.has_enough(number)
     }
 
--- a/crates/quota/src/bucket.rs
+++ b/crates/quota/src/bucket.rs
@@ -1,7 +1,7 @@
-//! A token bucket for one gateway's part of a shared limit.
+//! A token bucket for one gateway's share of a shared limit.
 
-use crate::part::MeterReading;
-use crate::{micros, Micros, PartMeter};
+use crate::share_meter::MeterReading;
+use crate::{micros, Micros, ShareMeter};
 
 /// Floating-point tolerance for a whole token. The difference is charged to the next token, so it does not
 /// accumulate.
@@ -14,26 +14,26 @@
     pub rate: f64,
     /// Bucket capacity in tokens, over all gateways.
     pub depth: f64,
-    /// Minimum capacity of one gateway's bucket, however small its part: 1 lets every gateway accumulate a
+    /// Minimum capacity of one gateway's bucket, however small its share: 1 lets every gateway accumulate a
     /// token, 0 keeps the total strictly within `depth`.
-    pub least_cap: f64,
+    pub min_capacity: f64,
 }
 
 impl BucketLimit {
     /// Capacity of a bucket that holds `share`.
     fn cap(&self, share: f64) -> f64 {
         if share > 0.0 {
-            (self.depth * share).max(self.least_cap)
+            (self.depth * share).max(self.min_capacity)
         } else {
             0.0
         }
     }
 }
 
-/// A token bucket that enforces one gateway's part of a shared limit.
+/// A token bucket that enforces one gateway's share of a shared limit.
 ///
 /// It refills at the shared rate times the share held, and its level never exceeds the shared depth times the
-/// smallest share held since the last use. When the limit or the part grows, rate and capacity grow but the
+/// smallest share held since the last use. When the limit or the share grows, rate and capacity grow but the
 /// level does not jump; when either shrinks, the level is cut.
 ///
 /// # Bound over all gateways
@@ -47,11 +47,11 @@
 /// `t` ago plus the refills since. With borrowing, a window issues at most `depth + rate x (W + t)`.
 ///
 /// # Capacities below one token
-/// If the part of the depth is below one token, no whole token would ever be issued. With a `least_cap` of one,
+/// If the share of the depth is below one token, no whole token would ever be issued. With a `min_capacity` of one,
 /// the level may still reach one. This adds at most one token per gateway: all levels total at most
-/// [`SharedBucket::worst_depth`], which is `max(depth, gateways)` for even parts, and less than `depth +
+/// [`SharedBucket::worst_depth`], which is `max(depth, gateways)` for even shares, and less than `depth +
 /// gateways` for any. Callers compare this with their depth and slack, and pass a smaller depth if necessary.
-/// With more gateways than slack, even parts cannot both serve every gateway and keep the bound: a `least_cap`
+/// With more gateways than slack, even shares cannot both serve every gateway and keep the bound: a `min_capacity`
 /// of zero keeps the bound and issues nothing to gateways with less than a token.
 ///
 /// # Refunds
@@ -68,14 +68,14 @@
 }
 
 impl SharedBucket {
-    /// Creates a bucket with an initial level, capped by the limit and the part.
-    pub fn new(meter: &PartMeter, limit: BucketLimit, level_at_start: f64) -> SharedBucket {
+    /// Creates a bucket with an initial level, capped by the limit and the share.
+    pub fn new(meter: &ShareMeter, limit: BucketLimit, level_at_start: f64) -> SharedBucket {
         let cap = limit.cap(meter.share());
         let level = level_at_start.clamp(0.0, cap);
         SharedBucket { level, refundable: 0.0, limit, last_used: meter.reading() }
     }
 
-    /// Maximum total level over `gateways` buckets with even parts and a `least_cap` of one.
+    /// Maximum total level over `gateways` buckets with even shares and a `min_capacity` of one.
     pub fn worst_depth(depth: f64, gateways: u32) -> f64 {
         depth.max(f64::from(gateways))
     }
@@ -93,8 +93,8 @@
     /// Takes one token.
     ///
     /// # Errors
-    /// The time until the next token, or `None` if there is none with the current part.
-    pub fn try_take(&mut self, meter: &PartMeter, limit: BucketLimit) -> Result<(), Option<Micros>> {
+    /// The time until the next token, or `None` if there is none with the current share.
+    pub fn try_take(&mut self, meter: &ShareMeter, limit: BucketLimit) -> Result<(), Option<Micros>> {
         self.refresh(meter, limit);
         if meter.share() <= 0.0 {
             return Err(None);
@@ -115,7 +115,7 @@
     /// As for [`Self::try_take`].
     pub fn try_take_with(
         &mut self,
-        meter: &PartMeter,
+        meter: &ShareMeter,
         limit: BucketLimit,
         lent: f64,
     ) -> Result<(), Option<Micros>> {
@@ -133,7 +133,7 @@
     }
 
     /// Removes at most `max` tokens for another gateway and returns their number. They are not refundable.
-    pub fn lend(&mut self, meter: &PartMeter, limit: BucketLimit, max: f64) -> f64 {
+    pub fn lend(&mut self, meter: &ShareMeter, limit: BucketLimit, max: f64) -> f64 {
         self.refresh(meter, limit);
         let lent = self.level.min(max).max(0.0);
         self.level -= lent;
@@ -146,7 +146,7 @@
     }
 
     /// Refunds an unused token. `issued` is the number of issued tokens not yet settled, this one included.
-    pub fn refund(&mut self, meter: &PartMeter, issued: u32) {
+    pub fn refund(&mut self, meter: &ShareMeter, issued: u32) {
         self.refresh(meter, self.limit);
         let lost = f64::from(issued) - self.refundable;
         let refund = (1.0 - lost).clamp(0.0, 1.0);
@@ -155,11 +155,11 @@
     }
 
     /// Refills the bucket up to now and applies the limit that holds from now on.
-    pub fn refresh(&mut self, meter: &PartMeter, limit: BucketLimit) {
+    pub fn refresh(&mut self, meter: &ShareMeter, limit: BucketLimit) {
         let lower = BucketLimit {
             rate: self.limit.rate.min(limit.rate),
             depth: self.limit.depth.min(limit.depth),
-            least_cap: self.limit.least_cap.min(limit.least_cap),
+            min_capacity: self.limit.min_capacity.min(limit.min_capacity),
         };
         let with_refundable = refilled_level(meter, self.last_used, self.level + self.refundable, lower);
         self.level = refilled_level(meter, self.last_used, self.level, lower);
@@ -173,7 +173,7 @@
 ///
 /// The level is capped by each share held in between. It is at least the refilled level capped by the smallest
 /// share, and at least the level of a bucket that was empty at any later time.
-pub(crate) fn refilled_level(meter: &PartMeter, since: MeterReading, level: f64, limit: BucketLimit) -> f64 {
+pub(crate) fn refilled_level(meter: &ShareMeter, since: MeterReading, level: f64, limit: BucketLimit) -> f64 {
     let filled = |level: f64, since: MeterReading, lowest: f64| {
         (level + limit.rate * (meter.earned() - since.earned)).min(limit.cap(lowest))
     };
--- a/crates/quota/src/cold.rs
+++ b/crates/quota/src/cold.rs
@@ -2,7 +2,7 @@
 
 use crate::hash::{hash_bytes, weight};
 use crate::lru::{Handle, LruMap};
-use crate::{GatewayId, Micros, Part, PartMeter, SECOND};
+use crate::{EvenShare, GatewayId, Micros, ShareMeter, SECOND};
 use compact_str::CompactString;
 use std::collections::VecDeque;
 
@@ -49,8 +49,8 @@
 /// Take any second that begins at `s`. A gateway's last request within it is sent at `t < s + 1`, so `s` lies
 /// within the second that ends at `t`, and the gateway sends at most `limit x` its share at `s` from `s` to
 /// `t`. The shares at `s` total at most one. A gateway sends nothing within its first second, since its
-/// previous run may have sent. Selection requires that all parts valid at one moment belong to the same list:
-/// the grantor of parts lets all leases of one list expire before the next list starts. A gateway uses
+/// previous run may have sent. Selection requires that all shares valid at one moment belong to the same list:
+/// the grantor of shares lets all leases of one list expire before the next list starts. A gateway uses
 /// selection only after it has had its list for a second, so at `s` the same list holds for all senders.
 ///
 /// Requests are counted when they are sent: callers subtract from the slack what network jitter may add on arrival.
@@ -58,7 +58,7 @@
 pub struct ColdBudget {
     limit: ColdLimit,
     started_at: Micros,
-    meter: PartMeter,
+    meter: ShareMeter,
     workers: LruMap<ColdWorker>,
     gateways: Vec<GatewayId>,
     list_version: u64,
@@ -68,7 +68,7 @@
 impl ColdBudget {
     /// Creates the budget of a gateway that starts now.
     pub fn new(now: Micros, limit: ColdLimit) -> ColdBudget {
-        let (meter, workers) = (PartMeter::new(now), LruMap::new());
+        let (meter, workers) = (ShareMeter::new(now), LruMap::new());
         ColdBudget {
             limit,
             started_at: now,
@@ -80,9 +80,9 @@
         }
     }
 
-    /// Records the part held from now on. Must be called at each lease renewal.
-    pub fn observe_part(&mut self, now: Micros, part: Part) {
-        self.meter.observe(now, part);
+    /// Records the share held from now on. Must be called at each lease renewal.
+    pub fn observe_share(&mut self, now: Micros, even_share: EvenShare) {
+        self.meter.observe(now, even_share);
     }
 
     /// Records the list of gateways that the limit is divided among.
@@ -95,11 +95,11 @@
     }
 
     /// Returns whether a request may be sent to a cold worker now, and if so counts it.
-    pub fn try_send(&mut self, now: Micros, part: Part, gateway: GatewayId, worker: &str) -> bool {
-        self.meter.observe(now, part);
+    pub fn try_send(&mut self, now: Micros, even_share: EvenShare, gateway: GatewayId, worker: &str) -> bool {
+        self.meter.observe(now, even_share);
         let Some(handle) = self.find_or_insert(now, worker) else { return false };
         self.workers.touch(handle);
-        let max = self.max_sends(now, part, gateway, handle);
+        let max = self.max_sends(now, even_share, gateway, handle);
         let Some(entry) = self.workers.get_mut(handle) else { return false };
         while entry.sent.front().is_some_and(|at| at + SECOND <= now) {
             entry.sent.pop_front();
@@ -111,7 +111,7 @@
         true
     }
 
-    fn max_sends(&mut self, now: Micros, part: Part, gateway: GatewayId, worker: Handle) -> usize {
+    fn max_sends(&mut self, now: Micros, even_share: EvenShare, gateway: GatewayId, worker: Handle) -> usize {
         if now < self.started_at.saturating_add(SECOND) {
             return 0;
         }
@@ -120,7 +120,7 @@
         if sends > 0 || share <= 0.0 {
             return sends;
         }
-        let same_list = part.gateways as usize == self.gateways.len();
+        let same_list = even_share.gateways as usize == self.gateways.len();
         let list_stable = now >= self.listed_at + SECOND;
         usize::from(same_list && list_stable && self.is_selected(gateway, worker))
     }
--- a/crates/quota/src/lib.rs
+++ b/crates/quota/src/lib.rs
@@ -1,6 +1,6 @@
 //! Distributed rate limits that many gateways enforce together, without I/O.
 //!
-//! Every gateway holds a [`Part`] of each shared limit under a lease and never admits more than its part
+//! Every gateway holds an [`EvenShare`] of each shared limit under a lease and never admits more than its share
 //! ([`SharedBucket`]), so the total stays within the limit even if gateways cannot reach each other. Counts
 //! that gateways exchange ([`TenantTable::collect_adds`], [`OwnerTable`]) improve penalty decisions, but no
 //! bound depends on them.
@@ -16,10 +16,10 @@
 mod lru;
 mod messages;
 mod owner;
-mod part;
 mod retry;
 mod share_holder;
 mod share_messages;
+mod share_meter;
 mod share_owner;
 mod sliding;
 mod table;
@@ -30,10 +30,10 @@
 pub use hash::owner;
 pub use messages::{Adds, GatewayId, Incarnation, TenantAdd, TenantTotal, Totals};
 pub use owner::{OwnerSettings, OwnerTable};
-pub use part::{Part, PartMeter};
 pub use retry::{RetryBudget, RetryLimit};
 pub use share_holder::ShareHolder;
 pub use share_messages::{ShareAnswer, ShareGrant, ShareReport, Term, WHOLE};
+pub use share_meter::{EvenShare, ShareMeter};
 pub use share_owner::{ShareOwner, ShareSettings};
 pub use sliding::SlidingCount;
 pub use table::{Admission, RefusalReason, TableSettings, TenantLimits, TenantTable};
--- a/crates/quota/src/retry.rs
+++ b/crates/quota/src/retry.rs
@@ -1,6 +1,6 @@
 //! Retry budget of one service.
 
-use crate::{seconds, BucketLimit, Micros, Part, PartMeter, SharedBucket};
+use crate::{seconds, BucketLimit, EvenShare, Micros, ShareMeter, SharedBucket};
 use std::collections::VecDeque;
 
 /// Fraction of the ratio that each first attempt earns; the rest covers requests that left the window.
@@ -33,7 +33,7 @@
     /// A bucket that issues half of the shared slack per window from its depth, and half from its rate.
     fn bucket(&self) -> BucketLimit {
         let half = SHARED_SLACK_FRACTION * self.slack / 2.0;
-        BucketLimit { rate: half / seconds(self.window), depth: half, least_cap: 0.0 }
+        BucketLimit { rate: half / seconds(self.window), depth: half, min_capacity: 0.0 }
     }
 }
 
@@ -47,7 +47,7 @@
 /// Bounds the retries for one service over all gateways.
 ///
 /// Each first attempt earns 0.8 of the ratio, usable by the same gateway within a quarter of the window; in
-/// addition, each gateway has its part of 0.7 of the slack in a token bucket. Every attempt beyond the first
+/// addition, each gateway has its share of 0.7 of the slack in a token bucket. Every attempt beyond the first
 /// takes a token, including attempts that a worker rejected and those of a request that was itself a retry.
 ///
 /// # Bound over all gateways
@@ -63,7 +63,7 @@
 #[derive(Clone, Debug)]
 pub struct RetryBudget {
     limit: RetryLimit,
-    meter: PartMeter,
+    meter: ShareMeter,
     bucket: SharedBucket,
     /// Oldest first.
     earned: VecDeque<Earned>,
@@ -72,18 +72,18 @@
 impl RetryBudget {
     /// Creates an empty budget.
     pub fn new(now: Micros, limit: RetryLimit) -> RetryBudget {
-        let meter = PartMeter::new(now);
+        let meter = ShareMeter::new(now);
         let bucket = SharedBucket::new(&meter, limit.bucket(), 0.0);
         RetryBudget { limit, meter, bucket, earned: VecDeque::new() }
     }
 
-    /// Records the part held from now on. Must be called at each lease renewal.
-    pub fn observe_part(&mut self, now: Micros, part: Part) {
-        self.meter.observe(now, part);
+    /// Records the share held from now on. Must be called at each lease renewal.
+    pub fn observe_share(&mut self, now: Micros, even_share: EvenShare) {
+        self.meter.observe(now, even_share);
     }
 
     /// Records the first attempt of a request.
-    pub fn first(&mut self, now: Micros) {
+    pub fn record_first_attempt(&mut self, now: Micros) {
         self.expire(now);
         let (slot, tokens) = (now / self.limit.slot(), EARNED_FRACTION * self.limit.ratio);
         match self.earned.back_mut() {
@@ -93,8 +93,8 @@
     }
 
     /// Takes a token for a retry.
-    pub fn try_further(&mut self, now: Micros, part: Part) -> bool {
-        self.meter.observe(now, part);
+    pub fn try_retry(&mut self, now: Micros, even_share: EvenShare) -> bool {
+        self.meter.observe(now, even_share);
         self.expire(now);
         self.take_earned() || self.bucket.try_take(&self.meter, self.limit.bucket()).is_ok()
     }
--- a/crates/quota/src/share_holder.rs
+++ b/crates/quota/src/share_holder.rs
@@ -1,6 +1,6 @@
 //! Holder of an uneven share of a limit.
 
-use crate::{Incarnation, Micros, PartMeter, ShareAnswer, ShareGrant, ShareReport, Term, WHOLE};
+use crate::{Incarnation, Micros, ShareAnswer, ShareGrant, ShareMeter, ShareReport, Term, WHOLE};
 use std::collections::VecDeque;
 
 /// Maximum number of unanswered reports.
@@ -52,7 +52,7 @@
     }
 
     /// Reports the held share to a meter.
-    pub fn observe(&self, now: Micros, meter: &mut PartMeter) {
+    pub fn observe(&self, now: Micros, meter: &mut ShareMeter) {
         meter.observe_share(now, f64::from(self.units) / f64::from(WHOLE), self.valid_until);
     }
 
--- a/crates/quota/src/part.rs
+++ b/crates/quota/src/share_meter.rs
@@ -1,22 +1,22 @@
-//! The part of every shared limit that one gateway holds, and its integral over time.
+//! The share of every shared limit that one gateway holds, and its integral over time.
 
 use crate::{seconds, Micros};
 use std::collections::VecDeque;
 
-/// One gateway's even part of every shared limit, under a lease.
+/// One gateway's even share of every shared limit, under a lease.
 ///
 /// The grantor ensures that the valid shares never total more than one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Part {
-    /// Number of gateways that the limits are divided among; 0 for no part.
+pub struct EvenShare {
+    /// Number of gateways that the limits are divided among; 0 for no share.
     pub gateways: u32,
     /// Expiry of the lease.
     pub valid_until: Micros,
 }
 
-impl Part {
-    /// No part.
-    pub const NONE: Part = Part { gateways: 0, valid_until: 0 };
+impl EvenShare {
+    /// No share.
+    pub const NONE: EvenShare = EvenShare { gateways: 0, valid_until: 0 };
 
     /// The fraction of the whole at `now`; 0 once the lease has expired.
     pub fn share(&self, now: Micros) -> f64 {
@@ -59,7 +59,7 @@
 /// A renewal must be observed before the lease expires; from the expiry of the last known lease on, no share is
 /// held.
 #[derive(Clone, Debug)]
-pub struct PartMeter {
+pub struct ShareMeter {
     valid_until: Micros,
     at: Micros,
     share: f64,
@@ -68,15 +68,15 @@
     lowest: VecDeque<Span>,
 }
 
-impl PartMeter {
+impl ShareMeter {
     /// Creates a meter without a share.
-    pub fn new(now: Micros) -> PartMeter {
-        PartMeter { valid_until: 0, at: now, share: 0.0, earned: 0.0, lowest: VecDeque::new() }
+    pub fn new(now: Micros) -> ShareMeter {
+        ShareMeter { valid_until: 0, at: now, share: 0.0, earned: 0.0, lowest: VecDeque::new() }
     }
 
-    /// Records the part held from now on.
-    pub fn observe(&mut self, now: Micros, part: Part) {
-        self.observe_share(now, part.leased_share(), part.valid_until);
+    /// Records the share held from now on.
+    pub fn observe(&mut self, now: Micros, even_share: EvenShare) {
+        self.observe_share(now, even_share.leased_share(), even_share.valid_until);
     }
 
     /// Records an arbitrary share held from now on, until its lease expires.
--- a/crates/quota/src/table.rs
+++ b/crates/quota/src/table.rs
@@ -3,10 +3,10 @@
 use crate::bucket::refilled_level;
 use crate::hash::{hash_bytes, mix};
 use crate::lru::{Handle, LruMap};
-use crate::part::MeterReading;
+use crate::share_meter::MeterReading;
 use crate::{
-    micros, Adds, BucketLimit, GatewayId, Incarnation, Micros, Part, PartMeter, SharedBucket, SlidingCount,
-    TenantAdd, Totals, SECOND,
+    micros, Adds, BucketLimit, EvenShare, GatewayId, Incarnation, Micros, ShareMeter, SharedBucket,
+    SlidingCount, TenantAdd, Totals, SECOND,
 };
 use compact_str::CompactString;
 use std::collections::{BTreeMap, VecDeque};
@@ -66,7 +66,7 @@
     pub exempt: bool,
     /// Fraction of burst and slack that must remain after a request; otherwise the request is refused.
     pub reserve: f64,
-    /// Whether each gateway may accumulate a whole token, however small its part of burst and slack. The total
+    /// Whether each gateway may accumulate a whole token, however small its share of burst and slack. The total
     /// may then reach one token per gateway.
     pub whole_tokens: bool,
 }
@@ -92,10 +92,10 @@
 
     fn hard_bound(&self) -> BucketLimit {
         if self.is_limited() {
-            let least_cap = if self.whole_tokens { 1.0 } else { 0.0 };
-            BucketLimit { rate: self.rate_per_s, depth: self.burst + self.slack, least_cap }
+            let min_capacity = if self.whole_tokens { 1.0 } else { 0.0 };
+            BucketLimit { rate: self.rate_per_s, depth: self.burst + self.slack, min_capacity }
         } else {
-            BucketLimit { rate: 0.0, depth: 0.0, least_cap: 0.0 }
+            BucketLimit { rate: 0.0, depth: 0.0, min_capacity: 0.0 }
         }
     }
 }
@@ -103,20 +103,20 @@
 /// Why a request is refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RefusalReason {
-    /// The tenant is in the penalty box and has used up its part of the rate.
+    /// The tenant is in the penalty box and has used up its share of the rate.
     PenaltyBox,
     /// Too many requests are open for the tenant, or all table entries have open requests.
     OpenCap,
-    /// This gateway holds no valid part of the limits.
+    /// This gateway holds no valid share of the limits.
     NoLease,
-    /// This gateway's part of the tenant's limit is used up.
+    /// This gateway's share of the tenant's limit is used up.
     HardBound,
 }
 
 /// The admission decision for a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Admission {
-    /// The request may be sent. Its end must be reported by [`TenantTable::ended`].
+    /// The request may be sent. Its end must be reported by [`TenantTable::record_end`].
     Admitted,
     /// The request must not be sent.
     Refused {
@@ -161,18 +161,18 @@
 
 /// Decides on the admission of requests, with a bounded table of tenants.
 ///
-/// A request is counted, then checked against the penalty box, the cap on open requests and this gateway's part
+/// A request is counted, then checked against the penalty box, the cap on open requests and this gateway's share
 /// of the limit (the hard bound). Refused requests, and those that end without having run, are not counted.
 /// Evicting an entry never violates the hard bound: a tenant not in the table starts with the tokens that an
 /// empty bucket would have accumulated since the table was created, or since the last use of any evicted entry,
-/// and at most its part of the burst.
+/// and at most its share of the burst.
 ///
 /// Requests are counted at admission: a caller that queues requests asks for admission when it sends them.
 #[derive(Clone, Debug)]
 pub struct TenantTable {
     settings: TableSettings,
     incarnation: Incarnation,
-    meter: PartMeter,
+    meter: ShareMeter,
     tenants: LruMap<Tenant>,
     /// Latest time at which a tenant not in the table may have used tokens.
     evicted_until: MeterReading,
@@ -184,7 +184,7 @@
 impl TenantTable {
     /// Creates an empty table for a run that starts now.
     pub fn new(now: Micros, incarnation: Incarnation, settings: TableSettings) -> TenantTable {
-        let meter = PartMeter::new(now);
+        let meter = ShareMeter::new(now);
         TenantTable {
             settings,
             incarnation,
@@ -213,10 +213,10 @@
         entry.is_some_and(|(_, tenant)| now < tenant.penalized_until)
     }
 
-    /// Records the part held from now on. Must be called at each lease renewal, even without requests: tokens
+    /// Records the share held from now on. Must be called at each lease renewal, even without requests: tokens
     /// accumulated before an observed expiry are lost.
-    pub fn observe_part(&mut self, now: Micros, part: Part) {
-        self.meter.observe(now, part);
+    pub fn observe_share(&mut self, now: Micros, even_share: EvenShare) {
+        self.meter.observe(now, even_share);
     }
 
     /// Decides whether a request may be sent. `jitter_seed` should differ between requests; it determines the
@@ -226,10 +226,10 @@
         now: Micros,
         tenant: &str,
         limits: TenantLimits,
-        part: Part,
+        even_share: EvenShare,
         jitter_seed: u64,
     ) -> Admission {
-        self.admit_with(now, tenant, limits, part, jitter_seed, 0.0)
+        self.admit_with(now, tenant, limits, even_share, jitter_seed, 0.0)
     }
 
     /// Like [`Self::admit`], with tokens `lent` by other gateways for this request.
@@ -238,11 +238,11 @@
         now: Micros,
         tenant: &str,
         limits: TenantLimits,
-        part: Part,
+        even_share: EvenShare,
         jitter_seed: u64,
         lent: f64,
     ) -> Admission {
-        self.meter.observe(now, part);
+        self.meter.observe(now, even_share);
         self.evict_idle(now);
         let Some(handle) = self.find_or_insert(now, tenant, &limits) else {
             return refused(
@@ -265,7 +265,7 @@
 
     /// The missing fraction of a token in a tenant's bucket; `None` if the bucket lacks nothing, or the tenant
     /// is penalized or unknown.
-    pub fn lacks(&self, now: Micros, tenant: &str) -> Option<f64> {
+    pub fn missing_tokens(&self, now: Micros, tenant: &str) -> Option<f64> {
         let handle = self.tenants.find(tenant)?;
         let (_, entry) = self.tenants.get(handle)?;
         let penalized = now < entry.penalized_until;
@@ -273,8 +273,15 @@
     }
 
     /// Lends at most `max` tokens of a tenant to another gateway and returns their number.
-    pub fn lend(&mut self, now: Micros, tenant: &str, limits: TenantLimits, part: Part, max: f64) -> f64 {
-        self.meter.observe(now, part);
+    pub fn lend(
+        &mut self,
+        now: Micros,
+        tenant: &str,
+        limits: TenantLimits,
+        even_share: EvenShare,
+        max: f64,
+    ) -> f64 {
+        self.meter.observe(now, even_share);
         if !limits.is_limited() || self.meter.share() <= 0.0 {
             return 0.0;
         }
@@ -287,7 +294,7 @@
     }
 
     /// Records the end of an admitted request. A request that never ran on a worker is refunded.
-    pub fn ended(&mut self, now: Micros, tenant: &str, ran: bool) {
+    pub fn record_end(&mut self, now: Micros, tenant: &str, ran: bool) {
         self.meter.advance(now);
         let Some(handle) = self.tenants.find(tenant) else { return };
         let Some(entry) = self.tenants.get_mut(handle) else { return };
@@ -393,7 +400,7 @@
     }
 
     /// Creates an entry. Its level is that of a bucket that was empty when the tenant may last have been used,
-    /// and at most its part of the burst.
+    /// and at most its share of the burst.
     fn new_tenant(&self, now: Micros, limits: &TenantLimits) -> Tenant {
         let limit = limits.hard_bound();
         let start = BucketLimit { depth: limits.burst, ..limit };
@@ -455,7 +462,7 @@
         &mut self,
         now: Micros,
         limits: &TenantLimits,
-        meter: &PartMeter,
+        meter: &ShareMeter,
         lent: f64,
     ) -> Result<(), Refusal> {
         self.last_used = now;
@@ -472,7 +479,7 @@
         &mut self,
         now: Micros,
         limits: &TenantLimits,
-        meter: &PartMeter,
+        meter: &ShareMeter,
         lent: f64,
     ) -> Result<(), Refusal> {
         if limits.is_limited() && meter.share() <= 0.0 && lent < 1.0 {
@@ -492,9 +499,9 @@
         Ok(())
     }
 
-    /// Whether a penalized tenant still has a token beyond the withheld slack. Nothing is withheld if the part
+    /// Whether a penalized tenant still has a token beyond the withheld slack. Nothing is withheld if the share
     /// of the burst is below one token.
-    fn quota_allows(&mut self, limits: &TenantLimits, meter: &PartMeter) -> bool {
+    fn quota_allows(&mut self, limits: &TenantLimits, meter: &ShareMeter) -> bool {
         self.bucket.refresh(meter, limits.hard_bound());
         let has_whole_token = limits.burst * meter.share() >= 1.0;
         let reserve =
@@ -519,7 +526,7 @@
         &mut self,
         now: Micros,
         limits: &TenantLimits,
-        meter: &PartMeter,
+        meter: &ShareMeter,
     ) -> Result<(), Refusal> {
         let Some(cap) = limits.open_cap else { return Ok(()) };
         let local_cap = f64::from(cap) * self.share_of_counts(now, meter);
@@ -532,7 +539,7 @@
     fn check_hard_bound(
         &mut self,
         limits: &TenantLimits,
-        meter: &PartMeter,
+        meter: &ShareMeter,
         lent: f64,
     ) -> Result<(), Refusal> {
         if let Some(wait) = self.wait_for_reserve(limits, meter, lent) {
@@ -550,7 +557,7 @@
 
     /// The time until a token is available beyond the reserve; `None` if it is available now. Unused lent
     /// tokens are lost.
-    fn wait_for_reserve(&mut self, limits: &TenantLimits, meter: &PartMeter, lent: f64) -> Option<Micros> {
+    fn wait_for_reserve(&mut self, limits: &TenantLimits, meter: &ShareMeter, lent: f64) -> Option<Micros> {
         let share = meter.share();
         if limits.reserve <= 0.0 || !limits.is_limited() || share <= 0.0 {
             return None;
@@ -562,8 +569,8 @@
     }
 
     /// This gateway's share of the tenant's recent requests: by counts if those of other gateways are known,
-    /// otherwise by the part held.
-    fn share_of_counts(&mut self, now: Micros, meter: &PartMeter) -> f64 {
+    /// otherwise by the share held.
+    fn share_of_counts(&mut self, now: Micros, meter: &ShareMeter) -> f64 {
         let local = self.count.count(now);
         if self.fresh_others(now).is_none() {
             return meter.share();
--- a/crates/quota/tests/adds.rs
+++ b/crates/quota/tests/adds.rs
@@ -1,13 +1,13 @@
 //! Aggregation of counts by an owner under lost, duplicated and reordered messages, restarts and full tables.
 
 use hingestage_quota::{
-    owner, Adds, GatewayId, Incarnation, Micros, OwnerSettings, OwnerTable, Part, TableSettings, TenantAdd,
-    TenantLimits, TenantTable, Totals,
+    owner, Adds, EvenShare, GatewayId, Incarnation, Micros, OwnerSettings, OwnerTable, TableSettings,
+    TenantAdd, TenantLimits, TenantTable, Totals,
 };
 use proptest::prelude::*;
 
 const S: Micros = 1_000_000;
-const SOLE: Part = Part { gateways: 1, valid_until: 1_000_000 * S };
+const SOLE: EvenShare = EvenShare { gateways: 1, valid_until: 1_000_000 * S };
 const LIMITS: TenantLimits = TenantLimits {
     rate_per_s: 1_000.0,
     burst: 60_000.0,
@@ -21,14 +21,14 @@
 
 fn gateway(incarnation: u64) -> TenantTable {
     let mut table = TenantTable::new(0, Incarnation(incarnation), TableSettings::default());
-    table.observe_part(0, SOLE);
+    table.observe_share(0, SOLE);
     table
 }
 
 fn run(table: &mut TenantTable, now: Micros, requests: u64) {
     for _ in 0..requests {
         table.admit(now, "acme", LIMITS, SOLE, 0);
-        table.ended(now, "acme", true);
+        table.record_end(now, "acme", true);
     }
 }
 
@@ -71,7 +71,7 @@
     for name in ["a", "b", "c"] {
         table.admit(60 * S, name, LIMITS, SOLE, 0);
     }
-    table.observe_part(0, SOLE);
+    table.observe_share(0, SOLE);
     table.admit(61 * S, "a", LIMITS, SOLE, 0);
     table.admit(61 * S, "b", LIMITS, SOLE, 0);
     table.admit(61 * S, "c", LIMITS, SOLE, 0);
@@ -89,11 +89,11 @@
 fn evicted_tenants_take_no_space_in_a_push() {
     let settings = TableSettings { entries: 2, push_batch: 2, ..TableSettings::default() };
     let mut table = TenantTable::new(0, Incarnation(1), settings);
-    table.observe_part(0, SOLE);
+    table.observe_share(0, SOLE);
     for number in 0..9 {
         let name = format!("tenant-{number}");
         table.admit(60 * S + number * S, &name, LIMITS, SOLE, 0);
-        table.ended(60 * S + number * S, &name, true);
+        table.record_end(60 * S + number * S, &name, true);
     }
     assert_eq!(push(&mut table, 70 * S).unwrap().tenants.len(), 2);
 }
--- a/crates/quota/tests/budgets.rs
+++ b/crates/quota/tests/budgets.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::{Grants, ROUNDING};
-use hingestage_quota::{ColdBudget, ColdLimit, GatewayId, Micros, Part, RetryBudget, RetryLimit};
+use hingestage_quota::{ColdBudget, ColdLimit, EvenShare, GatewayId, Micros, RetryBudget, RetryLimit};
 use proptest::prelude::*;
 
 const S: Micros = 1_000_000;
@@ -56,9 +56,9 @@
 fn run<B>(
     steps: &[Step],
     new: impl Fn(Micros) -> B,
-    observe: impl Fn(&mut B, Micros, Part),
+    observe: impl Fn(&mut B, Micros, EvenShare),
     first: impl Fn(&mut B, Micros),
-    take: impl Fn(&mut B, Micros, Part, usize) -> bool,
+    take: impl Fn(&mut B, Micros, EvenShare, usize) -> bool,
 ) -> History {
     let (mut now, mut history, mut grants) = (30 * S, History::default(), Grants::none(GATEWAYS));
     let mut budgets: Vec<B> = (0..GATEWAYS).map(|_| new(0)).collect();
@@ -66,7 +66,7 @@
         match *step {
             Step::Wait(span) => now += span,
             Step::Grant { gateway, gateways, lease } => {
-                let part = Part { gateways, valid_until: now + lease };
+                let part = EvenShare { gateways, valid_until: now + lease };
                 if grants.grant(now, gateway, part) {
                     observe(&mut budgets[gateway], now, part);
                 }
@@ -106,8 +106,8 @@
     fn retries_of_all_gateways_stay_within_earned_tokens_and_slack(
         steps in prop::collection::vec(step(3 * S), 1..150),
     ) {
-        let take = |budget: &mut RetryBudget, now, part, _| budget.try_further(now, part);
-        let history = run(&steps, retry_budget, RetryBudget::observe_part, RetryBudget::first, take);
+        let take = |budget: &mut RetryBudget, now, part, _| budget.try_retry(now, part);
+        let history = run(&steps, retry_budget, RetryBudget::observe_share, RetryBudget::record_first_attempt, take);
         for from in &history.used {
             let until = from + RETRY.window;
             let earned = 0.8 * RETRY.ratio * count(&history.first, from - RETRY.window / 4, until);
@@ -123,7 +123,7 @@
         let take = |budget: &mut ColdBudget, now, part, gateway: usize| {
             budget.try_send(now, part, GatewayId(gateway as u64), "worker")
         };
-        let history = run(&steps, cold_budget, ColdBudget::observe_part, |_, _| (), take);
+        let history = run(&steps, cold_budget, ColdBudget::observe_share, |_, _| (), take);
         for from in &history.used {
             prop_assert!(count(&history.used, *from, from + S) <= 10.0);
         }
@@ -132,17 +132,17 @@
 
 #[test]
 fn retries_under_an_even_load_stay_within_the_limit() {
-    let part = Part { gateways: GATEWAYS as u32, valid_until: FAR_FUTURE };
+    let part = EvenShare { gateways: GATEWAYS as u32, valid_until: FAR_FUTURE };
     let mut budgets: Vec<RetryBudget> = (0..GATEWAYS).map(|_| retry_budget(0)).collect();
     let (mut first, mut further) = (Vec::new(), Vec::new());
     for tick in 0..6_000_u64 {
         let now = tick * S / 100;
         for budget in &mut budgets {
-            budget.observe_part(now, part);
-            budget.first(now);
+            budget.observe_share(now, part);
+            budget.record_first_attempt(now);
             first.push(now);
             // Phases without retries alternate with phases that take every available token.
-            while tick % 1_500 > 700 && budget.try_further(now, part) {
+            while tick % 1_500 > 700 && budget.try_retry(now, part) {
                 further.push(now);
             }
         }
@@ -159,8 +159,8 @@
 fn earned_tokens_expire_after_a_quarter_of_the_window() {
     let taken = |later: Micros| {
         let mut budget = retry_budget(0);
-        (0..10).for_each(|_| budget.first(60 * S));
-        (0..5).filter(|_| budget.try_further(60 * S + later, Part::NONE)).count()
+        (0..10).for_each(|_| budget.record_first_attempt(60 * S));
+        (0..5).filter(|_| budget.try_retry(60 * S + later, EvenShare::NONE)).count()
     };
     assert_eq!((taken(0), taken(2 * S), taken(2 * S + S / 2)), (1, 1, 0));
 }
@@ -168,10 +168,10 @@
 #[test]
 fn slack_below_one_token_is_not_used() {
     let taken = |gateways: u32| {
-        let part = Part { gateways, valid_until: FAR_FUTURE };
+        let part = EvenShare { gateways, valid_until: FAR_FUTURE };
         let mut budget = retry_budget(0);
-        budget.observe_part(0, part);
-        (0..30).filter(|_| budget.try_further(60 * S, part)).count()
+        budget.observe_share(0, part);
+        (0..30).filter(|_| budget.try_retry(60 * S, part)).count()
     };
     assert_eq!((taken(1), taken(4), taken(14), taken(15)), (14, 3, 1, 0));
 }
@@ -179,10 +179,10 @@
 /// Numbers of requests sent by `gateways` gateways that all try at once, then 0.5 s and 1 s later.
 fn sent_by(gateways: u64, worker: &str) -> [usize; 3] {
     let list: Vec<GatewayId> = (0..gateways).map(GatewayId).collect();
-    let part = Part { gateways: gateways as u32, valid_until: FAR_FUTURE };
+    let part = EvenShare { gateways: gateways as u32, valid_until: FAR_FUTURE };
     let mut budgets: Vec<ColdBudget> = list.iter().map(|_| cold_budget(0)).collect();
     for budget in &mut budgets {
-        budget.observe_part(0, part);
+        budget.observe_share(0, part);
         budget.observe_gateways(0, &list);
     }
     let mut send = |now| {
@@ -206,11 +206,11 @@
 #[test]
 fn no_gateway_is_selected_by_a_new_or_mismatching_list() {
     let list: Vec<GatewayId> = (0..11).map(GatewayId).collect();
-    let part = Part { gateways: 11, valid_until: FAR_FUTURE };
+    let part = EvenShare { gateways: 11, valid_until: FAR_FUTURE };
     let sent = |list: &[GatewayId], listed_at: Micros, now: Micros| {
         let workers = (0..50).map(|number| format!("worker-{number}"));
         let mut budget = cold_budget(0);
-        budget.observe_part(0, part);
+        budget.observe_share(0, part);
         budget.observe_gateways(listed_at, list);
         workers.filter(|worker| budget.try_send(now, part, GatewayId(3), worker)).count()
     };
--- a/crates/quota/tests/limit_changes.rs
+++ b/crates/quota/tests/limit_changes.rs
@@ -1,11 +1,11 @@
 //! Limits that change in steps on all gateways at once, and requests that must leave a reserve.
 
-use hingestage_quota::{Admission, Incarnation, Micros, Part, TableSettings, TenantLimits, TenantTable};
+use hingestage_quota::{Admission, EvenShare, Incarnation, Micros, TableSettings, TenantLimits, TenantTable};
 use std::collections::VecDeque;
 
 const S: Micros = 1_000_000;
 const GATEWAYS: u32 = 5;
-const PART: Part = Part { gateways: GATEWAYS, valid_until: 1_000 * S };
+const PART: EvenShare = EvenShare { gateways: GATEWAYS, valid_until: 1_000 * S };
 const LIMITS: TenantLimits = TenantLimits {
     rate_per_s: 50.0,
     burst: 50.0,
@@ -28,7 +28,7 @@
 fn tables() -> Vec<TenantTable> {
     let table = |number: u32| {
         let mut table = TenantTable::new(0, Incarnation(u64::from(number)), TableSettings::default());
-        table.observe_part(0, PART);
+        table.observe_share(0, PART);
         table
     };
     (0..GATEWAYS).map(table).collect()
@@ -48,7 +48,7 @@
         let now = from + number * S / demand;
         let index = (number % u64::from(GATEWAYS)) as usize;
         if tables[index].admit(now, "t", limits, PART, number) == Admission::Admitted {
-            tables[index].ended(now, "t", true);
+            tables[index].record_end(now, "t", true);
             admitted.push(now);
         }
     }
@@ -116,7 +116,7 @@
         let table = &mut tables[(number / 2 % u64::from(GATEWAYS)) as usize];
         let limits = if number % 2 == 0 { reserving } else { limits };
         if table.admit(now, "t", limits, PART, number) == Admission::Admitted {
-            table.ended(now, "t", true);
+            table.record_end(now, "t", true);
             *(if number % 2 == 0 { &mut with_reserve } else { &mut without_reserve }) += 1;
         }
     }
--- a/crates/quota/tests/shares.rs
+++ b/crates/quota/tests/shares.rs
@@ -1,7 +1,7 @@
 //! Uneven shares: all holders together never hold more than the whole.
 
 use hingestage_quota::{
-    BucketLimit, GatewayId, Incarnation, Micros, PartMeter, ShareAnswer, ShareHolder, ShareOwner,
+    BucketLimit, GatewayId, Incarnation, Micros, ShareAnswer, ShareHolder, ShareMeter, ShareOwner,
     ShareReport, ShareSettings, SharedBucket, Term, WHOLE,
 };
 use proptest::prelude::*;
@@ -228,9 +228,9 @@
 
 #[test]
 fn growing_share_raises_the_rate_but_not_the_level() {
-    let limit = BucketLimit { rate: 10.0, depth: 100.0, least_cap: 0.0 };
+    let limit = BucketLimit { rate: 10.0, depth: 100.0, min_capacity: 0.0 };
     let mut cluster = Cluster::new();
-    let mut meter = PartMeter::new(0);
+    let mut meter = ShareMeter::new(0);
     cluster.rounds(9, [0.0, 1.0, 1.0, 1.0]);
     cluster.holders[0].observe(cluster.now, &mut meter);
     let mut bucket = SharedBucket::new(&meter, limit, 100.0);
@@ -247,8 +247,8 @@
 
 #[test]
 fn merged_meter_spans_keep_the_smallest_share() {
-    let limit = BucketLimit { rate: 1.0, depth: 1_000.0, least_cap: 0.0 };
-    let mut meter = PartMeter::new(0);
+    let limit = BucketLimit { rate: 1.0, depth: 1_000.0, min_capacity: 0.0 };
+    let mut meter = ShareMeter::new(0);
     meter.observe_share(0, 0.5, 100 * S);
     let mut idle = SharedBucket::new(&meter, limit, 1_000.0);
     for step in 1..=100_u32 {
--- a/crates/quota/tests/table.rs
+++ b/crates/quota/tests/table.rs
@@ -1,13 +1,13 @@
 //! Admission decisions of one gateway, and eviction from its table.
 
 use hingestage_quota::{
-    Admission, GatewayId, Incarnation, Micros, Part, PartMeter, RefusalReason, TableSettings, TenantLimits,
-    TenantTable, TenantTotal, Totals,
+    Admission, EvenShare, GatewayId, Incarnation, Micros, RefusalReason, ShareMeter, TableSettings,
+    TenantLimits, TenantTable, TenantTotal, Totals,
 };
 
 const S: Micros = 1_000_000;
-const SOLE: Part = Part { gateways: 1, valid_until: 10_000 * S };
-const HALF: Part = Part { gateways: 2, valid_until: 10_000 * S };
+const SOLE: EvenShare = EvenShare { gateways: 1, valid_until: 10_000 * S };
+const HALF: EvenShare = EvenShare { gateways: 2, valid_until: 10_000 * S };
 /// Limits with a window of 2 s.
 const LIMITS: TenantLimits = TenantLimits {
     rate_per_s: 5.0,
@@ -20,13 +20,13 @@
 };
 
 /// A table that holds `part` from time 0 on.
-fn table_with(part: Part, settings: TableSettings) -> TenantTable {
+fn table_with(part: EvenShare, settings: TableSettings) -> TenantTable {
     let mut table = TenantTable::new(0, Incarnation(1), settings);
-    table.observe_part(0, part);
+    table.observe_share(0, part);
     table
 }
 
-fn table(part: Part) -> TenantTable {
+fn table(part: EvenShare) -> TenantTable {
     table_with(part, TableSettings::default())
 }
 
@@ -38,15 +38,15 @@
 }
 
 /// Sends `requests` requests at one time, ends the admitted ones and returns their number.
-fn burst(table: &mut TenantTable, now: Micros, limits: TenantLimits, part: Part, requests: u64) -> u64 {
+fn burst(table: &mut TenantTable, now: Micros, limits: TenantLimits, part: EvenShare, requests: u64) -> u64 {
     let ask = |spread: &u64| table.admit(now, "acme", limits, part, *spread) == Admission::Admitted;
     let admitted = (0..requests).filter(ask).count() as u64;
-    (0..admitted).for_each(|_| table.ended(now, "acme", true));
+    (0..admitted).for_each(|_| table.record_end(now, "acme", true));
     admitted
 }
 
 #[test]
-fn new_tenant_starts_with_its_part_of_the_burst() {
+fn new_tenant_starts_with_its_share_of_the_burst() {
     assert_eq!(burst(&mut table(SOLE), 60 * S, LIMITS, SOLE, 30), 10);
     assert_eq!(burst(&mut table(HALF), 60 * S, LIMITS, HALF, 30), 5);
 }
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn growing_part_raises_the_rate_but_not_the_level() {
+fn growing_share_raises_the_rate_but_not_the_level() {
     let mut table = table(HALF);
     assert_eq!(burst(&mut table, 60 * S, LIMITS, HALF, 3), 3);
     assert_eq!(burst(&mut table, 60 * S, LIMITS, SOLE, 30), 2);
@@ -78,28 +78,28 @@
 
 #[test]
 fn meter_earns_nothing_after_lease_expiry() {
-    let mut meter = PartMeter::new(0);
-    meter.observe(0, Part { gateways: 2, valid_until: 10 * S });
+    let mut meter = ShareMeter::new(0);
+    meter.observe(0, EvenShare { gateways: 2, valid_until: 10 * S });
     meter.advance(30 * S);
     assert_eq!((meter.share(), meter.earned()), (0.0, 5.0));
 }
 
 #[test]
 fn lease_expiry_empties_the_bucket() {
-    let lapsed = Part { gateways: 1, valid_until: 20 * S };
+    let lapsed = EvenShare { gateways: 1, valid_until: 20 * S };
     let mut table = table(lapsed);
     assert_eq!(burst(&mut table, 10 * S, LIMITS, lapsed, 1), 1);
     let refusal = table.admit(20 * S, "acme", LIMITS, lapsed, 1);
     assert!(matches!(refusal, Admission::Refused { retry_after, reason: RefusalReason::NoLease }
         if (250_000..=375_000).contains(&retry_after)));
-    table.observe_part(30 * S, SOLE);
+    table.observe_share(30 * S, SOLE);
     assert_eq!(burst(&mut table, 31 * S, LIMITS, SOLE, 30), 5);
 }
 
 #[test]
 fn unlimited_tenants_need_no_lease() {
     let unlimited = TenantLimits { rate_per_s: 0.0, ..LIMITS };
-    assert_eq!(burst(&mut table(Part::NONE), 60 * S, unlimited, Part::NONE, 300), 300);
+    assert_eq!(burst(&mut table(EvenShare::NONE), 60 * S, unlimited, EvenShare::NONE, 300), 300);
 }
 
 #[test]
@@ -108,7 +108,7 @@
     let mut table = table(SOLE);
     assert_eq!(burst(&mut table, 60 * S, slack, SOLE, 10), 10);
     assert!(!table.is_penalized(60 * S, "acme"));
-    table.observe_part(62 * S, SOLE);
+    table.observe_share(62 * S, SOLE);
     // Ten tokens: the first request starts the penalty; then only tokens above a quarter of the slack are usable.
     assert_eq!(burst(&mut table, 61 * S, slack, SOLE, 9), 7);
     assert!(table.is_penalized(61 * S, "acme"));
@@ -142,14 +142,14 @@
     let now = 60 * S;
     let admit = |table: &mut TenantTable| reason(table.admit(now, "acme", capped, HALF, 0));
     for _ in 0..4 {
-        assert_eq!(admit(&mut table), None, "half of eight by the part");
+        assert_eq!(admit(&mut table), None, "half of eight by the share");
     }
     assert_eq!(admit(&mut table), Some(RefusalReason::OpenCap));
     table.apply_totals(now, &totals(4, 4.0, 4.0));
     assert_eq!(admit(&mut table), None, "all of eight, since no other gateway has requests");
     table.apply_totals(now, &totals(4, 400.0, 4.0));
     assert_eq!(admit(&mut table), Some(RefusalReason::OpenCap));
-    (0..5).for_each(|_| table.ended(now, "acme", true));
+    (0..5).for_each(|_| table.record_end(now, "acme", true));
     assert_eq!(admit(&mut table), None, "at least one");
 }
 
@@ -203,8 +203,8 @@
         assert_eq!(reason(table.admit(now, "acme", exempt, SOLE, 0)), None);
     }
     assert_eq!(reason(table.admit(now, "acme", exempt, SOLE, 0)), Some(RefusalReason::HardBound));
-    (0..3).for_each(|_| table.ended(now, "acme", false));
-    (0..7).for_each(|_| table.ended(now, "acme", true));
+    (0..3).for_each(|_| table.record_end(now, "acme", false));
+    (0..7).for_each(|_| table.record_end(now, "acme", true));
     assert_eq!(burst(&mut table, now, exempt, SOLE, 9), 3);
     assert_eq!(table.collect_adds(now, |_| Some(GatewayId(1)))[0].1.tenants[0].cumulative, 10);
 }
@@ -214,7 +214,7 @@
     let mut table = table(SOLE);
     assert_eq!(reason(table.admit(60 * S, "acme", LIMITS, SOLE, 0)), None);
     assert_eq!(burst(&mut table, 80 * S, LIMITS, SOLE, 9), 9);
-    table.ended(80 * S, "acme", false);
+    table.record_end(80 * S, "acme", false);
     assert_eq!(burst(&mut table, 80 * S, LIMITS, SOLE, 9), 1);
 }
 
@@ -228,13 +228,13 @@
     for (second, name) in [(60, "a"), (70, "b"), (80, "c")] {
         assert_eq!(admit(&mut table, second, name), None);
     }
-    table.ended(85 * S, "c", true);
-    table.ended(85 * S, "b", true);
+    table.record_end(85 * S, "c", true);
+    table.record_end(85 * S, "b", true);
     assert_eq!(admit(&mut table, 90, "d"), None, "c is evicted");
     assert_eq!(admit(&mut table, 100, "e"), None, "b is evicted");
     assert_eq!(table.len(), 3);
     assert_eq!(admit(&mut table, 110, "f"), Some(RefusalReason::OpenCap), "all are busy");
-    table.ended(110 * S, "a", true);
+    table.record_end(110 * S, "a", true);
     assert_eq!(admit(&mut table, 120, "f"), None, "a is evicted");
     assert_eq!(table.len(), 3);
 }
@@ -281,13 +281,13 @@
 fn borrowed_fractions_make_a_whole_token_and_lenders_lend_only_what_they_have() {
     let small = TenantLimits { whole_tokens: false, slack: 0.0, ..LIMITS };
     // Each of 40 gateways holds a quarter of a token.
-    let part = Part { gateways: 40, valid_until: 1_000 * S };
+    let part = EvenShare { gateways: 40, valid_until: 1_000 * S };
     let mut tables: Vec<TenantTable> = (0..5).map(|_| table(part)).collect();
     let (borrower, lenders) = tables.split_first_mut().expect("tables");
     let now = 100 * S;
     let alone = borrower.admit(now, "acme", small, part, 0);
     assert_eq!(reason(alone), Some(RefusalReason::HardBound));
-    assert!((borrower.lacks(now, "acme").expect("lacks a fraction") - 0.75).abs() < 1e-6);
+    assert!((borrower.missing_tokens(now, "acme").expect("lacks a fraction") - 0.75).abs() < 1e-6);
     let lent: f64 = lenders.iter_mut().map(|lender| lender.lend(now, "acme", small, part, 0.2)).sum();
     assert!((lent - 0.8).abs() < 1e-6);
     assert_eq!(borrower.admit_with(now, "acme", small, part, 0, lent), Admission::Admitted);
@@ -296,5 +296,5 @@
     assert_eq!(lenders[0].lend(now, "acme", small, part, 9.0), 0.0);
     let again = borrower.admit(now, "acme", small, part, 0);
     assert_eq!(reason(again), Some(RefusalReason::HardBound), "the lent tokens are used up");
-    assert_eq!(lenders[0].lend(now, "other", small, Part::NONE, 9.0), 0.0, "no lending without a part");
+    assert_eq!(lenders[0].lend(now, "other", small, EvenShare::NONE, 9.0), 0.0, "no lending without a share");
 }
--- a/crates/quota/tests/total_bounds.rs
+++ b/crates/quota/tests/total_bounds.rs
@@ -1,11 +1,11 @@
-//! Total admissions over all gateways under changing parts, restarts, expired leases, refunds and borrowing.
+//! Total admissions over all gateways under changing shares, restarts, expired leases, refunds and borrowing.
 
 mod common;
 
 use common::{Grants, ROUNDING};
 use hingestage_quota::{
-    Admission, BucketLimit, Incarnation, Micros, Part, PartMeter, SharedBucket, TableSettings, TenantLimits,
-    TenantTable,
+    Admission, BucketLimit, EvenShare, Incarnation, Micros, ShareMeter, SharedBucket, TableSettings,
+    TenantLimits, TenantTable,
 };
 use proptest::prelude::*;
 
@@ -17,7 +17,7 @@
 #[derive(Clone, Debug)]
 enum Step {
     Wait(Micros),
-    /// Grants a part to one gateway, if the leases of the others permit it.
+    /// Grants a share to one gateway, if the leases of the others permit it.
     Grant {
         gateway: usize,
         gateways: u32,
@@ -98,9 +98,9 @@
     }
 
     fn grant(&mut self, gateway: usize, gateways: u32, lease: Micros) {
-        let part = Part { gateways, valid_until: self.now + lease };
+        let part = EvenShare { gateways, valid_until: self.now + lease };
         if self.grants.grant(self.now, gateway, part) {
-            self.gateways[gateway].table.observe_part(self.now, part);
+            self.gateways[gateway].table.observe_share(self.now, part);
         }
     }
 
@@ -136,7 +136,7 @@
             return;
         }
         let admitted_at = ended.open.remove(0);
-        ended.table.ended(self.now, "acme", ran);
+        ended.table.record_end(self.now, "acme", ran);
         if ran {
             self.ran.push(admitted_at);
         }
@@ -146,7 +146,7 @@
         let (part, table) = (self.grants.0[gateway], &mut self.gateways[gateway].table);
         for name in ["one", "two", "three"] {
             if table.admit(self.now, name, self.limits, part, 0) == Admission::Admitted {
-                table.ended(self.now, name, true);
+                table.record_end(self.now, name, true);
             }
         }
     }
@@ -190,18 +190,18 @@
         prop_assert!(max_excess(limits, &steps) <= burst + slack + in_transit + ROUNDING);
     }
 
-    /// A rarely refreshed bucket never exceeds one that is refreshed at every change of the part.
+    /// A rarely refreshed bucket never exceeds one that is refreshed at every change of the share.
     #[test]
     fn rarely_refreshed_bucket_does_not_exceed_a_continuously_refreshed_one(
         changes in prop::collection::vec((1_u32..12, S / 10..3 * S, S / 10..3 * S), 1..150),
     ) {
-        let limit = BucketLimit { rate: 8.0, depth: 30.0, least_cap: 1.0 };
-        let (mut now, mut meter) = (0, PartMeter::new(0));
-        meter.observe(0, Part { gateways: 1, valid_until: 10 * S });
+        let limit = BucketLimit { rate: 8.0, depth: 30.0, min_capacity: 1.0 };
+        let (mut now, mut meter) = (0, ShareMeter::new(0));
+        meter.observe(0, EvenShare { gateways: 1, valid_until: 10 * S });
         let mut continuous = SharedBucket::new(&meter, limit, 30.0);
         let mut rarely_refreshed = continuous.clone();
         for (gateways, lease, span) in changes {
-            meter.observe(now, Part { gateways, valid_until: now + lease });
+            meter.observe(now, EvenShare { gateways, valid_until: now + lease });
             continuous.refresh(&meter, limit);
             meter.advance(now + span.min(lease));
             continuous.refresh(&meter, limit);
@@ -216,7 +216,7 @@
     }
 
     #[test]
-    fn parts_below_one_token_add_at_most_one_token_per_gateway(
+    fn shares_below_one_token_add_at_most_one_token_per_gateway(
         steps in prop::collection::vec(step(), 1..120),
         (rate, burst) in (0.05_f64..2.0, 0.0_f64..5.0),
     ) {
@@ -226,7 +226,7 @@
 }
 
 #[test]
-fn even_parts_admit_the_whole_limit() {
+fn even_shares_admit_the_whole_limit() {
     let limits = TenantLimits {
         rate_per_s: 10.0,
         burst: 20.0,
@@ -250,7 +250,7 @@
 }
 
 #[test]
-fn part_below_one_token_sustains_its_rate() {
+fn share_below_one_token_sustains_its_rate() {
     let limits = TenantLimits {
         rate_per_s: 0.5,
         burst: 1.0,
