--- a/crates/control-sim/src/judge.rs
+++ b/crates/control-sim/src/judge.rs
@@ -149,7 +149,7 @@
 
     /// No proxy believes keys by a configuration that is too old, in touch or not.
     fn check_keys(&self, now: Micros, proxy: &ProxyNode) -> Result<(), String> {
-        if proxy.process.is_frozen(now) || !proxy.view.keys_hold(proxy.clock(now)) {
+        if proxy.process.is_frozen(now) || !proxy.view.keys_valid(proxy.clock(now)) {
             return Ok(());
         }
         let binding = self.acknowledged.iter().filter(|(at, _)| *at + REVOKE <= now);
@@ -276,7 +276,7 @@
                 proxy.view.config_version()
             ));
         }
-        if !proxy.view.keys_hold(proxy.clock(now)) {
+        if !proxy.view.keys_valid(proxy.clock(now)) {
             return Err(format!("{name} believes no key, with nothing in the way"));
         }
         let workers = proxy.view.followed().catalog().workers();
--- a/crates/proxy/src/admission.rs
+++ b/crates/proxy/src/admission.rs
@@ -1,6 +1,6 @@
-//! Whether a request may pass: its tenant's quota, and the step of its trial where it has one.
+//! Admission of requests by their tenant's quota and, for trial tenants, by the current step of the trial.
 
-use crate::requests::{Refusal, Routed, RETRY_ELSEWHERE};
+use crate::requests::{Refusal, RoutedRequest, RETRY_OTHER_PROXY};
 use crate::server::Proxy;
 use compact_str::CompactString;
 use hingestage_configuration::Tenant;
@@ -14,34 +14,35 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// Part of a quota's slack that is planned with; the rest is for error, and for tokens on their way between proxies.
-const SLACK_USED: f64 = 0.85;
-/// How many times what a tenant within its quota can have open it may have, over all proxies, and the least cap. Each
-/// proxy holds a part of it by its share of recent counts, which lags: the cap is for requests that pile up.
+/// Fraction of a quota's slack that admission uses; the rest covers errors and tokens in transit between proxies.
+const USED_SLACK: f64 = 0.85;
+/// Cap of a tenant's open requests over all proxies, as a multiple of what its quota allows. Proxies split the cap by
+/// recent counts, which lag, so the factor leaves room for error.
 const OPEN_CAP_FACTOR: f64 = 4.0;
-const OPEN_CAP_LEAST: f64 = 256.0;
-/// Part of a slowed tenant's burst that requests which are not refused last leave to those that are.
-const RESERVE_OF_ORDINARY: f64 = 0.25;
-/// The same of requests that may wait.
-const RESERVE_OF_DEFERRED: f64 = 0.5;
-/// Part of a deferred request's time in which it may wait; in the second half of that it leaves no reserve any more, so
-/// that it is not passed over for ever.
-const DEFERRED_SHARE: f64 = 0.6;
-/// Deferred requests that wait at a time.
-const DEFERRED_MAX: usize = 128;
-/// The shortest pause between two tries of a deferred request.
-const DEFERRED_PAUSE: Duration = Duration::from_millis(20);
-/// Advice to clients of a tenant whose trial has ended with nothing left, before it is spread.
-const RETRY_ENDED: Duration = Duration::from_secs(30);
+/// Minimum cap of a tenant's open requests over all proxies.
+const MIN_OPEN_CAP: f64 = 256.0;
+/// Fraction of a slowed tenant's burst that ordinary requests leave to those that are refused last.
+const ORDINARY_RESERVE: f64 = 0.25;
+/// Fraction of a slowed tenant's burst that deferred requests leave to all others.
+const DEFERRED_RESERVE: f64 = 0.5;
+/// Fraction of a deferred request's time that it may wait for admission. In the second half of the wait it leaves no
+/// reserve, so that it is not starved.
+const MAX_WAIT_FRACTION: f64 = 0.6;
+/// Maximum number of deferred requests that wait at the same time.
+const MAX_WAITING: usize = 128;
+/// Minimum pause between two admission attempts of a deferred request.
+const MIN_RETRY_PAUSE: Duration = Duration::from_millis(20);
+/// Base of the `retry-after` sent once a trial has ended and leaves no share of the quota; jitter is added.
+const TRIAL_ENDED_RETRY_AFTER: Duration = Duration::from_secs(30);
 
-/// Microseconds in a millisecond.
+/// Microseconds per millisecond.
 const MILLI: Micros = 1_000;
 
-/// A request that its tenant's quota let pass.
+/// An admitted request. Dropping it returns its slot among the tenant's open requests.
 pub(crate) struct Admitted {
     proxy: Rc<Proxy>,
     tenant: CompactString,
-    /// Whether it may have run.
+    /// Whether a worker may have run it.
     pub ran: bool,
 }
 
@@ -53,134 +54,152 @@
     }
 }
 
-/// Deferred requests that wait.
+/// Number of deferred requests that wait for admission.
 #[derive(Default)]
-pub(crate) struct Deferred(Cell<usize>);
+pub(crate) struct DeferredRequests(Cell<usize>);
 
-/// A deferred request's place, until it is dropped.
-struct Waiting<'a>(&'a Deferred);
+/// The slot of a waiting request, released on drop.
+struct WaitingSlot<'a>(&'a DeferredRequests);
 
-impl Deferred {
-    fn begin(&self) -> Option<Waiting<'_>> {
-        (self.0.get() < DEFERRED_MAX).then(|| {
+impl DeferredRequests {
+    /// Takes a slot, or returns `None` if all are taken.
+    fn acquire(&self) -> Option<WaitingSlot<'_>> {
+        (self.0.get() < MAX_WAITING).then(|| {
             self.0.set(self.0.get() + 1);
-            Waiting(self)
+            WaitingSlot(self)
         })
     }
 }
 
-impl Drop for Waiting<'_> {
+impl Drop for WaitingSlot<'_> {
     fn drop(&mut self) {
-        let Waiting(Deferred(waiting)) = self;
+        let WaitingSlot(DeferredRequests(waiting)) = self;
         waiting.set(waiting.get() - 1);
     }
 }
 
-/// A tenant's limits as they hold for one request.
-struct Limits {
+/// A tenant's limits for one request.
+struct RequestLimits {
     limits: TenantLimits,
-    /// Its class, where the tenant has a trial.
+    /// The request's class if the tenant has a trial.
     class: Option<RequestClass>,
+    /// Whether the trial reduces the quota.
     slowed: bool,
 }
 
-/// What became of a request when it was judged once.
-struct Judged {
-    /// Its class, where the tenant has a trial. One whose step can't be told counts as ordinary.
+/// Result of one admission attempt.
+struct Decision {
+    /// The request's class if the tenant has a trial; ordinary while the trial's step is unknown.
     class: Option<RequestClass>,
-    /// The final answer, where it may not pass.
+    /// The response to the client if the request is not admitted.
     refusal: Option<Refusal>,
 }
 
 impl Proxy {
-    /// Takes a request into its tenant's quota, until what is given is dropped. One that is deferred waits for its turn
-    /// in a part of the time until `until`.
+    /// Admits a request under its tenant's quota. A deferred request that is over the quota is retried for a fraction
+    /// of the time until `until`.
     ///
     /// # Errors
-    /// The final answer.
-    pub(crate) async fn admit(self: &Rc<Self>, routed: &Routed, until: Instant) -> Result<Admitted, Refusal> {
+    /// The response to the client if the request is refused.
+    pub(crate) async fn admit(
+        self: &Rc<Self>,
+        routed: &RoutedRequest,
+        until: Instant,
+    ) -> Result<Admitted, Refusal> {
         let admitted = || Admitted { proxy: self.clone(), tenant: routed.tenant_name(), ran: false };
         let Some(tenant) = routed.tenant() else { return Ok(admitted()) };
         let began = Instant::now();
-        let time = until.saturating_duration_since(began).mul_f64(DEFERRED_SHARE);
+        let time = until.saturating_duration_since(began).mul_f64(MAX_WAIT_FRACTION);
         let mut waiting = None;
         loop {
             let leaves_reserve = began.elapsed() < time / 2;
-            let Judged { class, refusal } = self.judge(tenant, routed, leaves_reserve).await;
+            let Decision { class, refusal } = self.try_admit(tenant, routed, leaves_reserve).await;
             let Some(refusal) = refusal else {
-                self.note_trial(tenant, class, None);
+                self.count_trial_request(tenant, class, None);
                 return Ok(admitted());
             };
             let may_wait =
                 class == Some(RequestClass::Deferred) && refusal.status == StatusCode::TOO_MANY_REQUESTS;
-            let pause = refusal.retry_after.unwrap_or(DEFERRED_PAUSE).max(DEFERRED_PAUSE);
+            let pause = refusal.retry_after.unwrap_or(MIN_RETRY_PAUSE).max(MIN_RETRY_PAUSE);
             if may_wait && waiting.is_none() {
-                waiting = self.deferred.begin();
+                waiting = self.deferred.acquire();
             }
-            // One that has no chance left is answered at once.
+            // Refuses at once if there is no time for another attempt.
             if !may_wait || waiting.is_none() || began.elapsed() + pause >= time {
-                self.note_trial(tenant, class, Some(refusal.outcome));
+                self.count_trial_request(tenant, class, Some(refusal.outcome));
                 return Err(refusal);
             }
             tokio::time::sleep(pause).await;
         }
     }
 
-    fn note_trial(&self, tenant: &Tenant, class: Option<RequestClass>, refused: Option<RequestOutcome>) {
+    fn count_trial_request(
+        &self,
+        tenant: &Tenant,
+        class: Option<RequestClass>,
+        refused: Option<RequestOutcome>,
+    ) {
         if let Some(class) = class {
-            self.trial_counts.note(&tenant.name, class, refused);
+            self.trial_counts.record(&tenant.name, class, refused);
         }
     }
 
-    /// Judges a request once, with tokens of other proxies where this one's part is used up.
-    async fn judge(self: &Rc<Self>, tenant: &Tenant, routed: &Routed, leaves_reserve: bool) -> Judged {
+    /// Makes one admission attempt. Borrows tokens of other proxies if this proxy's share of the quota is used up.
+    async fn try_admit(
+        self: &Rc<Self>,
+        tenant: &Tenant,
+        routed: &RoutedRequest,
+        leaves_reserve: bool,
+    ) -> Decision {
         let part = self.view.borrow().part();
-        let Limits { limits, class, slowed } = match self.limits_for(tenant, routed, part, leaves_reserve) {
-            Ok(limits) => limits,
-            Err(judged) => return judged,
-        };
-        let mut admission = self.ask_table(tenant, limits, part, 0.0);
+        let RequestLimits { limits, class, slowed } =
+            match self.limits_for(tenant, routed, part, leaves_reserve) {
+                Ok(limits) => limits,
+                Err(decision) => return decision,
+            };
+        let mut admission = self.take_token(tenant, limits, part, 0.0);
         if matches!(admission, Admission::Refused { reason: RefusalReason::HardBound, .. }) {
             let lent = self.borrow_tokens(&tenant.name).await;
             if lent > 0.0 {
-                admission = self.ask_table(tenant, limits, part, lent);
+                admission = self.take_token(tenant, limits, part, lent);
             }
         }
         let Admission::Refused { retry_after, reason } = admission else {
-            return Judged { class, refusal: None };
+            return Decision { class, refusal: None };
         };
         let message = if slowed { "the tenant's trial is running out" } else { "beyond the tenant's quota" };
         let outcome = if slowed { RequestOutcome::TrialSlowed } else { quota_outcome(reason) };
         let refusal = Refusal::new(StatusCode::TOO_MANY_REQUESTS, message, outcome);
-        Judged { class, refusal: Some(refusal.after(Duration::from_micros(retry_after))) }
+        Decision { class, refusal: Some(refusal.retry_after(Duration::from_micros(retry_after))) }
     }
 
-    fn ask_table(&self, tenant: &Tenant, limits: TenantLimits, part: Part, lent: f64) -> Admission {
+    /// Takes a token from the tenant's bucket, plus `lent` tokens of other proxies.
+    fn take_token(&self, tenant: &Tenant, limits: TenantLimits, part: Part, lent: f64) -> Admission {
         let spread = fastrand::u64(..);
         self.tenants.borrow_mut().admit_with(self.now(), &tenant.name, limits, part, spread, lent)
     }
 
-    /// The limits for one request.
+    /// Returns the limits for one request, or the refusal if its trial leaves none.
     fn limits_for(
         &self,
         tenant: &Tenant,
-        routed: &Routed,
+        routed: &RoutedRequest,
         part: Part,
         leaves_reserve: bool,
-    ) -> Result<Limits, Judged> {
+    ) -> Result<RequestLimits, Decision> {
         let quota = self.quota_of(tenant, part);
         let open_cap = open_cap(tenant, routed.route.timeout);
         match self.view.borrow_mut().judge_trial(self.now(), &tenant.name) {
             Judgement::NoTrial => {
                 let limits = TenantLimits { open_cap, ..quota };
-                Ok(Limits { limits, class: None, slowed: false })
+                Ok(RequestLimits { limits, class: None, slowed: false })
             }
             Judgement::Unknown(wait) => {
                 let message = "the tenant's trial can't be judged for now";
                 let unknown =
                     Refusal::new(StatusCode::SERVICE_UNAVAILABLE, message, RequestOutcome::TrialUnknown);
-                let refusal = unknown.after(RETRY_ELSEWHERE.max(Duration::from_micros(wait)));
-                Err(Judged { class: Some(RequestClass::Ordinary), refusal: Some(refusal) })
+                let refusal = unknown.retry_after(RETRY_OTHER_PROXY.max(Duration::from_micros(wait)));
+                Err(Decision { class: Some(RequestClass::Ordinary), refusal: Some(refusal) })
             }
             Judgement::Trial(standing) => {
                 let class = standing.terms.class_of(&routed.route.name, routed.route.kind.as_str());
@@ -188,15 +207,15 @@
                 match under_trial(&standing, quota, class, leaves_reserve) {
                     Some(limits) => {
                         let limits = TenantLimits { open_cap, ..limits };
-                        Ok(Limits { limits, class: Some(class), slowed })
+                        Ok(RequestLimits { limits, class: Some(class), slowed })
                     }
-                    None => Err(Judged { class: Some(class), refusal: Some(trial_ended()) }),
+                    None => Err(Decision { class: Some(class), refusal: Some(trial_ended()) }),
                 }
             }
         }
     }
 
-    /// How this proxy judges a tenant's trial, as operators are told.
+    /// State of a tenant's trial at this proxy, for operators.
     pub(crate) fn trial_view(&self, tenant: &str) -> Option<TrialView> {
         let now = self.now();
         let mut view = self.view.borrow_mut();
@@ -209,8 +228,8 @@
         Some(TrialView { in_effect, newest: Some(newest), lease_left, counts: self.trial_counts.of(tenant) })
     }
 
-    /// What may be lent of a tenant's quota now; none where that can't be judged.
-    pub(crate) fn lendable(&self, tenant: &Tenant, part: Part) -> Option<TenantLimits> {
+    /// Limits within which a tenant's tokens may be lent to other proxies; `None` if nothing may be lent.
+    pub(crate) fn lending_limits(&self, tenant: &Tenant, part: Part) -> Option<TenantLimits> {
         let quota = self.quota_of(tenant, part);
         match self.view.borrow_mut().judge_trial(self.now(), &tenant.name) {
             Judgement::NoTrial => Some(quota),
@@ -219,12 +238,12 @@
         }
     }
 
-    /// A tenant's quota, as all proxies share it.
+    /// A tenant's quota over all proxies, from the configuration.
     fn quota_of(&self, tenant: &Tenant, part: Part) -> TenantLimits {
         let bounds = &self.settings.bounds;
         let window = bounds.quota_window.as_secs_f64();
         let excess = bounds.quota_excess * (tenant.rate_per_s * window + tenant.burst) + bounds.quota_slack;
-        let slack = excess * SLACK_USED;
+        let slack = excess * USED_SLACK;
         TenantLimits {
             rate_per_s: tenant.rate_per_s,
             burst: tenant.burst,
@@ -237,8 +256,8 @@
     }
 }
 
-/// What a step leaves of a quota to requests of a class; none where it leaves nothing. All classes draw on one bucket,
-/// of the share of those that are refused last, and the others leave a reserve in it.
+/// Reduces a quota to what a trial's step leaves for a class of requests; `None` if it leaves nothing. All classes use
+/// one bucket, sized for the class that is refused last; the other classes leave a reserve in it.
 fn under_trial(
     standing: &Standing,
     quota: TenantLimits,
@@ -257,31 +276,31 @@
     let reserve = match class {
         RequestClass::RefusedLast => 0.0,
         RequestClass::Ordinary if standing.terms.refused_last.is_empty() => beyond,
-        RequestClass::Ordinary => beyond.max(RESERVE_OF_ORDINARY),
-        RequestClass::Deferred if leaves_reserve => beyond.max(RESERVE_OF_DEFERRED),
+        RequestClass::Ordinary => beyond.max(ORDINARY_RESERVE),
+        RequestClass::Deferred if leaves_reserve => beyond.max(DEFERRED_RESERVE),
         RequestClass::Deferred => beyond,
     };
-    let whole = level.share_of_last;
+    let bucket_share = level.share_of_last;
     Some(TenantLimits {
-        rate_per_s: quota.rate_per_s * whole,
-        burst: quota.burst * whole,
-        slack: quota.slack * whole,
+        rate_per_s: quota.rate_per_s * bucket_share,
+        burst: quota.burst * bucket_share,
+        slack: quota.slack * bucket_share,
         reserve,
         ..quota
     })
 }
 
-/// The answer to a tenant whose trial has ended with nothing left.
+/// Refusal for a tenant whose trial has ended and leaves no share of the quota.
 fn trial_ended() -> Refusal {
     let refusal = Refusal::new(
         StatusCode::TOO_MANY_REQUESTS,
         "the tenant's trial has ended",
         RequestOutcome::TrialEnded,
     );
-    refusal.after(RETRY_ENDED.mul_f64(1.0 + fastrand::f64() / 2.0))
+    refusal.retry_after(TRIAL_ENDED_RETRY_AFTER.mul_f64(1.0 + fastrand::f64() / 2.0))
 }
 
-/// A quota's refusal as operators are told of it.
+/// Maps a quota's refusal reason to the outcome that operators see.
 fn quota_outcome(reason: RefusalReason) -> RequestOutcome {
     match reason {
         RefusalReason::PenaltyBox => RequestOutcome::QuotaPenaltyBox,
@@ -291,10 +310,9 @@
     }
 }
 
-/// Requests that a tenant may have open over all proxies: by its quota and the longest that a request lasts. None where
-/// the tenant has no quota.
+/// Cap of a tenant's open requests over all proxies, from its quota and the route's timeout; `None` without a quota.
 fn open_cap(tenant: &Tenant, timeout: Duration) -> Option<u32> {
     let within_quota = tenant.rate_per_s * timeout.as_secs_f64() + tenant.burst;
-    let cap = (OPEN_CAP_FACTOR * within_quota).max(OPEN_CAP_LEAST);
+    let cap = (OPEN_CAP_FACTOR * within_quota).max(MIN_OPEN_CAP);
     (tenant.rate_per_s > 0.0).then_some(cap as u32)
 }
--- a/crates/proxy/src/attempts.rs
+++ b/crates/proxy/src/attempts.rs
@@ -1,4 +1,4 @@
-//! Which workers each open request was sent to.
+//! Records of the attempts that each open request made at workers.
 
 use crate::dialect::WorkerDialect;
 use crate::request_log::RequestLog;
@@ -10,15 +10,15 @@
 use std::collections::HashMap;
 use std::rc::Rc;
 
-/// Attempts that are remembered of one request.
-const ATTEMPTS_MAX: usize = 16;
+/// Maximum number of attempts recorded per request.
+const MAX_RECORDED_ATTEMPTS: usize = 16;
 
-/// Attempts of open requests, by the requests' ids.
+/// Attempts of open requests, by request id.
 #[derive(Default)]
 pub struct OpenAttempts(HashMap<HeaderValue, Vec<AttemptRecord>>);
 
 impl OpenAttempts {
-    /// Begins to note a request's attempts; false where one with its id is open already.
+    /// Starts recording a request's attempts; returns false if a request with this id is already open.
     pub fn begin(&mut self, id: &HeaderValue) -> bool {
         if self.0.contains_key(id) {
             return false;
@@ -27,19 +27,19 @@
         true
     }
 
-    /// Notes an attempt, where its request is open.
-    pub fn note(&mut self, id: &HeaderValue, attempt: AttemptRecord) {
-        if let Some(attempts) = self.0.get_mut(id).filter(|attempts| attempts.len() < ATTEMPTS_MAX) {
+    /// Records an attempt if its request is still open.
+    pub fn record(&mut self, id: &HeaderValue, attempt: AttemptRecord) {
+        if let Some(attempts) = self.0.get_mut(id).filter(|attempts| attempts.len() < MAX_RECORDED_ATTEMPTS) {
             attempts.push(attempt);
         }
     }
 
-    /// Gives a request's attempts, and forgets them.
+    /// Stops recording a request and returns its attempts.
     pub fn end(&mut self, id: &HeaderValue) -> Vec<AttemptRecord> {
         self.0.remove(id).unwrap_or_default()
     }
 
-    /// Open requests.
+    /// Number of open requests.
     pub fn len(&self) -> usize {
         self.0.len()
     }
@@ -50,14 +50,14 @@
     }
 }
 
-/// Notes how attempts of one service end.
+/// Records how a service's attempts end in the request log.
 pub(crate) struct AttemptObserver {
     log: Rc<RequestLog>,
     dialect: Rc<WorkerDialect>,
 }
 
 impl AttemptObserver {
-    /// Notes attempts in a log, under the names that workers have in a dialect.
+    /// Creates an observer that names workers by the ids held in `dialect`.
     pub fn new(log: Rc<RequestLog>, dialect: Rc<WorkerDialect>) -> Self {
         AttemptObserver { log, dialect }
     }
@@ -75,7 +75,7 @@
     }
 }
 
-/// An outcome as operators are told of it.
+/// Maps a policy outcome to the one that operators see.
 pub fn attempt_outcome(outcome: Outcome) -> AttemptOutcome {
     match outcome {
         Outcome::Ok => AttemptOutcome::Served,
--- a/crates/proxy/src/classes.rs
+++ b/crates/proxy/src/classes.rs
@@ -1,33 +1,33 @@
-//! The classes of requests to one service, as the decisions know them: routes that ask for the same share one.
+//! Request classes of a service: routes with equal terms share one class in the policy.
 
 use hingestage_configuration::{Kind, Route};
 use hingestage_policy::{Class, ClassId, Effect};
 
-/// Classes of one service. The decisions keep figures for each, so there are only so many; where routes ask for
-/// more kinds of service, the one not used for longest is replaced.
-pub const CLASSES: usize = 16;
-/// Microseconds in a second.
-const SECOND: f64 = 1e6;
+/// Number of classes per service. The policy keeps statistics for each class, so their number is fixed; further terms
+/// replace the least recently used class.
+pub const CLASS_COUNT: usize = 16;
+/// Microseconds per second.
+const MICROS_PER_SECOND: f64 = 1e6;
 
-/// What a route asks of the decisions.
+/// A route's terms of service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Terms {
-    /// Time within which an answer earns its full worth, microseconds.
+    /// Target response time, microseconds.
     pub aim: u64,
-    /// The longest that a request is held, microseconds.
+    /// Request timeout, microseconds.
     pub deadline: u64,
-    /// What may be repeated.
+    /// Whether a request is idempotent.
     pub effect: Effect,
-    /// Workers that one request may be sent to.
+    /// Maximum number of attempts per request.
     pub attempts: usize,
 }
 
 impl Terms {
-    /// What a route asks.
+    /// Reads the terms of a route.
     pub fn of(route: &Route) -> Terms {
         Terms {
-            aim: (route.target_time.as_secs_f64() * SECOND) as u64,
-            deadline: (route.timeout.as_secs_f64() * SECOND) as u64,
+            aim: (route.target_time.as_secs_f64() * MICROS_PER_SECOND) as u64,
+            deadline: (route.timeout.as_secs_f64() * MICROS_PER_SECOND) as u64,
             effect: if route.kind == Kind::Idempotent { Effect::Idempotent } else { Effect::AtMostOnce },
             attempts: route.tries.max(1) as usize,
         }
@@ -47,40 +47,42 @@
 #[derive(Clone, Copy)]
 struct Slot {
     terms: Terms,
-    used: u64,
+    /// Value of the use counter at the last use.
+    last_use: u64,
 }
 
-/// The classes of one service.
+/// The classes of one service, replaced in order of last use.
 #[derive(Default)]
 pub struct Classes {
     slots: Vec<Slot>,
+    /// Number of lookups so far.
     uses: u64,
 }
 
 impl Classes {
-    /// The class for some terms, and whether the classes are others now.
-    pub fn find(&mut self, terms: Terms) -> (ClassId, bool) {
+    /// Returns the class for some terms, and whether the set of classes has changed.
+    pub fn find_or_insert(&mut self, terms: Terms) -> (ClassId, bool) {
         self.uses += 1;
-        if let Some(place) = self.slots.iter().position(|slot| slot.terms == terms) {
-            self.slots[place].used = self.uses;
-            return (ClassId(place), false);
+        if let Some(index) = self.slots.iter().position(|slot| slot.terms == terms) {
+            self.slots[index].last_use = self.uses;
+            return (ClassId(index), false);
         }
-        let slot = Slot { terms, used: self.uses };
-        if self.slots.len() < CLASSES {
+        let slot = Slot { terms, last_use: self.uses };
+        if self.slots.len() < CLASS_COUNT {
             self.slots.push(slot);
             return (ClassId(self.slots.len() - 1), true);
         }
-        let oldest = self.slots.iter().enumerate().min_by_key(|(_, slot)| slot.used);
-        let place = oldest.map_or(0, |(place, _)| place);
-        self.slots[place] = slot;
-        (ClassId(place), true)
+        let oldest = self.slots.iter().enumerate().min_by_key(|(_, slot)| slot.last_use);
+        let index = oldest.map_or(0, |(index, _)| index);
+        self.slots[index] = slot;
+        (ClassId(index), true)
     }
 
-    /// All classes as the decisions take them: always as many.
+    /// All classes as the policy takes them, padded to [`CLASS_COUNT`].
     pub fn all(&self) -> Vec<Class> {
         let unused = Class { aim: 250_000, deadline: 2_000_000, ..Class::default() };
         let mut classes: Vec<Class> = self.slots.iter().map(|slot| slot.terms.class()).collect();
-        classes.resize(CLASSES, unused);
+        classes.resize(CLASS_COUNT, unused);
         classes
     }
 }
--- a/crates/proxy/src/counters.rs
+++ b/crates/proxy/src/counters.rs
@@ -1,15 +1,15 @@
-//! Counts of requests by how they ended, in sum and by tenant.
+//! Counters of requests by outcome, in total and per tenant.
 
 use compact_str::CompactString;
 use hingestage_rpc::status::{OutcomeCount, OutcomeKind, RequestOutcome, TenantCounters};
 use std::collections::HashMap;
 
-/// Tenants that are counted apart at the most.
-pub const TENANTS_MAX: usize = 1_000;
-/// Tenants in each of the two generations.
-const GENERATION: usize = TENANTS_MAX / 2;
+/// Maximum number of tenants with counters of their own.
+pub const MAX_TENANTS: usize = 1_000;
+/// Maximum number of tenants in each generation of the table.
+const GENERATION_SIZE: usize = MAX_TENANTS / 2;
 
-/// Counts since the start of the process.
+/// Counters since the start of the process.
 #[derive(Default)]
 pub struct Counters {
     outcomes: [u64; RequestOutcome::ALL.len()],
@@ -18,7 +18,7 @@
 }
 
 impl Counters {
-    /// A request ended. `tenant` is empty where it has none.
+    /// Counts a finished request; `tenant` is empty if the request has none.
     pub fn request_ended(&mut self, tenant: &CompactString, outcome: RequestOutcome) {
         self.outcomes[outcome as usize] += 1;
         if tenant.is_empty() {
@@ -35,41 +35,41 @@
         }
     }
 
-    /// An attempt at a worker ended.
+    /// Counts a finished attempt at a worker.
     pub fn attempt_ended(&mut self) {
         self.attempts += 1;
     }
 
-    /// Attempts that have ended.
+    /// Number of finished attempts.
     pub fn attempts(&self) -> u64 {
         self.attempts
     }
 
-    /// Requests that ended in one way.
+    /// Number of requests with an outcome.
     pub fn requests(&self, outcome: RequestOutcome) -> u64 {
         self.outcomes[outcome as usize]
     }
 
-    /// Requests by how they ended, without ways that have not occurred.
-    pub fn occurred(&self) -> Vec<OutcomeCount> {
+    /// Counts of all outcomes that have occurred.
+    pub fn nonzero(&self) -> Vec<OutcomeCount> {
         let counts =
             RequestOutcome::ALL.map(|outcome| OutcomeCount { outcome, count: self.requests(outcome) });
         counts.into_iter().filter(|entry| entry.count > 0).collect()
     }
 
-    /// The counters of a tenant, unless they were forgotten.
+    /// Counters of a tenant; `None` if it is unknown or was evicted.
     pub fn tenant(&self, name: &str) -> Option<&TenantCounters> {
         self.tenants.get(name)
     }
 
-    /// Tenants that are counted apart.
-    pub fn tenants(&self) -> usize {
+    /// Number of tenants with counters of their own.
+    pub fn tenant_count(&self) -> usize {
         self.tenants.len()
     }
 }
 
-/// Counters of the tenants used last, in two generations: once the young one is full it becomes the old one, and
-/// tenants that were not used since the last change are forgotten.
+/// Counters of recently used tenants in two generations. A full young generation replaces the old one, which evicts
+/// tenants that were not used since the last replacement.
 #[derive(Default)]
 struct TenantTable {
     young: HashMap<CompactString, TenantCounters>,
@@ -77,10 +77,11 @@
 }
 
 impl TenantTable {
+    /// Returns a tenant's counters from the young generation, moved or created there if needed.
     fn entry(&mut self, name: &CompactString) -> &mut TenantCounters {
         if !self.young.contains_key(name) {
             let counters = self.old.remove(name).unwrap_or_default();
-            if self.young.len() >= GENERATION {
+            if self.young.len() >= GENERATION_SIZE {
                 self.old = std::mem::take(&mut self.young);
             }
             self.young.insert(name.clone(), counters);
--- a/crates/proxy/src/dialect.rs
+++ b/crates/proxy/src/dialect.rs
@@ -1,4 +1,4 @@
-//! The headers between proxy and workers.
+//! HTTP headers exchanged with workers, and how worker responses are classified.
 
 use compact_str::CompactString;
 use hingestage_dataplane::dialect::{Dialect, Judgement, Parts};
@@ -11,24 +11,24 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// Identifies a try of a client.
+/// Identifies one attempt of a client.
 pub const ATTEMPT_ID: HeaderName = HeaderName::from_static("x-hingestage-attempt-id");
-/// Milliseconds that are left.
+/// Remaining time, milliseconds.
 pub const DEADLINE: HeaderName = HeaderName::from_static("x-hingestage-deadline-ms");
-/// Name of the tenant, set by the system alone.
+/// Name of the tenant; set by the proxy, never accepted from clients.
 pub const TENANT: HeaderName = HeaderName::from_static("x-hingestage-tenant");
-/// A client's key.
+/// The client's API key.
 pub const API_KEY: HeaderName = HeaderName::from_static("api-key");
-/// Id of the worker that is meant: any other turns the request away.
+/// Id of the addressed worker; any other worker refuses the request.
 pub const TARGET_WORKER: HeaderName = HeaderName::from_static("x-hingestage-target-worker");
-/// Said by a worker that did not run the request.
+/// Set by a worker that did not run the request.
 const NOT_RUN: HeaderName = HeaderName::from_static("x-hingestage-not-run");
-/// A worker's seal on an answer.
+/// Integrity seal that a worker puts on a response.
 const SEAL: HeaderName = HeaderName::from_static("x-hingestage-server-seal");
-/// A worker's load; for proxies only.
+/// The worker's load; not passed on to clients.
 const LOAD: HeaderName = HeaderName::from_static("x-hingestage-worker-load");
 
-/// Headers that concern one connection only.
+/// Hop-by-hop headers.
 const HOP_BY_HOP: [&str; 9] = [
     "connection",
     "keep-alive",
@@ -41,7 +41,7 @@
     "upgrade",
 ];
 
-/// Takes out the headers that concern one connection only, those that `Connection` names among them.
+/// Removes hop-by-hop headers, including those that `Connection` names.
 pub fn drop_hop_by_hop(headers: &mut HeaderMap) {
     let named: Vec<HeaderName> = headers
         .get_all(CONNECTION)
@@ -58,28 +58,28 @@
     }
 }
 
-/// The headers between proxy and workers.
+/// Writes request headers for workers and classifies their responses.
 #[derive(Default)]
 pub struct WorkerDialect {
-    /// The workers' own ids, by number.
+    /// Ids that workers register under, by their number in the policy.
     ids: RefCell<HashMap<WorkerId, HeaderValue>>,
 }
 
 impl WorkerDialect {
-    /// Notes a worker's id.
-    pub fn name(&self, worker: WorkerId, id: &CompactString) {
+    /// Sets a worker's id.
+    pub fn insert(&self, worker: WorkerId, id: &CompactString) {
         if let Ok(value) = HeaderValue::from_str(id) {
             self.ids.borrow_mut().insert(worker, value);
         }
     }
 
-    /// A worker's id.
+    /// Returns a worker's id.
     pub fn id(&self, worker: WorkerId) -> Option<HeaderValue> {
         self.ids.borrow().get(&worker).cloned()
     }
 
-    /// Forgets all workers but some.
-    pub fn keep_only(&self, keep: impl Fn(WorkerId) -> bool) {
+    /// Removes all workers for which `keep` is false.
+    pub fn retain(&self, keep: impl Fn(WorkerId) -> bool) {
         self.ids.borrow_mut().retain(|worker, _| keep(*worker));
     }
 }
@@ -94,13 +94,13 @@
     }
 
     fn judge(&self, parts: &Parts, status: StatusCode, headers: &HeaderMap) -> Judgement {
-        // A surplus answer to an earlier request may come in the place of the one that is due.
-        let ours = headers.get(ATTEMPT_ID).is_none_or(|id| *id == parts.id);
-        let outcome = if !ours {
+        // The connection may still hold a surplus response to an earlier request.
+        let same_id = headers.get(ATTEMPT_ID).is_none_or(|id| *id == parts.id);
+        let outcome = if !same_id {
             Outcome::Spoilt
         } else if status.is_success() {
-            let whole = headers.contains_key(SEAL) && !headers.contains_key(CONTENT_ENCODING);
-            if whole && headers.contains_key(ATTEMPT_ID) {
+            let intact = headers.contains_key(SEAL) && !headers.contains_key(CONTENT_ENCODING);
+            if intact && headers.contains_key(ATTEMPT_ID) {
                 Outcome::Ok
             } else {
                 Outcome::Spoilt
--- a/crates/proxy/src/lending.rs
+++ b/crates/proxy/src/lending.rs
@@ -1,8 +1,7 @@
-//! Tokens of tenants that proxies lend each other: parts are even, and requests are not.
+//! Lending of tenants' rate-limit tokens between proxies, as requests are not spread evenly over them.
 //!
-//! A proxy that lacks a token asks others of its region, four at a time, and uses what comes within a moment of its
-//! question. Whoever lends has given the tokens away by then, so the sum over all proxies holds whether datagrams are
-//! lost, doubled or late.
+//! A proxy that lacks a token asks a few others of its region at a time. A lender deducts tokens before it sends them,
+//! so the global limit holds even if datagrams are lost, duplicated or late.
 
 use crate::peers::PeerMessage;
 use crate::server::Proxy;
@@ -14,35 +13,37 @@
 use std::time::Duration;
 use tokio::sync::Notify;
 
-/// Proxies that are asked at once, and how often others are asked.
-const ASKED_AT_ONCE: usize = 4;
-const ROUNDS: usize = 3;
-/// Part of what is lacking that each of them is asked for.
-const ASKED_OF_EACH: f64 = 0.4;
-/// How long their answers may take.
-const ANSWER_WITHIN: Duration = Duration::from_millis(9);
-/// What comes later than this after the first question is not used, microseconds.
-const USED_WITHIN: Micros = 50_000;
+/// Number of proxies asked in one round.
+const PEERS_PER_ROUND: usize = 4;
+/// Maximum number of rounds.
+const MAX_ROUNDS: usize = 3;
+/// Fraction of the missing tokens requested from each proxy of a round.
+const REQUESTED_FRACTION: f64 = 0.4;
+/// Timeout of a round.
+const ROUND_TIMEOUT: Duration = Duration::from_millis(9);
+/// Lent tokens are discarded if borrowing takes longer than this, microseconds.
+const BORROW_TIMEOUT: Micros = 50_000;
 
-/// Requests that wait for tokens of other proxies.
+/// Pending requests for tokens of other proxies.
 #[derive(Default)]
-pub(crate) struct Loans {
-    borrowing: RefCell<Borrowing<SocketAddr>>,
+pub(crate) struct TokenBorrowing {
+    pending: RefCell<Borrowing<SocketAddr>>,
     answered: Notify,
 }
 
-impl Loans {
-    /// Takes in what another proxy lent.
-    pub fn take(&self, from: SocketAddr, number: u64, lent: f64) {
-        if self.borrowing.borrow_mut().take(&from, number, lent) {
+impl TokenBorrowing {
+    /// Records tokens that another proxy lent.
+    pub fn receive(&self, from: SocketAddr, number: u64, lent: f64) {
+        if self.pending.borrow_mut().take(&from, number, lent) {
             self.answered.notify_waiters();
         }
     }
 
+    /// Waits until a borrow request has enough tokens or no answer is pending.
     async fn wait(&self, number: u64) {
         loop {
             let answered = self.answered.notified();
-            if self.borrowing.borrow().is_over(number) {
+            if self.pending.borrow().is_over(number) {
                 return;
             }
             answered.await;
@@ -50,41 +51,44 @@
     }
 }
 
-/// Ends a wait also where its request is given up.
-struct Ending<'a>(&'a Proxy, u64);
+/// Ends a borrow request on drop, also if its client request is cancelled.
+struct EndOnDrop<'a> {
+    proxy: &'a Proxy,
+    number: u64,
+}
 
-impl Drop for Ending<'_> {
+impl Drop for EndOnDrop<'_> {
     fn drop(&mut self) {
-        self.0.loans.borrowing.borrow_mut().end(self.0.now(), self.1);
+        self.proxy.borrowing.pending.borrow_mut().end(self.proxy.now(), self.number);
     }
 }
 
 impl Proxy {
-    /// Asks other proxies of the region for what a tenant's bucket lacks of a token. Gives what they lent.
+    /// Borrows what a tenant's bucket lacks of a token from other proxies of the region. Returns the borrowed amount.
     pub(crate) async fn borrow_tokens(&self, tenant: &CompactString) -> f64 {
         let now = self.now();
         let lacking = self.tenants.borrow().lacks(now, tenant);
         let Some(number) =
-            lacking.and_then(|lacking| self.loans.borrowing.borrow_mut().begin(now, tenant, lacking))
+            lacking.and_then(|lacking| self.borrowing.pending.borrow_mut().begin(now, tenant, lacking))
         else {
             return 0.0;
         };
-        let _ending = Ending(self, number);
+        let _end_on_drop = EndOnDrop { proxy: self, number };
         let asked_at = self.now();
-        let mut peers = self.neighbors_of_region();
+        let mut peers = self.region_peers();
         fastrand::shuffle(&mut peers);
-        for peers in peers.chunks(ASKED_AT_ONCE).take(ROUNDS) {
-            let most = self.loans.borrowing.borrow_mut().ask(number, peers) * ASKED_OF_EACH;
+        for peers in peers.chunks(PEERS_PER_ROUND).take(MAX_ROUNDS) {
+            let most = self.borrowing.pending.borrow_mut().ask(number, peers) * REQUESTED_FRACTION;
             for peer in peers {
-                self.tell_peer(&PeerMessage::Borrow { number, tenant: tenant.clone(), most }, *peer).await;
+                self.send_to_peer(&PeerMessage::Borrow { number, tenant: tenant.clone(), most }, *peer).await;
             }
-            let _ = tokio::time::timeout(ANSWER_WITHIN, self.loans.wait(number)).await;
-            if self.loans.borrowing.borrow().has_enough(number) {
+            let _ = tokio::time::timeout(ROUND_TIMEOUT, self.borrowing.wait(number)).await;
+            if self.borrowing.pending.borrow().has_enough(number) {
                 break;
             }
         }
-        let lent = self.loans.borrowing.borrow_mut().end(self.now(), number);
-        let late = self.now() > asked_at + USED_WITHIN;
+        let lent = self.borrowing.pending.borrow_mut().end(self.now(), number);
+        let late = self.now() > asked_at + BORROW_TIMEOUT;
         if late {
             0.0
         } else {
@@ -92,23 +96,23 @@
         }
     }
 
-    /// Other proxies that are near enough to be asked while a request waits.
-    fn neighbors_of_region(&self) -> Vec<SocketAddr> {
+    /// Addresses of the other proxies of this region.
+    fn region_peers(&self) -> Vec<SocketAddr> {
         let view = self.view.borrow();
-        let near = view.peers().iter().filter(|peer| {
+        let nearby = view.peers().iter().filter(|peer| {
             peer.region == self.settings.region.as_str() && peer.id.node != self.settings.node.as_str()
         });
-        near.map(|peer| peer.peer).collect()
+        nearby.map(|peer| peer.peer).collect()
     }
 
-    /// Gives tokens of a tenant away, by the quota in force here.
-    pub(crate) fn lend_tokens(&self, tenant: &str, most: f64) -> f64 {
+    /// Deducts up to `max_tokens` from a tenant's bucket for another proxy. Returns the amount lent.
+    pub(crate) fn lend_tokens(&self, tenant: &str, max_tokens: f64) -> f64 {
         let active = self.view.borrow().active().cloned();
         let Some(active) = active else { return 0.0 };
         let tenant = active.configuration.tenants.iter().find(|known| known.name == tenant);
-        let Some(tenant) = tenant.filter(|_| most.is_finite() && most > 0.0) else { return 0.0 };
+        let Some(tenant) = tenant.filter(|_| max_tokens.is_finite() && max_tokens > 0.0) else { return 0.0 };
         let part = self.view.borrow().part();
-        let Some(limits) = self.lendable(tenant, part) else { return 0.0 };
-        self.tenants.borrow_mut().lend(self.now(), &tenant.name, limits, part, most)
+        let Some(limits) = self.lending_limits(tenant, part) else { return 0.0 };
+        self.tenants.borrow_mut().lend(self.now(), &tenant.name, limits, part, max_tokens)
     }
 }
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -1,7 +1,7 @@
-//! The proxy: carries clients' requests to workers, by the configuration in force, within every tenant's quota.
+//! The proxy forwards clients' requests to workers according to the active configuration and each tenant's quota.
 //!
-//! [`view`] is what the proxy knows, [`control`] brings it from the registries, [`services`] holds the decisions
-//! about each service's workers, [`relay`] passes news on within a zone, [`requests`] answers clients.
+//! [`control`] watches the registries and [`relay`] distributes updates within a zone; both update the [`view`].
+//! [`services`] selects workers, [`admission`] enforces quotas, and [`requests`] handles each request.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/crates/proxy/src/main.rs
+++ b/crates/proxy/src/main.rs
@@ -1,4 +1,4 @@
-//! `proxy`: carries clients' requests to workers on an edge machine.
+//! `proxy`: forwards clients' requests to workers from an edge machine.
 #![forbid(unsafe_code)]
 
 use hingestage_node::{run, Program};
--- a/crates/proxy/src/operators.rs
+++ b/crates/proxy/src/operators.rs
@@ -1,5 +1,4 @@
-//! Calls to this proxy: operators ask for its state and what became of recent requests, other proxies of the zone follow
-//! it.
+//! RPC handler of the proxy: status and explanations for operators, and updates for other proxies of the zone.
 
 use crate::server::Proxy;
 use crate::view::{Usability, View};
@@ -12,7 +11,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Microseconds in a millisecond.
+/// Microseconds per millisecond.
 const MILLI: Micros = 1_000;
 
 impl Handler for Proxy {
@@ -23,10 +22,10 @@
         match request {
             ProxyRequest::Status => ProxyAnswer::Status(Box::new(self.state())),
             ProxyRequest::FollowServices { have, wait } => {
-                ProxyAnswer::Services(self.services_for(have, Duration::from_millis(wait)).await)
+                ProxyAnswer::Services(self.service_updates(have, Duration::from_millis(wait)).await)
             }
             ProxyRequest::FollowConfig { version, have, wait } => {
-                ProxyAnswer::Config(self.config_for(version, have, Duration::from_millis(wait)).await)
+                ProxyAnswer::Config(self.config_update(version, have, Duration::from_millis(wait)).await)
             }
             ProxyRequest::Trial { tenant } => ProxyAnswer::Trial(self.trial_view(&tenant)),
             ProxyRequest::Explain { id_or_tenant } => {
@@ -37,6 +36,7 @@
 }
 
 impl Proxy {
+    /// State of this proxy, for operators.
     fn state(&self) -> ProxyState {
         let now = self.now();
         let view = self.view.borrow();
@@ -54,31 +54,33 @@
             settled: view.settled(),
             members: view.members(),
             workers_version: view.workers_version(),
-            workers: group(&view, now),
+            workers: worker_groups(&view, now),
             drained: drained.map(|(zone, _)| zone.clone()).collect(),
             peers: view.peers().iter().map(|peer| peer.id.node.clone()).collect(),
             attempts: counters.attempts(),
-            requests: counters.occurred(),
+            requests: counters.nonzero(),
         }
     }
 }
 
+/// Remaining time for which API keys may be checked without fresh data.
 fn key_lease(view: &View, now: Micros) -> KeyLease {
-    match view.keys_hold_until() {
+    match view.keys_valid_until() {
         None => KeyLease::Unlimited,
         Some(until) if now < until => KeyLease::Left((until - now) / MILLI),
         Some(_) => KeyLease::Expired,
     }
 }
 
-fn group(view: &View, now: Micros) -> Vec<WorkerGroup> {
+/// Counts workers by service, zone and usability.
+fn worker_groups(view: &View, now: Micros) -> Vec<WorkerGroup> {
     let mut groups: BTreeMap<(CompactString, CompactString), WorkerGroup> = BTreeMap::new();
     for (worker, usability) in view.workers(now) {
         let key = (worker.service.clone(), worker.zone.clone());
         let group = groups.entry(key).or_insert_with(|| WorkerGroup::new(&worker.service, &worker.zone));
         match usability {
             Usability::Ready => group.ready += 1,
-            Usability::Leaving => group.leaving += 1,
+            Usability::Draining => group.leaving += 1,
             Usability::Cold => group.cold += 1,
         }
     }
--- a/crates/proxy/src/peers.rs
+++ b/crates/proxy/src/peers.rs
@@ -1,7 +1,7 @@
-//! Counts of tenants between proxies: batched adds go to the owner of each tenant, totals come back. Tokens that are lent
-//! go the same way.
+//! Datagrams between proxies: tenants' request counts go to the owner of each tenant, which answers with totals; lent
+//! tokens use the same socket.
 //!
-//! Datagrams: a lost or doubled one changes nothing, as counts are cumulative and told again until confirmed.
+//! Counts are cumulative and sent again until confirmed, so lost and duplicate datagrams do no harm.
 
 use crate::server::Proxy;
 use compact_str::CompactString;
@@ -19,75 +19,76 @@
 use tokio::net::UdpSocket;
 use tokio::task::spawn_local;
 
-/// Period at which counts are pushed. Totals steer the ordinary path only; the hard bound rests on parts.
-pub const PUSH_PERIOD: Duration = Duration::from_millis(1_000);
-/// Tenants in one datagram, so that it fits into one packet.
-const TENANTS_EACH: usize = 20;
-/// The longest datagram, bytes.
-const DATAGRAM_MAX: usize = 8 * 1024;
-/// Pause after the socket failed.
-const FAIL_PAUSE: Duration = Duration::from_millis(100);
+/// Interval at which counts are pushed. Only admission below the hard limit depends on totals.
+pub const PUSH_INTERVAL: Duration = Duration::from_millis(1_000);
+/// Maximum number of tenants per datagram, so that it fits into one packet.
+const TENANTS_PER_DATAGRAM: usize = 20;
+/// Maximum size of a datagram, bytes.
+const MAX_DATAGRAM_BYTES: usize = 8 * 1024;
+/// Pause after a socket error.
+const ERROR_PAUSE: Duration = Duration::from_millis(100);
 
-/// What proxies say to each other.
+/// A datagram between proxies, encoded with bincode: the order of variants and fields is fixed.
 #[derive(Serialize, Deserialize)]
 pub(crate) enum PeerMessage {
-    /// Counts, for the owner of the tenants.
+    /// Request counts, sent to the owner of the tenants.
     Adds(GatewayId, Adds),
-    /// What all proxies together come to.
+    /// Counts over all proxies, sent by the owner.
     Totals(Totals),
-    /// Tokens of a tenant are asked for.
+    /// Requests tokens of a tenant.
     Borrow {
-        /// Number of the question.
+        /// Identifies the borrow request.
         number: u64,
         /// Name of the tenant.
         tenant: CompactString,
-        /// How many at the most.
+        /// Maximum number of tokens.
         most: f64,
     },
-    /// Tokens are given away.
+    /// Lends tokens in answer to [`PeerMessage::Borrow`].
     Lend {
-        /// Number of the question.
+        /// Identifies the borrow request.
         number: u64,
-        /// How many.
+        /// Number of tokens.
         lent: f64,
     },
 }
 
-/// The number of a proxy, the same over its restarts.
+/// Id of a proxy, stable across restarts.
 pub(crate) fn gateway_id(node: &str) -> GatewayId {
     GatewayId(digest(node.as_bytes()))
 }
 
-/// Starts to tell and to hear counts.
+/// Binds the socket and starts sending and receiving datagrams.
 ///
 /// # Errors
-/// The address can't be had.
+/// The address can't be bound.
 pub(crate) async fn start(proxy: &Rc<Proxy>) -> Result<()> {
     let at = proxy.settings.inner(InnerPort::Proxy);
     let socket = Rc::new(UdpSocket::bind(at).await.wrap_err_with(|| format!("{at}"))?);
     *proxy.peer_socket.borrow_mut() = Some(socket.clone());
-    spawn_local(push(proxy.clone(), socket.clone()));
+    spawn_local(push_counts(proxy.clone(), socket.clone()));
     spawn_local(receive(proxy.clone(), socket));
     Ok(())
 }
 
-/// The proxies that keep totals, as every proxy names them.
-fn counters(peers: &[ProxyStatus]) -> Vec<GatewayId> {
-    let counters = neighbors::counters(peers, |peer| &peer.id.node);
-    counters.into_iter().map(|peer| gateway_id(&peer.id.node)).collect()
+/// Ids of the proxies that may own tenants' totals; equal at all proxies that know the same peers.
+fn total_owners(peers: &[ProxyStatus]) -> Vec<GatewayId> {
+    let owners = neighbors::counters(peers, |peer| &peer.id.node);
+    owners.into_iter().map(|peer| gateway_id(&peer.id.node)).collect()
 }
 
-async fn push(proxy: Rc<Proxy>, socket: Rc<UdpSocket>) {
+/// Sends counts to the owners of their tenants at each interval.
+async fn push_counts(proxy: Rc<Proxy>, socket: Rc<UdpSocket>) {
     loop {
-        tokio::time::sleep(PUSH_PERIOD).await;
+        tokio::time::sleep(PUSH_INTERVAL).await;
         let peers: BTreeMap<GatewayId, SocketAddr> =
             proxy.view.borrow().peers().iter().map(|peer| (gateway_id(&peer.id.node), peer.peer)).collect();
-        let living: Vec<GatewayId> = counters(proxy.view.borrow().peers());
-        let batches = proxy.tenants.borrow_mut().collect_adds(proxy.now(), |tenant| owner(tenant, &living));
+        let owners: Vec<GatewayId> = total_owners(proxy.view.borrow().peers());
+        let batches = proxy.tenants.borrow_mut().collect_adds(proxy.now(), |tenant| owner(tenant, &owners));
         let me = gateway_id(&proxy.settings.node);
         for (owner, adds) in batches {
             let Some(addr) = peers.get(&owner) else { continue };
-            for tenants in adds.tenants.chunks(TENANTS_EACH) {
+            for tenants in adds.tenants.chunks(TENANTS_PER_DATAGRAM) {
                 let part = Adds { tenants: tenants.to_vec(), ..adds.clone() };
                 send(&socket, &PeerMessage::Adds(me, part), *addr).await;
             }
@@ -95,12 +96,13 @@
     }
 }
 
+/// Handles incoming datagrams.
 async fn receive(proxy: Rc<Proxy>, socket: Rc<UdpSocket>) {
     let mut counts = OwnerTable::new(OwnerSettings::default());
-    let mut buffer = vec![0; DATAGRAM_MAX];
+    let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
     loop {
         let Ok((length, from)) = socket.recv_from(&mut buffer).await else {
-            tokio::time::sleep(FAIL_PAUSE).await;
+            tokio::time::sleep(ERROR_PAUSE).await;
             continue;
         };
         let decoded = bincode::serde::decode_from_slice(&buffer[..length], bincode::config::standard());
@@ -116,7 +118,7 @@
                 let lent = proxy.lend_tokens(&tenant, most);
                 send(&socket, &PeerMessage::Lend { number, lent }, from).await;
             }
-            Ok((PeerMessage::Lend { number, lent }, _)) => proxy.loans.take(from, number, lent),
+            Ok((PeerMessage::Lend { number, lent }, _)) => proxy.borrowing.receive(from, number, lent),
             Err(error) => log::debug!("{from}: {error}"),
         }
     }
@@ -124,7 +126,7 @@
 
 impl Proxy {
     /// Sends a datagram to another proxy.
-    pub(crate) async fn tell_peer(&self, message: &PeerMessage, to: SocketAddr) {
+    pub(crate) async fn send_to_peer(&self, message: &PeerMessage, to: SocketAddr) {
         let socket = self.peer_socket.borrow().clone();
         if let Some(socket) = socket {
             send(&socket, message, to).await;
@@ -134,6 +136,6 @@
 
 async fn send(socket: &UdpSocket, message: &PeerMessage, to: SocketAddr) {
     let Ok(bytes) = bincode::serde::encode_to_vec(message, bincode::config::standard()) else { return };
-    // What is lost is told again.
+    // Counts are sent again until confirmed, and borrowers time out.
     let _ = socket.send_to(&bytes, to).await;
 }
--- a/crates/proxy/src/readiness.rs
+++ b/crates/proxy/src/readiness.rs
@@ -1,4 +1,4 @@
-//! `GET /ready`: whether clients are to be sent here.
+//! Readiness endpoint, `GET /ready`.
 
 use crate::server::Proxy;
 use bytes::Bytes;
@@ -13,12 +13,12 @@
 use tokio::net::TcpListener;
 use tokio::task::spawn_local;
 
-/// How long a caller may take over a request's head.
+/// Timeout for reading a request's head.
 const HEADER_TIMEOUT: Duration = Duration::from_secs(10);
-/// Pause where the system has no descriptor left.
+/// Pause after a failed accept, such as when no file descriptor is left.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
 
-/// Answers for ever.
+/// Answers readiness requests without end.
 pub(crate) async fn serve(listener: TcpListener, proxy: Rc<Proxy>) {
     loop {
         let Ok((stream, _)) = listener.accept().await else {
@@ -35,7 +35,7 @@
                 .timer(TokioTimer::new())
                 .header_read_timeout(HEADER_TIMEOUT)
                 .serve_connection(TokioIo::new(stream), service);
-            // A caller that misbehaves ends its own connection and nothing else.
+            // Errors affect only this connection.
             let _ = connection.await;
         });
     }
--- a/crates/proxy/src/relay.rs
+++ b/crates/proxy/src/relay.rs
@@ -1,8 +1,8 @@
-//! News within a zone: each service, and the configuration, has a home among the zone's proxies. The home gets news from a
-//! registry; the others follow it.
+//! Distribution of updates within a zone. Each service, and the configuration, has a home among the zone's proxies: the
+//! home fetches updates from a registry, and the others long-poll the home.
 //!
-//! Registries still tell every proxy which versions there are. A home that is late with them is passed over: the news
-//! comes from the registry, and the home has lost its duties for a while as seen from here.
+//! Registries announce versions to every proxy. A proxy whose home is late fetches from a registry instead, and doesn't
+//! use that proxy as a home for a while.
 
 use crate::server::Proxy;
 use hingestage_discovery::{neighbors, Home, Homes, PeerProxy};
@@ -19,27 +19,27 @@
 use tokio::sync::Notify;
 use tokio::task::{spawn_local, AbortHandle};
 
-/// For how long a proxy that was too late with news is no home.
-const HOME_SILENT: Duration = Duration::from_secs(3);
-/// What the home of the configuration in a zone goes by.
-const CONFIGURATION: &str = "configuration";
-/// How long a home waits for news before it answers.
+/// Time for which a proxy that was late with updates is not used as a home.
+const LATE_HOME_PENALTY: Duration = Duration::from_secs(3);
+/// Key that selects the home of the configuration.
+const CONFIG_KEY: &str = "configuration";
+/// Long-poll timeout at a home.
 const FOLLOW_WAIT: Duration = Duration::from_secs(5);
-/// How long its answer may take beyond that.
-const ANSWER_WITHIN: Duration = Duration::from_millis(500);
+/// Timeout of a home's answer, in addition to the long poll.
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(500);
 
 type Peer = Client<ProxyRequest, ProxyAnswer>;
 
-/// This proxy's part in passing news on.
+/// State of the distribution of updates at this proxy.
 pub(crate) struct Relay {
     homes: RefCell<Homes>,
     clients: RefCell<BTreeMap<SocketAddr, Rc<Peer>>>,
-    /// The configuration in force as it came, while this proxy is its home.
+    /// The active configuration as received, while this proxy is its home.
     config: RefCell<Option<ConfigTransfer>>,
-    /// Told when the proxies of the zone, or the services to follow, are others.
-    follows_others: Notify,
-    /// Told when there is news for those that follow this proxy.
-    news: Notify,
+    /// Notified when the zone's proxies, their homes or the followed services change.
+    following_changed: Notify,
+    /// Notified when there are updates for followers of this proxy.
+    updated: Notify,
 }
 
 impl Relay {
@@ -48,101 +48,102 @@
             homes: RefCell::new(Homes::new(me)),
             clients: RefCell::default(),
             config: RefCell::default(),
-            follows_others: Notify::new(),
-            news: Notify::new(),
+            following_changed: Notify::new(),
+            updated: Notify::new(),
         }
     }
 
-    /// Takes in which proxies there are.
-    pub(crate) fn take_peers(&self, peers: &[ProxyStatus], zone: &str) {
-        let of_zone = peers.iter().filter(|peer| peer.zone == zone);
-        let members = neighbors::zone_members(zone, of_zone, |peer| &peer.id.node);
+    /// Updates the zone's proxies from the list of all proxies.
+    pub(crate) fn update_peers(&self, peers: &[ProxyStatus], zone: &str) {
+        let in_zone = peers.iter().filter(|peer| peer.zone == zone);
+        let members = neighbors::zone_members(zone, in_zone, |peer| &peer.id.node);
         let living =
             members.into_iter().map(|peer| PeerProxy { name: peer.id.node.clone(), addr: peer.peer });
         if self.homes.borrow_mut().take(living) {
             let homes = self.homes.borrow();
             let known = |addr: &SocketAddr| homes.peers().any(|peer| peer.addr == *addr);
             self.clients.borrow_mut().retain(|addr, _| known(addr));
-            self.follows_others.notify_waiters();
+            self.following_changed.notify_waiters();
         }
     }
 
-    /// Where news of a service, or of the configuration, comes from.
+    /// Returns the home of a service, or of the configuration.
     pub(crate) fn home(&self, now: Micros, key: &str) -> Home {
         self.homes.borrow().home(now, key)
     }
 
-    /// The home of a service did not have what a registry told of.
-    pub(crate) fn home_is_late(&self, now: Micros, key: &str) {
+    /// Penalizes the home of a service for not having an update that a registry announced.
+    pub(crate) fn mark_home_late(&self, now: Micros, key: &str) {
         if let Home::Peer(peer) = self.home(now, key) {
-            self.silent(now, &peer);
+            self.penalize(now, &peer);
         }
     }
 
-    fn silent(&self, now: Micros, peer: &PeerProxy) {
+    /// Stops using a proxy as a home for [`LATE_HOME_PENALTY`].
+    fn penalize(&self, now: Micros, peer: &PeerProxy) {
         log::info!("{} does not pass news on", peer.name);
-        self.homes.borrow_mut().silent(&peer.name, now + HOME_SILENT.as_micros() as Micros);
-        self.follows_others.notify_waiters();
+        self.homes.borrow_mut().silent(&peer.name, now + LATE_HOME_PENALTY.as_micros() as Micros);
+        self.following_changed.notify_waiters();
     }
 
-    /// There are other services to follow.
-    pub(crate) fn asks_anew(&self) {
-        self.follows_others.notify_waiters();
+    /// Restarts the long polls after a change of the followed services.
+    pub(crate) fn restart_following(&self) {
+        self.following_changed.notify_waiters();
     }
 
-    /// There is news of services for those that follow this proxy.
-    pub(crate) fn services_changed(&self) {
-        self.news.notify_waiters();
+    /// Wakes followers of this proxy after an update of services.
+    pub(crate) fn notify_followers(&self) {
+        self.updated.notify_waiters();
     }
 
-    /// Keeps the configuration for the others of the zone, where this proxy is its home.
-    pub(crate) fn pass_config_on(&self, now: Micros, transfer: ConfigTransfer) {
-        let is_home = self.home(now, CONFIGURATION) == Home::Me;
+    /// Offers a configuration to the zone's other proxies if this proxy is its home.
+    pub(crate) fn offer_config(&self, now: Micros, transfer: ConfigTransfer) {
+        let is_home = self.home(now, CONFIG_KEY) == Home::Me;
         *self.config.borrow_mut() = Some(transfer).filter(|_| is_home);
-        self.news.notify_waiters();
+        self.updated.notify_waiters();
     }
 
     fn client(&self, addr: SocketAddr) -> Rc<Peer> {
         self.clients.borrow_mut().entry(addr).or_insert_with(|| Rc::new(Peer::new(addr))).clone()
     }
 
-    /// Gets a configuration from its home in this zone. Tells whether it came.
+    /// Fetches a configuration from its home in this zone. Returns whether that version or a later one is active.
     pub(crate) async fn follow_config(
         &self,
         proxy: &Proxy,
         version: ConfigVersion,
-        within: Duration,
+        timeout: Duration,
     ) -> bool {
-        let Home::Peer(home) = self.home(proxy.now(), CONFIGURATION) else { return false };
+        let Home::Peer(home) = self.home(proxy.now(), CONFIG_KEY) else { return false };
         let have = proxy.view.borrow().config_version();
-        let request = ProxyRequest::FollowConfig { version, have, wait: within.as_millis() as u64 };
-        match self.client(home.addr).call(&request, within).await {
+        let request = ProxyRequest::FollowConfig { version, have, wait: timeout.as_millis() as u64 };
+        match self.client(home.addr).call(&request, timeout).await {
             Ok(ProxyAnswer::Config(Some(transfer))) => {
-                proxy.take_config(transfer);
+                proxy.apply_config(transfer);
                 proxy.view.borrow().config_version() >= Some(version)
             }
-            // It knows of another home, or has a change to another version.
+            // The peer is not the home by its own view, or its delta is for another base version.
             Ok(_) => false,
             Err(_) => {
-                self.silent(proxy.now(), &home);
+                self.penalize(proxy.now(), &home);
                 false
             }
         }
     }
 }
 
-/// Follows each other proxy of the zone in what it is the home of.
+/// Long-polls each other proxy of the zone for the services that it is the home of.
 pub(crate) async fn run(proxy: Rc<Proxy>) {
     let mut followed: BTreeMap<PeerProxy, AbortHandle> = BTreeMap::new();
     loop {
-        let changed = proxy.relay.follows_others.notified();
+        let changed = proxy.relay.following_changed.notified();
         let peers: BTreeSet<PeerProxy> = proxy.relay.homes.borrow().peers().cloned().collect();
         followed.retain(|peer, task| {
-            let stays = peers.contains(peer);
-            if !stays {
+            let known = peers.contains(peer);
+            if !known {
                 task.abort();
             }
-            stays
+            known
         });
         for peer in peers {
             let follow = || spawn_local(follow(proxy.clone(), peer.clone())).abort_handle();
@@ -152,24 +153,25 @@
     }
 }
 
+/// Long-polls one proxy without end.
 async fn follow(proxy: Rc<Proxy>, peer: PeerProxy) {
     loop {
-        let changed = proxy.relay.follows_others.notified();
-        let have = proxy.followed_from(&peer);
+        let changed = proxy.relay.following_changed.notified();
+        let have = proxy.services_followed_at(&peer);
         if have.is_empty() {
-            // A home that was late is one again after a while.
-            let _ = tokio::time::timeout(HOME_SILENT, changed).await;
+            // Checks again later, as a late home is used again after its penalty.
+            let _ = tokio::time::timeout(LATE_HOME_PENALTY, changed).await;
             continue;
         }
         let client = proxy.relay.client(peer.addr);
         let request = ProxyRequest::FollowServices { have, wait: FOLLOW_WAIT.as_millis() as u64 };
         tokio::select! {
-            answer = client.call(&request, FOLLOW_WAIT + ANSWER_WITHIN) => match answer {
+            answer = client.call(&request, FOLLOW_WAIT + ANSWER_TIMEOUT) => match answer {
                 Ok(ProxyAnswer::Services(updates)) => {
                     proxy.relay.homes.borrow_mut().answered(&peer.name);
-                    proxy.take_services(updates);
+                    proxy.apply_services(updates);
                 }
-                _ => proxy.relay.silent(proxy.now(), &peer),
+                _ => proxy.relay.penalize(proxy.now(), &peer),
             },
             () = changed => {}
         }
@@ -177,8 +179,8 @@
 }
 
 impl Proxy {
-    /// The services that another proxy is the home of, with what is held of them.
-    fn followed_from(&self, peer: &PeerProxy) -> Vec<ServiceHave> {
+    /// Returns the services that another proxy is the home of, with the versions held here.
+    fn services_followed_at(&self, peer: &PeerProxy) -> Vec<ServiceHave> {
         let now = self.now();
         let homes = self.relay.homes.borrow();
         let view = self.view.borrow();
@@ -186,21 +188,21 @@
         names.map(|name| view.followed().have(name)).collect()
     }
 
-    /// News of services for another proxy, as soon as there is any or the wait is over.
-    pub(crate) async fn services_for(&self, have: Vec<ServiceHave>, wait: Duration) -> Vec<ServiceUpdate> {
+    /// Returns updates of services for another proxy; waits until there are any or the wait is over.
+    pub(crate) async fn service_updates(&self, have: Vec<ServiceHave>, wait: Duration) -> Vec<ServiceUpdate> {
         let until = tokio::time::Instant::now() + wait.min(FOLLOW_WAIT);
         loop {
-            let changed = self.relay.news.notified();
-            let news = self.view.borrow().followed().catalog().news(self.now(), &have);
-            if !news.is_empty() || tokio::time::timeout_at(until, changed).await.is_err() {
-                return news;
+            let changed = self.relay.updated.notified();
+            let updates = self.view.borrow().followed().catalog().news(self.now(), &have);
+            if !updates.is_empty() || tokio::time::timeout_at(until, changed).await.is_err() {
+                return updates;
             }
         }
     }
 
-    /// A configuration for another proxy, once this one has it. None where the wait is over, this proxy is not the
-    /// home, or what it has is a change to another version than the asker's.
-    pub(crate) async fn config_for(
+    /// Returns a configuration for another proxy once this one has it. `None` if the wait is over, this proxy is not
+    /// the home, or it holds a delta to another base version than the caller's.
+    pub(crate) async fn config_update(
         &self,
         version: ConfigVersion,
         have: Option<ConfigVersion>,
@@ -208,14 +210,14 @@
     ) -> Option<ConfigTransfer> {
         let until = tokio::time::Instant::now() + wait;
         loop {
-            let changed = self.relay.news.notified();
+            let changed = self.relay.updated.notified();
             let config = self.relay.config.borrow().clone();
             if let Some(config) = config.filter(|config| config.version >= version) {
                 return Some(config).filter(|config| config.base.is_none() || config.base == have);
             }
-            let in_force = self.view.borrow().config_version() >= Some(version);
-            let is_home = self.relay.home(self.now(), CONFIGURATION) == Home::Me;
-            if in_force || !is_home || tokio::time::timeout_at(until, changed).await.is_err() {
+            let is_active = self.view.borrow().config_version() >= Some(version);
+            let is_home = self.relay.home(self.now(), CONFIG_KEY) == Home::Me;
+            if is_active || !is_home || tokio::time::timeout_at(until, changed).await.is_err() {
                 return None;
             }
         }
--- a/crates/proxy/src/request_log.rs
+++ b/crates/proxy/src/request_log.rs
@@ -1,4 +1,4 @@
-//! What becomes of requests, for operators: counters, and the fates of the last ones.
+//! Request log for operators: counters and the history of recent requests.
 
 use crate::attempts::OpenAttempts;
 use crate::counters::Counters;
@@ -10,10 +10,10 @@
 use std::cell::{Ref, RefCell};
 use std::rc::Rc;
 
-/// Characters of an attempt id that are remembered.
-pub const ID_MAX: usize = 64;
+/// Attempt ids are truncated to this length, bytes.
+pub const MAX_ID_LEN: usize = 64;
 
-/// Counters, and the fates of the last requests.
+/// Counters and the history of recent requests.
 #[derive(Default)]
 pub struct RequestLog {
     counters: RefCell<Counters>,
@@ -22,9 +22,9 @@
 }
 
 impl RequestLog {
-    /// A request has come.
+    /// Starts tracking a request.
     pub fn begin(self: &Rc<Self>, now: Micros, id: Option<&HeaderValue>) -> TrackedRequest {
-        let ended = RequestRecord {
+        let record = RequestRecord {
             id: id.map(short_id).unwrap_or_default(),
             age: 0,
             route: CompactString::default(),
@@ -34,13 +34,13 @@
             status: None,
             outcome: RequestOutcome::ClientLeft,
         };
-        TrackedRequest { log: self.clone(), arrived_at: now, ended: Some(ended), sent_as: None }
+        TrackedRequest { log: self.clone(), arrived_at: now, record: Some(record), attempts_id: None }
     }
 
-    /// An attempt at a worker ended.
+    /// Records a finished attempt at a worker.
     pub fn attempt_ended(&self, id: &HeaderValue, attempt: AttemptRecord) {
         self.counters.borrow_mut().attempt_ended();
-        self.open.borrow_mut().note(id, attempt);
+        self.open.borrow_mut().record(id, attempt);
     }
 
     /// The counters.
@@ -48,80 +48,79 @@
         self.counters.borrow()
     }
 
-    /// Requests whose attempts are being noted.
-    pub fn open(&self) -> usize {
+    /// Number of requests whose attempts are being recorded.
+    pub fn open_requests(&self) -> usize {
         self.open.borrow().len()
     }
 
-    /// What became of a request or of a tenant's requests.
+    /// Returns the records of a request or of a tenant's requests, and the tenant's counters.
     pub fn explain(&self, now: Micros, id_or_tenant: &str) -> Explanation {
-        // Ids are remembered up to a length.
-        let short = id_or_tenant.get(..ID_MAX).unwrap_or(id_or_tenant);
+        let short = id_or_tenant.get(..MAX_ID_LEN).unwrap_or(id_or_tenant);
         Explanation {
             requests: self.recent.borrow().find(now, short),
             tenant: self.counters.borrow().tenant(id_or_tenant).cloned(),
         }
     }
 
-    fn ended(&self, arrived_at: Micros, request: RequestRecord) {
+    fn record(&self, arrived_at: Micros, request: RequestRecord) {
         self.counters.borrow_mut().request_ended(&request.tenant, request.outcome);
         self.recent.borrow_mut().push(arrived_at, request);
     }
 }
 
-/// An id as it is remembered. It is copied: the header shares its memory with all that was read of the connection.
+/// Copies and truncates an id; a header value would keep the connection's whole read buffer alive.
 fn short_id(id: &HeaderValue) -> CompactString {
-    let bytes = &id.as_bytes()[..id.len().min(ID_MAX)];
+    let bytes = &id.as_bytes()[..id.len().min(MAX_ID_LEN)];
     CompactString::from_utf8_lossy(bytes)
 }
 
-/// A request until its end. Dropped without an answer it counts as one whose client left.
+/// A request until its end. If it is dropped without an answer, its outcome is `ClientLeft`.
 pub struct TrackedRequest {
     log: Rc<RequestLog>,
     arrived_at: Micros,
-    ended: Option<RequestRecord>,
-    /// The id under which its attempts are noted.
-    sent_as: Option<HeaderValue>,
+    record: Option<RequestRecord>,
+    /// The id under which its attempts are recorded.
+    attempts_id: Option<HeaderValue>,
 }
 
 impl TrackedRequest {
-    /// Its route and tenant are known.
-    pub fn routed(&mut self, route: &CompactString, tenant: &CompactString) {
-        if let Some(ended) = &mut self.ended {
-            ended.route = route.clone();
-            ended.tenant = tenant.clone();
+    /// Sets the route and the tenant.
+    pub fn set_route(&mut self, route: &CompactString, tenant: &CompactString) {
+        if let Some(record) = &mut self.record {
+            record.route = route.clone();
+            record.tenant = tenant.clone();
         }
     }
 
-    /// Its service is known.
-    pub fn bound_for(&mut self, service: &CompactString) {
-        if let Some(ended) = &mut self.ended {
-            ended.service = service.clone();
+    /// Sets the service.
+    pub fn set_service(&mut self, service: &CompactString) {
+        if let Some(record) = &mut self.record {
+            record.service = service.clone();
         }
     }
 
-    /// It goes to workers from now on.
-    pub fn sending(&mut self, id: &HeaderValue) {
+    /// Starts recording the request's attempts.
+    pub fn start_attempts(&mut self, id: &HeaderValue) {
         if self.log.open.borrow_mut().begin(id) {
-            self.sent_as = Some(id.clone());
+            self.attempts_id = Some(id.clone());
         }
     }
 
-    /// It is answered.
+    /// Finishes the request with a response status and an outcome.
     pub fn answered(mut self, status: u16, outcome: RequestOutcome) {
-        if let Some(ended) = &mut self.ended {
-            ended.status = Some(status);
-            ended.outcome = outcome;
+        if let Some(record) = &mut self.record {
+            record.status = Some(status);
+            record.outcome = outcome;
         }
     }
 }
 
 impl Drop for TrackedRequest {
     fn drop(&mut self) {
-        let Some(mut ended) = self.ended.take() else { return };
-        if let Some(id) = &self.sent_as {
-            ended.attempts = self.log.open.borrow_mut().end(id);
+        let Some(mut record) = self.record.take() else { return };
+        if let Some(id) = &self.attempts_id {
+            record.attempts = self.log.open.borrow_mut().end(id);
         }
-        self.log.ended(self.arrived_at, ended);
+        self.log.record(self.arrived_at, record);
     }
 }
--- a/crates/proxy/src/requests.rs
+++ b/crates/proxy/src/requests.rs
@@ -1,4 +1,4 @@
-//! What becomes of one request of a client: which route it takes, whose it is, whether it may pass, and the answer.
+//! Handling of one client request: routing, authentication, admission, dispatch to a worker, and the response.
 
 use crate::admission::Admitted;
 use crate::classes::Terms;
@@ -30,54 +30,55 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// The least advice to come again after a refusal.
-const RETRY_LEAST: Duration = Duration::from_millis(20);
-/// Advice where this proxy can't judge for now: another one can.
-pub(crate) const RETRY_ELSEWHERE: Duration = Duration::from_millis(50);
-/// How long a client waits that doesn't say.
-const DEADLINE_DEFAULT: Duration = Duration::from_secs(30);
-/// Time left below which a request isn't begun.
-const TIME_LEAST: Duration = Duration::from_millis(5);
+/// Minimum `retry-after` of a refusal.
+const MIN_RETRY_AFTER: Duration = Duration::from_millis(20);
+/// `retry-after` of refusals that only concern this proxy; a retry may reach another one.
+pub(crate) const RETRY_OTHER_PROXY: Duration = Duration::from_millis(50);
+/// Request timeout of clients that don't send a deadline.
+const DEFAULT_DEADLINE: Duration = Duration::from_secs(30);
+/// Minimum remaining time to start a request.
+const MIN_TIME_LEFT: Duration = Duration::from_millis(5);
 
 type Reply = Response<Written<Tokio>>;
 
-/// A final answer of the proxy's own.
+/// An error response of the proxy itself.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct Refusal {
     pub status: StatusCode,
     message: &'static str,
     pub outcome: RequestOutcome,
     pub retry_after: Option<Duration>,
-    /// Whether what is left of the request on the connection can't be told from a next one.
-    ends_connection: bool,
+    /// Whether to close the connection, as an unread rest of the request could be taken for the next one.
+    close_connection: bool,
 }
 
 impl Refusal {
     pub const fn new(status: StatusCode, message: &'static str, outcome: RequestOutcome) -> Refusal {
-        Refusal { status, message, outcome, retry_after: None, ends_connection: false }
+        Refusal { status, message, outcome, retry_after: None, close_connection: false }
     }
 
-    pub fn after(self, wait: Duration) -> Refusal {
-        Refusal { retry_after: Some(wait.max(RETRY_LEAST)), ..self }
+    /// Sets `retry-after`.
+    pub fn retry_after(self, wait: Duration) -> Refusal {
+        Refusal { retry_after: Some(wait.max(MIN_RETRY_AFTER)), ..self }
     }
 
-    const fn ending(self) -> Refusal {
-        Refusal { ends_connection: true, ..self }
+    /// Closes the connection after the response.
+    const fn closing(self) -> Refusal {
+        Refusal { close_connection: true, ..self }
     }
 }
 
-/// A request that has a route.
-pub(crate) struct Routed {
+/// The route and the tenant of a request.
+pub(crate) struct RoutedRequest {
     active: Rc<Active>,
-    /// Place of the route in its configuration.
     pub route: Route,
-    /// Place of the tenant, where the route asks for one.
+    /// Index of the tenant in the configuration, if the route requires one.
     tenant: Option<usize>,
 }
 
-impl Routed {
+impl RoutedRequest {
     pub fn tenant(&self) -> Option<&Tenant> {
-        self.tenant.and_then(|place| self.active.configuration.tenants.get(place))
+        self.tenant.and_then(|index| self.active.configuration.tenants.get(index))
     }
 
     pub fn tenant_name(&self) -> CompactString {
@@ -89,7 +90,7 @@
     type Body = Written<Tokio>;
 
     async fn answer(self: &Rc<Self>, request: Request<Incoming>, client: &Rc<Client>) -> Reply {
-        let id = one_header(request.headers(), &ATTEMPT_ID);
+        let id = single_header(request.headers(), &ATTEMPT_ID);
         let mut tracked = self.requests.begin(self.now(), id);
         match self.serve_request(request, client, &mut tracked).await {
             Ok(reply) => {
@@ -118,47 +119,47 @@
         let arrived = self.platform.now();
         let (head, body) = request.into_parts();
         let routed = self.route(&head.headers, head.uri.path(), tracked)?;
-        let id = one_header(&head.headers, &ATTEMPT_ID)
+        let id = single_header(&head.headers, &ATTEMPT_ID)
             .ok_or(
-                Refusal::new(StatusCode::BAD_REQUEST, "no attempt id", RequestOutcome::BadRequest).ending(),
+                Refusal::new(StatusCode::BAD_REQUEST, "no attempt id", RequestOutcome::BadRequest).closing(),
             )?
             .clone();
-        let patience = patience(&head.headers).min(routed.route.timeout);
-        let until = arrived + patience;
+        let timeout = client_timeout(&head.headers).min(routed.route.timeout);
+        let until = arrived + timeout;
         if self.collector.is_too_long(&body) {
             return Err(Refusal::new(
                 StatusCode::PAYLOAD_TOO_LARGE,
                 "body too large",
                 RequestOutcome::BadRequest,
             )
-            .ending());
+            .closing());
         }
-        let body = self.collector.read(body, patience).await.map_err(|error| match error {
+        let body = self.collector.read(body, timeout).await.map_err(|error| match error {
             CollectError::TooSlow => Refusal::new(
                 StatusCode::REQUEST_TIMEOUT,
                 "the body takes too long",
                 RequestOutcome::BadRequest,
             )
-            .ending(),
+            .closing(),
             CollectError::BadFraming => {
-                Refusal::new(StatusCode::BAD_REQUEST, "bad framing", RequestOutcome::BadRequest).ending()
+                Refusal::new(StatusCode::BAD_REQUEST, "bad framing", RequestOutcome::BadRequest).closing()
             }
         })?;
-        if until <= self.platform.now() + TIME_LEAST {
+        if until <= self.platform.now() + MIN_TIME_LEFT {
             return Err(Refusal::new(
                 StatusCode::SERVICE_UNAVAILABLE,
                 "no time left",
                 RequestOutcome::NoTimeLeft,
             )
-            .after(RETRY_LEAST));
+            .retry_after(MIN_RETRY_AFTER));
         }
-        // The body may have taken its time: what is in force now decides.
+        // Routes again, as the configuration may have changed while the body was read.
         let routed = self.route(&head.headers, head.uri.path(), tracked).unwrap_or(routed);
-        tracked.routed(&routed.route.name, &routed.tenant_name());
+        tracked.set_route(&routed.route.name, &routed.tenant_name());
         let service = self.service_for(&routed, tracked)?;
         let mut admitted = self.admit(&routed, until).await?;
         let tenant = routed.tenant_name();
-        let class = service.class(Terms::of(&routed.route));
+        let class = service.class_for(Terms::of(&routed.route));
         let uri = head.uri.path_and_query().and_then(|path| path.as_str().parse().ok());
         let uri = uri.ok_or(Refusal::new(StatusCode::BAD_REQUEST, "bad path", RequestOutcome::BadRequest))?;
         let flow = match &body {
@@ -173,10 +174,16 @@
             gateways: 1,
             first: 0,
             until,
-            parts: Parts { method: head.method, uri, id, headers: passed_on(head.headers, &tenant), body },
+            parts: Parts {
+                method: head.method,
+                uri,
+                id,
+                headers: forwarded_headers(head.headers, &tenant),
+                body,
+            },
         };
         client.busy.set(true);
-        tracked.sending(&taken.parts.id);
+        tracked.start_attempts(&taken.parts.id);
         let Some((ticket, answer)) = service.driver.take(taken) else {
             return Err(Refusal::new(
                 StatusCode::CONFLICT,
@@ -192,6 +199,7 @@
         self.finish(answer.ok(), admitted, &service.driver, class, ticket, client)
     }
 
+    /// Turns the driver's answer into the response to the client.
     fn finish(
         &self,
         answer: Option<Answer<tokio::net::TcpStream>>,
@@ -216,7 +224,7 @@
                     "refused: the request has not run",
                     RequestOutcome::NoWorker,
                 );
-                Err(refusal.after(Duration::from_micros(wait)))
+                Err(refusal.retry_after(Duration::from_micros(wait)))
             }
             Some(Answer::Failed { late: true }) => {
                 Err(Refusal::new(StatusCode::GATEWAY_TIMEOUT, "no answer in time", RequestOutcome::TimedOut))
@@ -225,13 +233,13 @@
         }
     }
 
-    /// Finds a request's route and tenant in the configuration in force.
+    /// Finds a request's route and tenant in the active configuration.
     fn route(
         &self,
         headers: &HeaderMap,
         path: &str,
         tracked: &mut TrackedRequest,
-    ) -> Result<Routed, Refusal> {
+    ) -> Result<RoutedRequest, Refusal> {
         let active = self.view.borrow().active().cloned();
         let active = active.ok_or(
             Refusal::new(
@@ -239,75 +247,82 @@
                 "no configuration yet",
                 RequestOutcome::NoConfiguration,
             )
-            .after(RETRY_ELSEWHERE),
+            .retry_after(RETRY_OTHER_PROXY),
         )?;
-        let host = one_header(headers, &HOST).and_then(|value| value.to_str().ok()).unwrap_or_default();
+        let host = single_header(headers, &HOST).and_then(|value| value.to_str().ok()).unwrap_or_default();
         let route = active.routes.find(host, path).cloned();
         let route = route.ok_or(
-            Refusal::new(StatusCode::NOT_FOUND, "no such route", RequestOutcome::UnknownRoute).ending(),
+            Refusal::new(StatusCode::NOT_FOUND, "no such route", RequestOutcome::UnknownRoute).closing(),
         )?;
-        tracked.routed(&route.name, &CompactString::default());
-        let tenant = self.tenant(&active, &route, headers)?;
-        let routed = Routed { active, route, tenant };
-        tracked.routed(&routed.route.name, &routed.tenant_name());
+        tracked.set_route(&route.name, &CompactString::default());
+        let tenant = self.authenticate(&active, &route, headers)?;
+        let routed = RoutedRequest { active, route, tenant };
+        tracked.set_route(&routed.route.name, &routed.tenant_name());
         Ok(routed)
     }
 
-    fn tenant(&self, active: &Active, route: &Route, headers: &HeaderMap) -> Result<Option<usize>, Refusal> {
+    /// Finds the tenant by its API key; `None` if the route doesn't require one.
+    fn authenticate(
+        &self,
+        active: &Active,
+        route: &Route,
+        headers: &HeaderMap,
+    ) -> Result<Option<usize>, Refusal> {
         if route.public || active.configuration.tenants.is_empty() {
             return Ok(None);
         }
         let unknown =
             Refusal::new(StatusCode::UNAUTHORIZED, "no key that is known", RequestOutcome::UnknownKey)
-                .ending();
-        let key = one_header(headers, &API_KEY).and_then(|value| value.to_str().ok()).ok_or(unknown)?;
-        if !self.view.borrow().keys_hold(self.now()) {
-            let cut_off = Refusal::new(
+                .closing();
+        let key = single_header(headers, &API_KEY).and_then(|value| value.to_str().ok()).ok_or(unknown)?;
+        if !self.view.borrow().keys_valid(self.now()) {
+            let unchecked = Refusal::new(
                 StatusCode::SERVICE_UNAVAILABLE,
                 "keys can't be checked for now",
                 RequestOutcome::KeysUnchecked,
             );
-            return Err(cut_off.after(RETRY_ELSEWHERE).ending());
+            return Err(unchecked.retry_after(RETRY_OTHER_PROXY).closing());
         }
         active.keys.find(key).map(Some).ok_or(unknown)
     }
 
+    /// Selects the service of a request, and its routing state for the allowed regions.
     fn service_for(
         &self,
-        routed: &Routed,
+        routed: &RoutedRequest,
         tracked: &mut TrackedRequest,
     ) -> Result<Rc<crate::services::Service>, Refusal> {
         let tenant_regions = routed.tenant().map_or(&[][..], |tenant| &tenant.allow_regions);
         let name = routed.route.choose(fastrand::f64());
-        tracked.bound_for(&CompactString::from(name));
-        let nowhere = Refusal::new(
+        tracked.set_service(&CompactString::from(name));
+        let no_region = Refusal::new(
             StatusCode::SERVICE_UNAVAILABLE,
             "no region may serve this",
             RequestOutcome::NoRegion,
         )
-        .after(RETRY_ELSEWHERE);
-        let key = ServiceKey::within(name, &routed.route.allow_regions, tenant_regions).ok_or(nowhere)?;
-        self.services.get(key, &self.view.borrow(), self.now()).ok_or(nowhere)
+        .retry_after(RETRY_OTHER_PROXY);
+        let key = ServiceKey::within(name, &routed.route.allow_regions, tenant_regions).ok_or(no_region)?;
+        self.services.get(key, &self.view.borrow(), self.now()).ok_or(no_region)
     }
 }
 
-/// A header that is there exactly once.
-fn one_header<'a>(headers: &'a HeaderMap, name: &HeaderName) -> Option<&'a HeaderValue> {
+/// Returns a header's value if it occurs exactly once and is not empty.
+fn single_header<'a>(headers: &'a HeaderMap, name: &HeaderName) -> Option<&'a HeaderValue> {
     let mut values = headers.get_all(name).iter();
     values.next().filter(|value| values.next().is_none() && !value.is_empty())
 }
 
-/// How long the client says that it waits.
-fn patience(headers: &HeaderMap) -> Duration {
-    let text = one_header(headers, &DEADLINE).and_then(|value| value.to_str().ok());
+/// Returns the timeout that the client sent, or the default.
+fn client_timeout(headers: &HeaderMap) -> Duration {
+    let text = single_header(headers, &DEADLINE).and_then(|value| value.to_str().ok());
     let millis: Option<f64> = text.and_then(|text| text.trim().parse().ok());
-    let patience = millis.and_then(|millis| Duration::try_from_secs_f64(millis / 1e3).ok());
-    patience.unwrap_or(DEADLINE_DEFAULT)
+    let timeout = millis.and_then(|millis| Duration::try_from_secs_f64(millis / 1e3).ok());
+    timeout.unwrap_or(DEFAULT_DEADLINE)
 }
 
-/// A client's headers as they go on to a worker: without those of the connection, its key, and what only the
-/// system sets.
-fn passed_on(mut headers: HeaderMap, tenant: &str) -> HeaderMap {
+/// Returns the headers to forward to a worker: without hop-by-hop headers, the API key and headers that only the proxy
+/// sets, and with the tenant's name.
+fn forwarded_headers(mut headers: HeaderMap, tenant: &str) -> HeaderMap {
     drop_hop_by_hop(&mut headers);
     for name in [API_KEY, TENANT, TARGET_WORKER, ATTEMPT_ID, DEADLINE, CONTENT_LENGTH, EXPECT] {
         headers.remove(name);
@@ -326,7 +341,7 @@
         let seconds = HeaderValue::from_str(&format!("{:.3}", wait.as_secs_f64()));
         response.headers_mut().extend(seconds.map(|seconds| (RETRY_AFTER, seconds)));
     }
-    if refusal.ends_connection {
+    if refusal.close_connection {
         response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
     }
     response
--- a/crates/proxy/src/server.rs
+++ b/crates/proxy/src/server.rs
@@ -1,7 +1,7 @@
-//! The proxy put together: serves from its start until all is answered after it is told to end.
+//! The proxy process: shared state, startup, background tasks and graceful shutdown.
 
-use crate::admission::Deferred;
-use crate::lending::Loans;
+use crate::admission::DeferredRequests;
+use crate::lending::TokenBorrowing;
 use crate::relay::{self, Relay};
 use crate::request_log::RequestLog;
 use crate::services::Services;
@@ -34,62 +34,64 @@
 use tokio::sync::Notify;
 use tokio::task::spawn_local;
 
-/// Age of news from the registries up to which a part of a common limit may be used. Registries settle a proxy
-/// that is new only when this has passed.
-const PART_LEASE: Duration = Duration::from_secs(11);
-/// Kept back of the time within which a key that was taken away has to be refused.
-const KEY_MARGIN: Duration = Duration::from_millis(500);
-/// How long workers of a zone that is taken back wait.
-const RETURN_AFTER: Duration = Duration::from_millis(2_500);
-/// Added to the time for which a worker is said to stay cold.
+/// Maximum age of the registries' data with which a share of a global limit may be used. Registries settle a new proxy
+/// only after this time.
+const SHARE_LEASE: Duration = Duration::from_secs(11);
+/// Safety margin subtracted from the time within which a revoked key must be refused.
+const KEY_LEASE_MARGIN: Duration = Duration::from_millis(500);
+/// Delay before workers of a zone get requests after the end of its evacuation.
+const ZONE_RETURN_DELAY: Duration = Duration::from_millis(2_500);
+/// Safety margin added to the announced cold time of a worker.
 const COLD_MARGIN: Duration = Duration::from_millis(300);
-/// Registries that are asked often where none is in the region.
-const ASKED_OFTEN: usize = 2;
-/// Rounds of housekeeping between two lines of counters.
-const COUNTERS_EVERY: u64 = 10;
-/// Period of housekeeping.
-const TIDY_PERIOD: Duration = Duration::from_secs(1);
-/// The largest head of a request, bytes.
-const HEAD_MAX: usize = 32 * 1024;
-/// The longest body, bytes.
-const BODY_MAX: u64 = 64 << 20;
-/// The longest body that is collected where there is memory for it, bytes.
-const COLLECT_MAX: usize = 2 << 20;
-/// Part of the memory limit that bodies may take together while they are collected.
-const COLLECT_SHARE: usize = 8;
-/// Part of the descriptors that clients' connections may take.
-const CLIENT_SHARE: usize = 2;
-/// Part of the descriptors that connections between two requests may take.
-const IDLE_SHARE: usize = 4;
-/// How long a client may take over the next piece of a body.
-const PIECE_TIMEOUT: Duration = Duration::from_secs(3);
-/// Bytes a second that a client must keep up with.
-const SLOWEST: f64 = 8_000.0;
-/// How long a client may be silent between two requests, or over a head.
+/// Number of registries polled often if none is in this region.
+const NEARBY_REGISTRIES: usize = 2;
+/// Number of maintenance rounds between two log lines of counters.
+const ROUNDS_PER_COUNTER_LOG: u64 = 10;
+/// Interval of maintenance rounds.
+const MAINTENANCE_INTERVAL: Duration = Duration::from_secs(1);
+/// Maximum size of a request's head, bytes.
+const MAX_HEAD_BYTES: usize = 32 * 1024;
+/// Maximum size of a request's body, bytes.
+const MAX_BODY_BYTES: u64 = 64 << 20;
+/// Maximum size of a body that is buffered, memory permitting, bytes.
+const MAX_BUFFERED_BODY_BYTES: usize = 2 << 20;
+/// Buffered bodies may use one in this many bytes of the memory limit.
+const BUFFER_MEMORY_DIVISOR: usize = 8;
+/// Clients' connections may use one in this many file descriptors.
+const CLIENT_FD_DIVISOR: usize = 2;
+/// Idle connections may use one in this many file descriptors.
+const IDLE_FD_DIVISOR: usize = 4;
+/// Timeout for the next chunk of a body.
+const BODY_CHUNK_TIMEOUT: Duration = Duration::from_secs(3);
+/// Minimum rate at which a client must send a body, bytes per second.
+const MIN_BODY_RATE: f64 = 8_000.0;
+/// Timeout of an idle connection, between requests and before the first.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(15);
-/// How long a client may take over a head once it has begun.
+/// Timeout for reading a request's head after its first byte.
 const HEADER_TIMEOUT: Duration = Duration::from_secs(3);
-/// How long an answer may stand still because of its reader.
+/// Timeout of a response whose reader makes no progress.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(20);
-/// Kept back of the time between SIGTERM and SIGKILL.
+/// Safety margin subtracted from the time between SIGTERM and SIGKILL.
 const GRACE_MARGIN: Duration = Duration::from_millis(300);
-/// Spreads fetches of one version over time: the next registry is asked only when the one before has had its time.
-pub(crate) struct Fetching<V>(Cell<Option<(V, Micros)>>);
 
-impl<V> Default for Fetching<V> {
+/// Prevents concurrent fetches of one version: another fetch starts only after the timeout of the one before.
+pub(crate) struct FetchGuard<V>(Cell<Option<(V, Micros)>>);
+
+impl<V> Default for FetchGuard<V> {
     fn default() -> Self {
-        Fetching(Cell::new(None))
+        FetchGuard(Cell::new(None))
     }
 }
 
-impl<V: Copy + Ord> Fetching<V> {
-    /// Begins a fetch, unless one of this version or of a newer one has had less than its time.
+impl<V: Copy + Ord> FetchGuard<V> {
+    /// Starts a fetch, unless one of this or a later version is within `timeout` of its start.
     ///
     /// # Errors
-    /// The time that is left to the fetch under way.
-    pub fn begin(&self, version: V, now: Micros, time: Duration) -> Result<(), Duration> {
-        let under_way = self.0.get().filter(|(under_way, _)| *under_way >= version);
-        let left = under_way.map(|(_, since)| (since + micros(time)).saturating_sub(now)).unwrap_or_default();
+    /// The remaining time of the fetch in progress.
+    pub fn begin(&self, version: V, now: Micros, timeout: Duration) -> Result<(), Duration> {
+        let in_progress = self.0.get().filter(|(fetched, _)| *fetched >= version);
+        let left =
+            in_progress.map(|(_, since)| (since + micros(timeout)).saturating_sub(now)).unwrap_or_default();
         if left > 0 {
             return Err(Duration::from_micros(left));
         }
@@ -98,41 +100,41 @@
     }
 }
 
-/// The proxy.
+/// Shared state of the proxy.
 pub struct Proxy {
     pub(crate) settings: Rc<Settings>,
     pub(crate) platform: Tokio,
     pub(crate) view: RefCell<View>,
     pub(crate) services: Services,
     pub(crate) tenants: RefCell<TenantTable>,
-    /// What became of requests, for operators.
+    /// Request counters and history, for operators.
     pub(crate) requests: Rc<RequestLog>,
     pub(crate) collector: Collector<Tokio>,
     pub(crate) registries: RefCell<Vec<RegistryAddress>>,
-    /// When a registry of this region last answered.
-    pub(crate) near_heard_at: Cell<Micros>,
+    /// When a nearby registry last answered.
+    pub(crate) nearby_answered_at: Cell<Micros>,
     pub(crate) registries_changed: Notify,
-    pub(crate) fetching_config: Fetching<ConfigVersion>,
+    pub(crate) config_fetches: FetchGuard<ConfigVersion>,
     pub(crate) relay: Relay,
-    /// Where datagrams of other proxies come in.
+    /// Socket for datagrams between proxies.
     pub(crate) peer_socket: RefCell<Option<Rc<UdpSocket>>>,
-    pub(crate) loans: Loans,
-    pub(crate) deferred: Deferred,
+    pub(crate) borrowing: TokenBorrowing,
+    pub(crate) deferred: DeferredRequests,
     pub(crate) trial_counts: TrialCounts,
-    /// The configuration in force as it was sent: changes are made to it.
+    /// The active configuration as received; deltas apply to it.
     document: RefCell<Option<ConfigDocument>>,
     id: ProcessId,
     http: SocketAddr,
     started: Instant,
     stopping: Cell<bool>,
-    /// Told when time alone will make workers usable earlier than was known.
+    /// Notified when workers change, which may move the next change of usability by time.
     workers_changed: Notify,
 }
 
-/// Runs the program until it is told to end.
+/// Runs the proxy until SIGTERM and the end of the graceful shutdown.
 ///
 /// # Errors
-/// An address can't be had.
+/// A missing setting, or an address that can't be bound.
 pub async fn serve(settings: Rc<Settings>) -> Result<()> {
     let mut signals = Signals::listen()?;
     let http = settings.listen.http.ok_or_else(|| eyre!("settings: `listen.http` is missing"))?;
@@ -149,8 +151,8 @@
     spawn_local(serve_calls(calls, proxy.clone()));
     spawn_local(control::run(proxy.clone()));
     spawn_local(relay::run(proxy.clone()));
-    spawn_local(proxy.clone().follow_time());
-    spawn_local(proxy.clone().tidy());
+    spawn_local(proxy.clone().refresh_on_time());
+    spawn_local(proxy.clone().run_maintenance());
     tokio::select! {
         _ = signals.terminate.recv() => {}
         () = connections.accept(&listener) => {}
@@ -167,28 +169,32 @@
 
 fn connection_settings(settings: &Settings) -> ConnectionSettings {
     ConnectionSettings {
-        clients_max: settings.limits.max_fds / CLIENT_SHARE,
-        idle_max: settings.limits.max_fds / IDLE_SHARE,
+        clients_max: settings.limits.max_fds / CLIENT_FD_DIVISOR,
+        idle_max: settings.limits.max_fds / IDLE_FD_DIVISOR,
         times: ClientTimes {
             first_head_timeout: IDLE_TIMEOUT,
             header_timeout: HEADER_TIMEOUT,
             idle_timeout: IDLE_TIMEOUT,
             write_timeout: WRITE_TIMEOUT,
         },
-        largest_head: HEAD_MAX,
+        largest_head: MAX_HEAD_BYTES,
     }
 }
 
 fn collect_settings(settings: &Settings) -> CollectSettings {
     CollectSettings {
-        limits: BodyLimits { longest: BODY_MAX, piece_timeout: PIECE_TIMEOUT, slowest: SLOWEST },
-        each_max: COLLECT_MAX,
-        together_max: (settings.limits.mem_mb as usize * (1 << 20)) / COLLECT_SHARE,
+        limits: BodyLimits {
+            longest: MAX_BODY_BYTES,
+            piece_timeout: BODY_CHUNK_TIMEOUT,
+            slowest: MIN_BODY_RATE,
+        },
+        each_max: MAX_BUFFERED_BODY_BYTES,
+        together_max: (settings.limits.mem_mb as usize * (1 << 20)) / BUFFER_MEMORY_DIVISOR,
     }
 }
 
 fn table_settings() -> TableSettings {
-    TableSettings { push_interval: micros(peers::PUSH_PERIOD) / 2, ..TableSettings::default() }
+    TableSettings { push_interval: micros(peers::PUSH_INTERVAL) / 2, ..TableSettings::default() }
 }
 
 fn micros(span: Duration) -> Micros {
@@ -198,12 +204,12 @@
 impl Proxy {
     fn new(settings: Rc<Settings>, http: SocketAddr) -> Proxy {
         let bounds = &settings.bounds;
-        let key_lease = bounds.revoke_strict.then(|| micros(bounds.revoke.saturating_sub(KEY_MARGIN)));
+        let key_lease = bounds.revoke_strict.then(|| micros(bounds.revoke.saturating_sub(KEY_LEASE_MARGIN)));
         let spans = Spans {
-            return_after: micros(RETURN_AFTER),
+            return_after: micros(ZONE_RETURN_DELAY),
             cold_margin: micros(COLD_MARGIN),
             key_lease,
-            part_lease: micros(PART_LEASE),
+            part_lease: micros(SHARE_LEASE),
             trials: hingestage_trial::Spans::default(),
         };
         let started = Instant::now();
@@ -217,13 +223,13 @@
             tenants: RefCell::new(TenantTable::new(0, Incarnation(incarnation), table_settings())),
             collector: Collector::new(Tokio, collect_settings(&settings)),
             registries: RefCell::default(),
-            near_heard_at: Cell::new(0),
+            nearby_answered_at: Cell::new(0),
             registries_changed: Notify::new(),
-            fetching_config: Fetching::default(),
+            config_fetches: FetchGuard::default(),
             relay: Relay::new(&settings.node),
             peer_socket: RefCell::default(),
-            loans: Loans::default(),
-            deferred: Deferred::default(),
+            borrowing: TokenBorrowing::default(),
+            deferred: DeferredRequests::default(),
             trial_counts: TrialCounts::default(),
             document: RefCell::default(),
             id: ProcessId { node: settings.node.as_str().into(), incarnation },
@@ -235,22 +241,22 @@
         }
     }
 
-    /// Microseconds since the start.
+    /// Microseconds since the start of the process.
     pub(crate) fn now(&self) -> Micros {
         self.started.elapsed().as_micros() as Micros
     }
 
-    /// Whether the process has been told to end.
+    /// Whether the process is shutting down.
     pub(crate) fn is_stopping(&self) -> bool {
         self.stopping.get()
     }
 
-    /// Whether clients are to be sent here.
+    /// Whether the proxy accepts clients' requests.
     pub(crate) fn is_ready(&self) -> bool {
         !self.is_stopping() && self.view.borrow().can_serve()
     }
 
-    /// What this proxy tells registries of itself.
+    /// This proxy's status, as sent to registries.
     pub(crate) fn status(&self) -> ProxyStatus {
         ProxyStatus {
             id: self.id.clone(),
@@ -262,8 +268,8 @@
         }
     }
 
-    /// Takes in which registries there are.
-    pub(crate) fn take_registries(&self, mut registries: Vec<RegistryAddress>) {
+    /// Updates the list of registries.
+    pub(crate) fn update_registries(&self, mut registries: Vec<RegistryAddress>) {
         registries.sort_unstable();
         let mut known = self.registries.borrow_mut();
         if *known != registries {
@@ -272,30 +278,36 @@
         }
     }
 
-    /// Whether a registry is one of those that this proxy asks often: those of its region, or a few where there is
-    /// none. One that is not known yet is asked often.
-    pub(crate) fn is_near(&self, addr: SocketAddr) -> bool {
+    /// Whether this proxy polls a registry often: those of its region, or a few others if there are none, and those
+    /// that are not listed yet.
+    pub(crate) fn is_nearby(&self, addr: SocketAddr) -> bool {
         let registries = self.registries.borrow();
         if !registries.iter().any(|registry| registry.addr == addr) {
             return true;
         }
-        let mut often: Vec<&RegistryAddress> =
+        let mut nearby: Vec<&RegistryAddress> =
             registries.iter().filter(|registry| !self.settings.is_far(&registry.zone)).collect();
-        if often.is_empty() {
+        if nearby.is_empty() {
             let number = |registry: &&RegistryAddress| hash_bytes(registry.addr.to_string().as_bytes());
-            often = choose(hash_bytes(self.settings.node.as_bytes()), registries.iter(), number, ASKED_OFTEN);
+            nearby = choose(
+                hash_bytes(self.settings.node.as_bytes()),
+                registries.iter(),
+                number,
+                NEARBY_REGISTRIES,
+            );
         }
-        often.iter().any(|registry| registry.addr == addr)
+        nearby.iter().any(|registry| registry.addr == addr)
     }
 
-    pub(crate) fn take_peers(&self, peers: Vec<ProxyStatus>) {
-        self.relay.take_peers(&peers, &self.settings.zone);
+    /// Updates the list of proxies.
+    pub(crate) fn update_peers(&self, peers: Vec<ProxyStatus>) {
+        self.relay.update_peers(&peers, &self.settings.zone);
         self.view.borrow_mut().take_peers(peers);
     }
 
-    /// Takes in a configuration. One that is a change to another than the one held, or that came out wrong, is
-    /// fetched again: the next question says what is held.
-    pub(crate) fn take_config(&self, transfer: ConfigTransfer) {
+    /// Applies a configuration if it is newer than the active one. A transfer that can't be unpacked, such as a delta
+    /// to another base version, is dropped; the next watch reports the version held here, so it is sent again.
+    pub(crate) fn apply_config(&self, transfer: ConfigTransfer) {
         let document = transfer.unpack(self.document.borrow().as_ref());
         let Some(document) = document else {
             log::warn!("configuration {:08x} can't be unpacked", transfer.version.serial);
@@ -307,40 +319,40 @@
         log::info!("configuration {:08x} in force", document.version.serial);
         if let Some(active) = self.view.borrow().active() {
             let backends = &active.configuration.backends;
-            self.services.keep_only(|name| backends.iter().any(|backend| backend.name == name));
+            self.services.retain(|name| backends.iter().any(|backend| backend.name == name));
         }
         *self.document.borrow_mut() = Some(document);
-        self.relay.pass_config_on(self.now(), transfer);
+        self.relay.offer_config(self.now(), transfer);
     }
 
-    /// Takes in news of services' workers.
-    pub(crate) fn take_services(&self, updates: Vec<ServiceUpdate>) {
+    /// Applies updates of worker lists.
+    pub(crate) fn apply_services(&self, updates: Vec<ServiceUpdate>) {
         let changed = self.view.borrow_mut().followed_mut().take(self.now(), updates);
         if changed.is_empty() {
             return;
         }
         self.services.refresh_those(&self.view.borrow(), self.now(), |name| changed.contains(name));
         self.workers_changed.notify_waiters();
-        self.relay.services_changed();
+        self.relay.notify_followers();
     }
 
-    /// Tells all services of workers that came, left or changed.
+    /// Updates the worker lists of all services after a change of the view.
     pub(crate) fn refresh_workers(&self) {
         self.services.refresh(&self.view.borrow(), self.now());
         self.workers_changed.notify_waiters();
     }
 
-    /// Notes this proxy's part of common limits.
-    pub(crate) fn part_changed(&self) {
+    /// Passes this proxy's share of global limits on to services and quotas.
+    pub(crate) fn update_part(&self) {
         let part = self.view.borrow().part();
         if part.valid_until > 0 {
-            self.services.set_proxies(part.gateways);
+            self.services.set_proxy_count(part.gateways);
         }
         self.tenants.borrow_mut().observe_part(self.now(), part);
     }
 
-    /// Workers become usable as time passes.
-    async fn follow_time(self: Rc<Self>) {
+    /// Updates worker lists whenever workers become usable by the passing of time.
+    async fn refresh_on_time(self: Rc<Self>) {
         loop {
             let changed = self.workers_changed.notified();
             let next = self.view.borrow().next_change(self.now());
@@ -356,20 +368,21 @@
         }
     }
 
-    async fn tidy(self: Rc<Self>) {
+    /// Closes idle connections and logs counters periodically.
+    async fn run_maintenance(self: Rc<Self>) {
         let mut logged = Vec::new();
         for round in 1u64.. {
-            tokio::time::sleep(TIDY_PERIOD).await;
+            tokio::time::sleep(MAINTENANCE_INTERVAL).await;
             self.services.retire_idle();
-            if round.is_multiple_of(COUNTERS_EVERY) {
+            if round.is_multiple_of(ROUNDS_PER_COUNTER_LOG) {
                 self.log_counters(&mut logged);
             }
         }
     }
 
-    /// Writes what became of requests since the start, where that has changed.
+    /// Logs request counters if they have changed since they were last logged.
     fn log_counters(&self, logged: &mut Vec<OutcomeCount>) {
-        let counts = self.requests.counters().occurred();
+        let counts = self.requests.counters().nonzero();
         if counts != *logged {
             let texts: Vec<String> =
                 counts.iter().map(|entry| format!("{} {}", entry.count, entry.outcome)).collect();
--- a/crates/proxy/src/services.rs
+++ b/crates/proxy/src/services.rs
@@ -1,4 +1,5 @@
-//! One driver of the decisions for each service, and for each set of regions that requests to it are bound to.
+//! Routing state of each service: one policy driver per service and set of allowed regions, and the list of workers
+//! that it may use.
 
 use crate::attempts::AttemptObserver;
 use crate::classes::{Classes, Terms};
@@ -21,48 +22,52 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// Attempts that one request may have at the most, whatever its route says.
-const ATTEMPTS_MAX: usize = 8;
-/// The longest advice to come again that clients follow, microseconds.
-const RETRY_AFTER_MAX: Micros = 1_000_000;
-/// A connection to a worker not established by then never is.
+/// Upper limit of attempts per request, whatever the route allows.
+const MAX_ATTEMPTS: usize = 8;
+/// Longest `retry-after` that clients honour, microseconds.
+const MAX_RETRY_AFTER: Micros = 1_000_000;
+/// Timeout for opening a connection to a worker.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
-/// A worker closes a connection that has been idle for so long.
-const WORKER_IDLE: Duration = Duration::from_secs(10);
-/// Descriptors that connections to workers may take, as a part of all.
-const WORKER_DESCRIPTORS: usize = 2;
-/// Services, with regions, that are served at the most.
-const SERVICES_MAX: usize = 4_096;
-/// Proxies that there are taken to be before that is known.
-const PROXIES_UNKNOWN: u32 = 16;
-/// Part of the slack of the budget of further attempts that is planned with, and what one proxy has at the least.
-const RETRY_SLACK_USED: f64 = 0.35;
-const RETRIES_LEAST: f64 = 1.0;
-/// Part of what a cold worker may get in a second that all proxies together may come to, one request each.
-const COLD_LIMIT_USED: f64 = 0.7;
-/// Seconds between two requests of one proxy to a cold worker at the least: more than one, so that two never arrive
-/// within one second though the first was held up on its way.
-const COLD_PAUSE: f64 = 1.4;
-/// What the decisions take the capacity of a cold worker for, and for how long at the most, microseconds.
+/// Idle time after which a worker closes a connection.
+const WORKER_IDLE_TIMEOUT: Duration = Duration::from_secs(10);
+/// Connections to workers may use one in this many file descriptors.
+const WORKER_FD_DIVISOR: usize = 2;
+/// Maximum number of service keys with routing state.
+const MAX_SERVICES: usize = 4_096;
+/// Number of proxies assumed until the registries report it.
+const INITIAL_PROXY_COUNT: u32 = 16;
+/// Fraction of the retry budget's slack that all proxies together may save up.
+const PLANNED_RETRY_SLACK: f64 = 0.35;
+/// Minimum number of retries that a driver may save up.
+const MIN_SAVED_RETRIES: f64 = 1.0;
+/// Fraction of a cold worker's request limit that all proxies together may use.
+const PLANNED_COLD_LIMIT: f64 = 0.7;
+/// Minimum interval between two requests of one proxy to a cold worker, seconds. Above one second, so that a delayed
+/// first request doesn't arrive within the same second as the next.
+const MIN_COLD_INTERVAL_SECS: f64 = 1.4;
+/// Relative capacity that the policy assumes for a cold worker.
 const COLD_CAPACITY: f64 = 0.5;
-const COLD_LONGEST: Micros = 3_600_000_000;
-/// The tiers of workers: in this proxy's zone, in its region, elsewhere.
+/// Longest time that the policy treats a worker as cold, microseconds.
+const MAX_COLD_TIME: Micros = 3_600_000_000;
+/// Preference tier of workers in this proxy's zone.
 const TIER_ZONE: u32 = 0;
+/// Preference tier of workers in this proxy's region.
 const TIER_REGION: u32 = 1;
-const TIER_FAR: u32 = 2;
+/// Preference tier of workers in other regions.
+const TIER_REMOTE: u32 = 2;
 
-/// A service, and the regions that requests to it are bound to (none: any).
+/// A service and the regions whose workers may serve it.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ServiceKey {
     /// Name of the service.
     pub service: CompactString,
-    /// Regions, sorted; empty where any will do.
+    /// Allowed regions, sorted; empty allows all.
     pub regions: Vec<CompactString>,
 }
 
 impl ServiceKey {
-    /// A service within the regions that both of two lists allow; an empty list allows all. None where nothing
-    /// is left.
+    /// Restricts a service to the regions that both the route and the tenant allow; an empty list allows all. `None`
+    /// if no region is left.
     pub fn within(service: &str, route: &[CompactString], tenant: &[CompactString]) -> Option<ServiceKey> {
         let mut regions: Vec<CompactString> = match (route, tenant) {
             ([], all) | (all, []) => all.to_vec(),
@@ -77,18 +82,18 @@
     }
 }
 
-/// The decisions about one service.
+/// Routing state of one service key.
 pub struct Service {
-    /// Carries them out.
+    /// Admits requests, selects workers and sends attempts.
     pub driver: Rc<Driver<Tokio>>,
     dialect: Rc<WorkerDialect>,
     classes: RefCell<Classes>,
 }
 
 impl Service {
-    /// The class for some terms.
-    pub fn class(&self, terms: Terms) -> ClassId {
-        let (class, changed) = self.classes.borrow_mut().find(terms);
+    /// Returns the request class for a route's terms, and updates the policy if the set of classes has changed.
+    pub fn class_for(&self, terms: Terms) -> ClassId {
+        let (class, changed) = self.classes.borrow_mut().find_or_insert(terms);
         if changed {
             let classes = self.classes.borrow().all();
             let terms = hingestage_policy::Terms { classes, plans: vec![Plan::default()] };
@@ -98,40 +103,40 @@
     }
 }
 
-/// How a cold worker may be used.
+/// Rate limit of a cold worker.
 #[derive(Clone, Copy)]
 struct ColdStart {
-    /// Since when it has been cold, on the decisions' clock.
+    /// When the worker was first seen cold, on the driver's clock.
     since: Micros,
-    /// Requests a second from this proxy and set of decisions.
+    /// Requests per second that one driver may send to the worker.
     rate: f64,
 }
 
-/// A worker as the decisions know it.
-struct Numbered {
-    number: WorkerId,
+/// A listed worker.
+struct KnownWorker {
+    id: WorkerId,
     service: CompactString,
 }
 
-/// All services.
+/// Routing state of all services.
 pub struct Services {
     settings: Rc<Settings>,
-    /// The proxy's clock counts from here.
+    /// Origin of the proxy's clock.
     started: Instant,
     platform: Tokio,
     requests: Rc<RequestLog>,
     services: RefCell<BTreeMap<ServiceKey, Rc<Service>>>,
-    /// Workers by id.
-    numbers: RefCell<HashMap<CompactString, Numbered>>,
-    /// Since when each cold worker has been, on the decisions' clock.
+    /// Workers by the id that they register under.
+    workers: RefCell<HashMap<CompactString, KnownWorker>>,
+    /// When each cold worker was first seen cold, on the driver's clock.
     cold_since: RefCell<HashMap<WorkerId, Micros>>,
-    next: Cell<u64>,
-    /// How many proxies there are.
-    proxies: Cell<u32>,
+    next_worker_id: Cell<u64>,
+    /// Number of proxies that share the limits.
+    proxy_count: Cell<u32>,
 }
 
 impl Services {
-    /// None is known.
+    /// Creates an empty set of services.
     pub fn new(settings: Rc<Settings>, started: Instant, platform: Tokio, requests: Rc<RequestLog>) -> Self {
         Services {
             settings,
@@ -139,36 +144,36 @@
             platform,
             requests,
             services: RefCell::default(),
-            numbers: RefCell::default(),
+            workers: RefCell::default(),
             cold_since: RefCell::default(),
-            next: Cell::new(1),
-            proxies: Cell::new(PROXIES_UNKNOWN),
+            next_worker_id: Cell::new(1),
+            proxy_count: Cell::new(INITIAL_PROXY_COUNT),
         }
     }
 
-    /// The decisions about a service, made when it is first asked for.
+    /// Returns the routing state of a service, created on first use; `None` at the limit of services.
     pub fn get(&self, key: ServiceKey, view: &View, now: Micros) -> Option<Rc<Service>> {
         if let Some(service) = self.services.borrow().get(&key) {
             return Some(service.clone());
         }
-        if self.services.borrow().len() >= SERVICES_MAX {
+        if self.services.borrow().len() >= MAX_SERVICES {
             return None;
         }
-        let service = Rc::new(self.make());
-        self.feed_workers(&key, &service, view, now);
+        let service = Rc::new(self.create_service());
+        self.update_workers(&key, &service, view, now);
         self.services.borrow_mut().insert(key, service.clone());
         Some(service)
     }
 
-    fn make(&self) -> Service {
+    fn create_service(&self) -> Service {
         let dialect = Rc::new(WorkerDialect::default());
         let settings = DriverSettings {
-            policy: self.policy(),
+            policy: self.policy_settings(),
             seed: fastrand::u64(..),
-            class_names: (0..crate::classes::CLASSES).map(|class| format!("class-{class}")).collect(),
-            workers_max: self.settings.limits.max_fds / WORKER_DESCRIPTORS,
+            class_names: (0..crate::classes::CLASS_COUNT).map(|class| format!("class-{class}")).collect(),
+            workers_max: self.settings.limits.max_fds / WORKER_FD_DIVISOR,
             connect_timeout: CONNECT_TIMEOUT,
-            worker_idle: WORKER_IDLE,
+            worker_idle: WORKER_IDLE_TIMEOUT,
             dialect: dialect.clone() as Rc<dyn Dialect>,
         };
         let observer = Rc::new(AttemptObserver::new(self.requests.clone(), dialect.clone()));
@@ -176,48 +181,52 @@
         Service { driver, dialect, classes: RefCell::default() }
     }
 
-    fn policy(&self) -> PolicySettings {
-        let instances = self.proxies.get().max(1);
+    fn policy_settings(&self) -> PolicySettings {
+        let instances = self.proxy_count.get().max(1);
         PolicySettings {
             instances,
-            // Any number below that will do, as long as proxies have different ones: it spreads them over workers.
+            // Derived from the node's name, so that proxies spread their choices over workers.
             me: (digest(self.settings.node.as_bytes()) % u64::from(instances)) as u32,
             resolution: 1_000,
             zone: Zone(self.settings.zone.clone()),
             most_units: 1.0,
             classes: Classes::default().all(),
             plans: vec![Plan::default()],
-            rules: RuleFigures { cold_from: COLD_CAPACITY, cold_for: COLD_LONGEST, ..RuleFigures::default() },
+            rules: RuleFigures {
+                cold_from: COLD_CAPACITY,
+                cold_for: MAX_COLD_TIME,
+                ..RuleFigures::default()
+            },
             limits: Limits {
-                max_attempts: ATTEMPTS_MAX,
+                max_attempts: MAX_ATTEMPTS,
                 second_copies: false,
                 cancel: true,
-                max_retry_after: RETRY_AFTER_MAX,
-                retries_saved: self.retries_saved(),
+                max_retry_after: MAX_RETRY_AFTER,
+                retries_saved: self.max_saved_retries(),
                 refusals_promise: true,
             },
             ..PolicySettings::default()
         }
     }
 
-    /// Further attempts that one set of decisions may save up: all proxies' together stay within the slack that
-    /// the rules leave beside the ratio, for each service and the sets of regions that it is asked for in.
-    fn retries_saved(&self) -> f64 {
-        let planned = self.settings.bounds.retry_slack * RETRY_SLACK_USED;
-        (planned / f64::from(self.proxies.get().max(1))).max(RETRIES_LEAST)
+    /// Retries that one driver may save up. Divided among the proxies, so that all together stay within the slack
+    /// that the retry budget allows beyond its ratio.
+    fn max_saved_retries(&self) -> f64 {
+        let planned = self.settings.bounds.retry_slack * PLANNED_RETRY_SLACK;
+        (planned / f64::from(self.proxy_count.get().max(1))).max(MIN_SAVED_RETRIES)
     }
 
-    /// Notes how many proxies there are, for services that are made from now on.
-    pub fn set_proxies(&self, proxies: u32) {
-        self.proxies.set(proxies);
+    /// Sets the number of proxies, for services that are created afterwards.
+    pub fn set_proxy_count(&self, proxies: u32) {
+        self.proxy_count.set(proxies);
     }
 
-    /// Brings all services' workers up to date.
+    /// Updates the worker lists of all services from the view.
     pub fn refresh(&self, view: &View, now: Micros) {
         self.refresh_those(view, now, |_| true);
     }
 
-    /// Brings the workers of some services up to date.
+    /// Updates the worker lists of the services that match `changed`.
     pub fn refresh_those(&self, view: &View, now: Micros, changed: impl Fn(&CompactString) -> bool) {
         let services: Vec<(ServiceKey, Rc<Service>)> = {
             let services = self.services.borrow();
@@ -225,118 +234,124 @@
             changed.map(|(key, service)| (key.clone(), service.clone())).collect()
         };
         for (key, service) in services {
-            self.feed_workers(&key, &service, view, now);
+            self.update_workers(&key, &service, view, now);
         }
-        self.forget_unlisted(view, changed);
+        self.remove_unlisted(view, changed);
     }
 
-    fn forget_unlisted(&self, view: &View, changed: impl Fn(&CompactString) -> bool) {
+    /// Forgets workers of changed services that are no longer listed.
+    fn remove_unlisted(&self, view: &View, changed: impl Fn(&CompactString) -> bool) {
         let mut cold_since = self.cold_since.borrow_mut();
-        self.numbers.borrow_mut().retain(|id, worker| {
-            let listed = !changed(&worker.service) || view.lists(&worker.service, id);
+        self.workers.borrow_mut().retain(|id, worker| {
+            let listed = !changed(&worker.service) || view.is_listed(&worker.service, id);
             if !listed {
-                cold_since.remove(&worker.number);
+                cold_since.remove(&worker.id);
             }
             listed
         });
     }
 
-    /// Forgets services that no configuration names any more.
-    pub fn keep_only(&self, named: impl Fn(&str) -> bool) {
-        self.services.borrow_mut().retain(|key, _| named(&key.service));
+    /// Drops the routing state of services for which `configured` is false.
+    pub fn retain(&self, configured: impl Fn(&str) -> bool) {
+        self.services.borrow_mut().retain(|key, _| configured(&key.service));
     }
 
-    /// Closes connections to workers that have been idle for long.
+    /// Closes connections to workers that have been idle too long.
     pub fn retire_idle(&self) {
         self.services.borrow().values().for_each(|service| service.driver.workers.retire_idle());
     }
 
-    fn micros(&self) -> Micros {
+    /// Time on the proxy's clock.
+    fn now(&self) -> Micros {
         self.started.elapsed().as_micros() as Micros
     }
 
-    fn number(&self, worker: &WorkerRecord) -> WorkerId {
-        let mut numbers = self.numbers.borrow_mut();
-        let numbered = numbers.entry(worker.id.clone()).or_insert_with(|| {
-            let number = WorkerId(self.next.replace(self.next.get() + 1));
-            Numbered { number, service: worker.service.clone() }
+    /// Returns a worker's id within this process, assigned on first use.
+    fn worker_id(&self, worker: &WorkerRecord) -> WorkerId {
+        let mut workers = self.workers.borrow_mut();
+        let known = workers.entry(worker.id.clone()).or_insert_with(|| {
+            let id = WorkerId(self.next_worker_id.replace(self.next_worker_id.get() + 1));
+            KnownWorker { id, service: worker.service.clone() }
         });
-        numbered.number
+        known.id
     }
 
-    fn feed_workers(&self, key: &ServiceKey, service: &Service, view: &View, now: Micros) {
+    /// Passes the eligible workers of a service to its driver, and drops all others.
+    fn update_workers(&self, key: &ServiceKey, service: &Service, view: &View, now: Micros) {
         let mut infos = Vec::new();
-        let mut named = HashSet::new();
+        let mut listed = HashSet::new();
         for (worker, usability) in
-            view.workers_of(now, &key.service).filter(|(worker, _)| self.serves(key, worker))
+            view.workers_of(now, &key.service).filter(|(worker, _)| self.is_eligible(key, worker))
         {
-            let number = self.number(worker);
-            let cold = self.cold_start(service, number, usability, worker, view);
+            let id = self.worker_id(worker);
+            let cold = self.cold_start(service, id, usability, worker, view);
             let ready = usability == Usability::Ready || cold.is_some();
-            service.dialect.name(number, &worker.id);
-            service.driver.workers.list(number, worker.addr, number.0, ready);
-            named.insert(number);
-            infos.push(self.info(number, worker, ready, cold));
+            service.dialect.insert(id, &worker.id);
+            service.driver.workers.list(id, worker.addr, id.0, ready);
+            listed.insert(id);
+            infos.push(self.worker_info(id, worker, ready, cold));
         }
-        service.driver.workers.keep_only(&named);
-        service.dialect.keep_only(|worker| named.contains(&worker));
+        service.driver.workers.keep_only(&listed);
+        service.dialect.retain(|worker| listed.contains(&worker));
         service.driver.list_workers(WorkerList { scope: ListScope::Full, workers: infos });
     }
 
-    /// How a cold worker may be used. All proxies know how cold it is, each sends it one request at a time, and so
-    /// seldom that all together stay below what it bears; where they are too many for that, none sends it any.
+    /// Returns the rate limit for a cold worker, or `None` if the worker must not get requests as a cold one. Every
+    /// driver of every proxy sends one request per interval, and the interval keeps their sum below the worker's
+    /// limit. With too many senders for that, the worker gets no requests until it is warm.
     fn cold_start(
         &self,
         service: &Service,
-        number: WorkerId,
+        id: WorkerId,
         usability: Usability,
         worker: &WorkerRecord,
         view: &View,
     ) -> Option<ColdStart> {
         if usability != Usability::Cold {
-            self.cold_since.borrow_mut().remove(&number);
+            self.cold_since.borrow_mut().remove(&id);
             return None;
         }
-        let proxies = view.sharers(self.micros())?;
+        let proxies = view.sharing_proxies(self.now())?;
         let backend = view.active()?.configuration.backends.iter().find(|b| b.name == worker.service)?;
         let bounds = &self.settings.bounds;
         let limit = backend.cold_per_s * bounds.cold_excess + bounds.cold_slack;
-        let senders = f64::from(proxies) * self.sets_of(&worker.service) as f64;
-        if senders > limit * COLD_LIMIT_USED || backend.cold_per_s <= 0.0 {
+        let senders = f64::from(proxies) * self.driver_count(&worker.service) as f64;
+        if senders > limit * PLANNED_COLD_LIMIT || backend.cold_per_s <= 0.0 {
             return None;
         }
-        let since = *self.cold_since.borrow_mut().entry(number).or_insert_with(|| service.driver.micros());
-        let pause = COLD_PAUSE * (senders / backend.cold_per_s).max(1.0);
-        Some(ColdStart { since, rate: 1.0 / pause })
+        let since = *self.cold_since.borrow_mut().entry(id).or_insert_with(|| service.driver.micros());
+        let interval = MIN_COLD_INTERVAL_SECS * (senders / backend.cold_per_s).max(1.0);
+        Some(ColdStart { since, rate: 1.0 / interval })
     }
 
-    /// Sets of decisions about one service.
-    fn sets_of(&self, service: &str) -> usize {
+    /// Number of drivers for one service, one per set of regions.
+    fn driver_count(&self, service: &str) -> usize {
         let services = self.services.borrow();
         services.keys().filter(|key| key.service == service).count().max(1)
     }
 
-    /// Whether a worker may get a service's requests at all.
-    fn serves(&self, key: &ServiceKey, worker: &WorkerRecord) -> bool {
+    /// Whether a worker belongs to a service and to one of its allowed regions.
+    fn is_eligible(&self, key: &ServiceKey, worker: &WorkerRecord) -> bool {
         let region = self.settings.region_of(&worker.zone);
         let allowed = |region: &str| key.regions.iter().any(|allowed| allowed == region);
         worker.service == key.service && (key.regions.is_empty() || region.is_some_and(allowed))
     }
 
-    /// Nearer workers come first: bytes between zones and regions cost.
+    /// Preference tier of a worker: nearer ones come first, as traffic between zones and regions costs money.
     fn tier(&self, worker: &WorkerRecord) -> u32 {
         if worker.zone == self.settings.zone {
             TIER_ZONE
         } else if self.settings.region_of(&worker.zone) == Some(&self.settings.region) {
             TIER_REGION
         } else {
-            TIER_FAR
+            TIER_REMOTE
         }
     }
 
-    fn info(
+    /// Describes a worker to the policy.
+    fn worker_info(
         &self,
-        number: WorkerId,
+        id: WorkerId,
         worker: &WorkerRecord,
         ready: bool,
         cold: Option<ColdStart>,
@@ -349,7 +364,7 @@
             tier: self.tier(worker),
             started: cold.map(|cold| cold.since),
             cold_rate: cold.map(|cold| cold.rate),
-            ..WorkerInfo::ready(number)
+            ..WorkerInfo::ready(id)
         }
     }
 }
--- a/crates/proxy/src/trial_counts.rs
+++ b/crates/proxy/src/trial_counts.rs
@@ -1,4 +1,4 @@
-//! What became of the requests of trial tenants, by class.
+//! Counters of trial tenants' requests by class and admission result.
 
 use compact_str::CompactString;
 use hingestage_rpc::status::RequestOutcome;
@@ -7,13 +7,13 @@
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 
-/// Counts since the start of the process.
+/// Counters since the start of the process.
 #[derive(Default)]
 pub(crate) struct TrialCounts(RefCell<BTreeMap<CompactString, [TrialCount; 3]>>);
 
 impl TrialCounts {
-    /// A request of a trial tenant was let pass, or refused for some reason.
-    pub fn note(&self, tenant: &CompactString, class: RequestClass, refused: Option<RequestOutcome>) {
+    /// Counts a request of a trial tenant as admitted, or as refused with an outcome.
+    pub fn record(&self, tenant: &CompactString, class: RequestClass, refused: Option<RequestOutcome>) {
         let mut tenants = self.0.borrow_mut();
         if tenants.len() >= TRIALS_MAX && !tenants.contains_key(tenant) {
             return;
@@ -27,7 +27,7 @@
         }
     }
 
-    /// A tenant's counts.
+    /// Counters of a tenant, by class.
     pub fn of(&self, tenant: &str) -> [TrialCount; 3] {
         self.0.borrow().get(tenant).copied().unwrap_or_default()
     }
--- a/crates/proxy/src/view.rs
+++ b/crates/proxy/src/view.rs
@@ -1,4 +1,4 @@
-//! What a proxy knows of the system: configuration, evacuated zones, workers, and how recent all that is.
+//! A proxy's view of the system: configuration, zone drains, workers, peers, trials, and the age of this data.
 
 use compact_str::CompactString;
 use hingestage_configuration::{Configuration, KeyTable, RouteTable};
@@ -12,30 +12,30 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// Microseconds in a millisecond.
+/// Microseconds per millisecond.
 const MILLI: Micros = 1_000;
 
-/// Spans that the view goes by.
+/// Time spans that the view applies.
 #[derive(Clone, Copy, Debug)]
 pub struct Spans {
-    /// After a zone is taken back, its workers wait for so long: they may be cold, and a list that says so has to
-    /// come first.
+    /// Delay before a zone's workers get requests after the end of a drain, so that a list that marks cold workers
+    /// arrives first.
     pub return_after: Micros,
-    /// Added to the time for which a worker is said to stay cold.
+    /// Safety margin added to the announced cold time of a worker.
     pub cold_margin: Micros,
-    /// Age of news from the registries up to which keys are believed; none where old news will do.
+    /// Maximum age of the registries' data with which API keys are accepted; `None` for no limit.
     pub key_lease: Option<Micros>,
-    /// Age of news from the registries up to which a part of a common limit may be used.
+    /// Maximum age of the registries' data with which a share of a global limit may be used.
     pub part_lease: Micros,
-    /// Spans by which steps of trials take effect.
+    /// Time spans of trials.
     pub trials: hingestage_trial::Spans,
 }
 
-/// A configuration in force.
+/// The active configuration with its lookup tables.
 pub struct Active {
-    /// Its version.
+    /// Version of the configuration.
     pub version: ConfigVersion,
-    /// The document.
+    /// The parsed document.
     pub configuration: Configuration,
     /// Routes by host and path.
     pub routes: RouteTable,
@@ -43,25 +43,26 @@
     pub keys: KeyTable,
 }
 
-/// Whether a worker may get requests, as far as is known.
+/// Whether a worker may get requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Usability {
-    /// It may.
+    /// Gets requests.
     Ready,
-    /// It keeps what it has and gets nothing new.
-    Leaving,
-    /// It bears little for now.
+    /// Finishes its open requests and gets no new ones.
+    Draining,
+    /// Recently started; gets requests only at a limited rate.
     Cold,
 }
 
-/// What a proxy knows.
+/// A proxy's view of the system.
 pub struct View {
     spans: Spans,
     active: Option<Rc<Active>>,
     drains: ZoneDrains,
-    returned_at: BTreeMap<CompactString, Micros>,
+    /// When the last drain of each zone ended.
+    drain_ended_at: BTreeMap<CompactString, Micros>,
     workers: Follower,
-    /// The latest moment at which nothing newer than `active` can have been acknowledged.
+    /// Latest time at which no newer configuration than `active` had been acknowledged.
     freshness: Freshness,
     members: u32,
     settled: bool,
@@ -70,13 +71,13 @@
 }
 
 impl View {
-    /// Nothing is known.
+    /// Creates an empty view.
     pub fn new(spans: Spans) -> Self {
         View {
             spans,
             active: None,
             drains: ZoneDrains::new(),
-            returned_at: BTreeMap::new(),
+            drain_ended_at: BTreeMap::new(),
             workers: Follower::default(),
             freshness: Freshness::default(),
             members: 0,
@@ -86,32 +87,32 @@
         }
     }
 
-    /// The configuration in force.
+    /// The active configuration.
     pub fn active(&self) -> Option<&Rc<Active>> {
         self.active.as_ref()
     }
 
-    /// Version of the configuration in force.
+    /// Version of the active configuration.
     pub fn config_version(&self) -> Option<ConfigVersion> {
         self.active.as_ref().map(|active| active.version)
     }
 
-    /// Version up to which all changes of workers are known.
+    /// Version up to which all worker changes are applied.
     pub fn workers_version(&self) -> WorkersVersion {
         self.workers.catalog().version()
     }
 
-    /// Workers by service, and what is lacking of them.
+    /// Worker lists by service, and which updates are missing.
     pub fn followed(&self) -> &Follower {
         &self.workers
     }
 
-    /// The same, to be told news.
+    /// Worker lists, for updates.
     pub fn followed_mut(&mut self) -> &mut Follower {
         &mut self.workers
     }
 
-    /// What is known, in short.
+    /// Versions of the data held here, as sent to registries.
     pub fn have(&self) -> Have {
         Have {
             config: self.config_version(),
@@ -123,22 +124,22 @@
         }
     }
 
-    /// The other proxies, as last told.
+    /// All proxies, as last listed by a registry.
     pub fn peers(&self) -> &[ProxyStatus] {
         &self.peers
     }
 
-    /// Takes in which proxies there are.
+    /// Replaces the list of proxies.
     pub fn take_peers(&mut self, peers: Vec<ProxyStatus>) {
         self.peers = peers;
     }
 
-    /// Takes a configuration in, unless the one in force is as new. Tells whether it is in force now.
+    /// Activates a configuration if it is valid and newer than the active one. Returns whether it was activated.
     pub fn take_config(&mut self, document: &ConfigDocument) -> bool {
         if self.active.as_ref().is_some_and(|active| active.version >= document.version) {
             return false;
         }
-        // Registries hand out only what they checked; another build of them might have checked less.
+        // Registries validate configurations, but another version of them may validate less.
         let Ok(configuration) = Configuration::parse(&document.json) else { return false };
         let routes = RouteTable::new(&configuration);
         let keys = KeyTable::new(&configuration);
@@ -146,8 +147,7 @@
         true
     }
 
-    /// Takes in which zones are evacuated; of two orders about one zone the later holds. Tells whether anything
-    /// changed.
+    /// Merges zone drains; the later order for a zone wins. Returns whether anything changed.
     pub fn take_drains(&mut self, now: Micros, drains: &ZoneDrains) -> bool {
         let mut changed = false;
         for (zone, drain) in drains {
@@ -155,9 +155,9 @@
             if held >= Some(*drain) {
                 continue;
             }
-            let returns = held.is_some_and(|held| held.drained) && !drain.drained;
-            if returns {
-                self.returned_at.insert(zone.clone(), now);
+            let drain_ends = held.is_some_and(|held| held.drained) && !drain.drained;
+            if drain_ends {
+                self.drain_ended_at.insert(zone.clone(), now);
             }
             self.drains.insert(zone.clone(), *drain);
             changed = true;
@@ -165,23 +165,23 @@
         changed
     }
 
-    /// Takes in what a registry told of trials; `told_at` is when its answer came.
-    pub fn take_trials(&mut self, told_at: Micros, news: Vec<TrialNews>) {
-        self.trials.take(told_at, news);
+    /// Applies trial updates from a registry's answer that was received at `received_at`.
+    pub fn take_trials(&mut self, received_at: Micros, updates: Vec<TrialNews>) {
+        self.trials.take(received_at, updates);
     }
 
-    /// By what a request of a tenant is judged that begins now.
+    /// Returns the trial state that applies to a request of a tenant that starts now.
     pub fn judge_trial(&mut self, now: Micros, tenant: &str) -> Judgement {
         self.trials.judge(now, tenant)
     }
 
-    /// The trials that are known.
+    /// All known trials.
     pub fn trials(&self) -> &TrialBook {
         &self.trials
     }
 
-    /// Takes in how recent the news is: asked for at `asked_at`, and `age` old when it was answered. It counts
-    /// only where what it speaks of is in force here; trials of the same answer are taken in before.
+    /// Records how fresh an answer is: requested at `asked_at`, with data `age` milliseconds old when it was sent. It
+    /// counts only if the answer's configuration is active here. Apply the answer's trials first.
     pub fn take_freshness(&mut self, asked_at: Micros, age: Option<u64>, config: Option<ConfigVersion>) {
         self.trials.take_freshness(asked_at, age);
         let up_to_date = self.config_version() >= config;
@@ -190,18 +190,18 @@
         }
     }
 
-    /// Takes in how many proxies share common limits, and whether this one may use its part.
+    /// Updates the number of proxies that share global limits, and whether this one may use its share.
     pub fn take_members(&mut self, members: u32, settled: bool) {
         self.members = self.members.max(members);
         self.settled |= settled;
     }
 
-    /// All workers, and whether each may get requests now.
+    /// All workers with their current usability.
     pub fn workers(&self, now: Micros) -> impl Iterator<Item = (&WorkerRecord, Usability)> {
         self.workers.catalog().workers().map(move |listed| (&listed.record, self.usability(now, listed)))
     }
 
-    /// A service's workers, and whether each may get requests now.
+    /// A service's workers with their current usability.
     pub fn workers_of(&self, now: Micros, service: &str) -> impl Iterator<Item = (&WorkerRecord, Usability)> {
         let workers = self.workers.catalog().service(service).into_iter().flat_map(|list| list.workers());
         workers.map(move |listed| (&listed.record, self.usability(now, listed)))
@@ -210,10 +210,10 @@
     fn usability(&self, now: Micros, listed: &Listed) -> Usability {
         let worker = &listed.record;
         let drained = self.drains.get(&worker.zone).is_some_and(|drain| drain.drained);
-        let returned = self.returned_at.get(&worker.zone);
-        let returning = returned.is_some_and(|at| now < at + self.spans.return_after);
+        let drain_ended = self.drain_ended_at.get(&worker.zone);
+        let returning = drain_ended.is_some_and(|at| now < at + self.spans.return_after);
         if worker.draining || drained || returning {
-            return Usability::Leaving;
+            return Usability::Draining;
         }
         if self.cold_until(listed).is_some_and(|until| now < until) {
             Usability::Cold
@@ -222,9 +222,9 @@
         }
     }
 
-    /// When a worker next becomes usable by mere passing of time.
+    /// Next time at which the usability of a worker changes without an update.
     pub fn next_change(&self, now: Micros) -> Option<Micros> {
-        let returns = self.returned_at.values().map(|at| at + self.spans.return_after);
+        let returns = self.drain_ended_at.values().map(|at| at + self.spans.return_after);
         let warm = self.workers.catalog().workers().filter_map(|listed| self.cold_until(listed));
         returns.chain(warm).filter(|at| *at > now).min()
     }
@@ -233,51 +233,51 @@
         listed.cold_until.map(|until| until + self.spans.cold_margin)
     }
 
-    /// Whether a worker is on the list of its service.
-    pub fn lists(&self, service: &str, id: &str) -> bool {
+    /// Whether a worker is listed for a service.
+    pub fn is_listed(&self, service: &str, id: &str) -> bool {
         self.workers.catalog().service(service).is_some_and(|list| list.lists(id))
     }
 
-    /// Whether keys may be believed: none that was taken away long ago can be unknown to this proxy.
-    pub fn keys_hold(&self, now: Micros) -> bool {
-        self.keys_hold_until().is_none_or(|until| now < until)
+    /// Whether API keys may be accepted: the view is fresh enough to include all revocations that must be in effect.
+    pub fn keys_valid(&self, now: Micros) -> bool {
+        self.keys_valid_until().is_none_or(|until| now < until)
     }
 
-    /// Until when keys may be believed without further news; none where they always may.
-    pub fn keys_hold_until(&self) -> Option<Micros> {
+    /// When API keys expire without a fresh answer; `None` for no limit.
+    pub fn keys_valid_until(&self) -> Option<Micros> {
         let lease = self.spans.key_lease?;
         Some(self.freshness.lease_until(lease))
     }
 
-    /// The latest moment at which nothing newer than what is in force here can have been acknowledged.
+    /// Latest time at which no newer configuration than the active one had been acknowledged.
     pub fn freshness(&self) -> Freshness {
         self.freshness
     }
 
-    /// Proxies that share common limits, as far as is known.
+    /// Number of proxies that share global limits.
     pub fn members(&self) -> u32 {
         self.members
     }
 
-    /// Whether this proxy may use its part of common limits.
+    /// Whether registries have settled this proxy, so that it may use its share of global limits.
     pub fn settled(&self) -> bool {
         self.settled
     }
 
-    /// This proxy's part of what all share.
+    /// This proxy's share of global limits, and until when it may be used.
     pub fn part(&self) -> Part {
-        let holds = self.settled && self.members > 0;
-        let valid_until = if holds { self.freshness.lease_until(self.spans.part_lease) } else { 0 };
+        let valid = self.settled && self.members > 0;
+        let valid_until = if valid { self.freshness.lease_until(self.spans.part_lease) } else { 0 };
         Part { gateways: self.members.max(1), valid_until }
     }
 
-    /// Proxies that share common limits, while this one has a part of them.
-    pub fn sharers(&self, now: Micros) -> Option<u32> {
+    /// Number of proxies that share global limits; `None` while this one has no valid share.
+    pub fn sharing_proxies(&self, now: Micros) -> Option<u32> {
         let part = self.part();
         (now < part.valid_until).then_some(part.gateways)
     }
 
-    /// Whether clients can be served.
+    /// Whether there is a configuration and a worker to serve requests.
     pub fn can_serve(&self) -> bool {
         self.active.is_some() && !self.workers.catalog().is_empty()
     }
--- a/crates/proxy/tests/dialect.rs
+++ b/crates/proxy/tests/dialect.rs
@@ -1,4 +1,4 @@
-//! What goes to a worker, and what its answers are taken for.
+//! Headers sent to workers and the classification of their responses.
 
 use bytes::Bytes;
 use hingestage_dataplane::body::RequestBody;
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn a_success_counts_only_with_its_seal_its_id_and_no_encoding() {
+fn success_requires_seal_and_id_and_no_content_encoding() {
     assert_eq!(outcome(200, &[ID, SEAL]), Outcome::Ok);
     assert_eq!(outcome(204, &[ID, SEAL]), Outcome::Ok);
     assert_eq!(outcome(200, &[ID]), Outcome::Spoilt, "no seal");
@@ -57,17 +57,17 @@
 }
 
 #[test]
-fn an_answer_to_another_request_says_nothing_of_this_one() {
+fn response_to_another_request_is_unusable() {
     assert_eq!(outcome(200, &[OTHER_ID, SEAL]), Outcome::Spoilt);
     assert_eq!(outcome(503, &[OTHER_ID, NOT_RUN]), Outcome::Spoilt, "this one may have run");
     assert_eq!(outcome(421, &[OTHER_ID]), Outcome::Spoilt);
 }
 
 #[test]
-fn only_a_421_and_not_run_say_that_a_request_has_not_run() {
+fn only_421_and_the_not_run_header_mean_that_a_request_has_not_run() {
     for status in [400, 429, 503] {
         assert_eq!(outcome(status, &[ID, NOT_RUN]), Outcome::Full, "{status}");
-        assert_eq!(outcome(status, &[ID]), Outcome::Error, "{status} without the word");
+        assert_eq!(outcome(status, &[ID]), Outcome::Error, "{status} without the header");
     }
     assert_eq!(outcome(421, &[ID]), Outcome::Full);
     assert_eq!(outcome(500, &[ID, SEAL]), Outcome::Error);
@@ -75,32 +75,32 @@
 }
 
 #[test]
-fn a_connection_whose_answer_carries_no_id_is_not_used_again() {
+fn connection_is_not_reused_after_a_response_without_id() {
     let dialect = WorkerDialect::default();
     assert!(dialect.may_reuse(&headers(&[ID])));
     assert!(!dialect.may_reuse(&headers(&[SEAL])));
 }
 
 #[test]
-fn a_worker_is_told_the_id_what_time_is_left_and_that_it_is_meant() {
+fn request_head_carries_id_remaining_time_and_target_worker() {
     let dialect = WorkerDialect::default();
-    dialect.name(WorkerId(1), &"i-1".into());
-    dialect.name(WorkerId(2), &"i-2".into());
-    dialect.keep_only(|worker| worker == WorkerId(1));
+    dialect.insert(WorkerId(1), &"i-1".into());
+    dialect.insert(WorkerId(2), &"i-2".into());
+    dialect.retain(|worker| worker == WorkerId(1));
     let head = |worker| {
         let mut head = headers(&[("x-hingestage-deadline-ms", "999999"), OTHER_ID]);
         dialect.write_head(&parts(), worker, Duration::from_micros(1_999_900), &mut head);
         head
     };
-    let named = head(WorkerId(1));
-    assert_eq!(named["x-hingestage-attempt-id"], ID.1);
-    assert_eq!(named["x-hingestage-deadline-ms"], "1999", "never more than is left");
-    assert_eq!(named["x-hingestage-target-worker"], "i-1");
-    assert!(!head(WorkerId(2)).contains_key("x-hingestage-target-worker"), "it is gone");
+    let known = head(WorkerId(1));
+    assert_eq!(known["x-hingestage-attempt-id"], ID.1);
+    assert_eq!(known["x-hingestage-deadline-ms"], "1999", "rounded down");
+    assert_eq!(known["x-hingestage-target-worker"], "i-1");
+    assert!(!head(WorkerId(2)).contains_key("x-hingestage-target-worker"), "removed from the dialect");
 }
 
 #[test]
-fn headers_of_one_connection_go_no_further() {
+fn hop_by_hop_headers_are_removed() {
     let mut head = headers(&[
         ("connection", "close, X-Private"),
         ("connection", "X-Other"),
@@ -119,7 +119,7 @@
 }
 
 #[test]
-fn clients_get_the_seal_and_the_id_and_nothing_that_is_for_proxies() {
+fn internal_headers_are_not_passed_on_to_clients() {
     let answer = [
         ID,
         SEAL,
--- a/crates/proxy/tests/operator_calls.rs
+++ b/crates/proxy/tests/operator_calls.rs
@@ -1,4 +1,4 @@
-//! What a running proxy tells operators, over sockets on loopback, beside a registry that is played by the test.
+//! Operator calls to a running proxy, on loopback with a fake registry.
 
 use hingestage_fixtures::{own_network, run, worker, workers_version, PLENTY};
 use hingestage_node::settings::InnerPort;
@@ -24,9 +24,9 @@
     "tenants": [{"name": "alpha", "api_keys": ["key-alpha"], "rate_per_s": 0},
                 {"name": "beta", "api_keys": ["key-beta"], "rate_per_s": 5, "burst": 5}]}"#;
 
-/// A registry that has one configuration, one worker and one evacuated zone.
+/// A fake registry with one configuration, one worker and one drained zone.
 struct Registry {
-    /// Whether it knows that nothing newer has been acknowledged.
+    /// Whether its answers are fresh.
     fresh: bool,
     worker: SocketAddr,
 }
@@ -82,20 +82,20 @@
                     ..Watched::default()
                 }))
             }
-            // There is never any other news.
+            // No further updates.
             _ => std::future::pending().await,
         }
     }
 }
 
-/// A proxy and its registry, on an address that no other test has.
-struct Stage {
+/// A proxy and its registry, on an address unique to the test.
+struct TestProxy {
     http: SocketAddr,
     calls: Client<ProxyRequest, ProxyAnswer>,
 }
 
-impl Stage {
-    async fn start(number: u8, fresh: bool) -> Stage {
+impl TestProxy {
+    async fn start(number: u8, fresh: bool) -> TestProxy {
         let ip = format!("{}.{number}", own_network());
         let text = format!(
             "{{node: edge-1, ip: {ip}, zone: north-1, region: north, zones: {{north-1: north, south-1: south}}, \
@@ -103,18 +103,18 @@
         );
         let settings = Rc::new(Settings::parse(&text).expect("settings"));
         let registry = TcpListener::bind(settings.inner(InnerPort::Registry)).await.expect("a port");
-        // Nobody listens at the worker's address.
+        // Connections to the worker are refused.
         let worker = SocketAddr::new(settings.ip, 9);
         spawn_local(serve(registry, Rc::new(Registry { fresh, worker })));
-        let stage = Stage {
+        let proxy = TestProxy {
             http: settings.listen.http.expect("an address"),
             calls: Client::new(settings.inner(InnerPort::Proxy)),
         };
         spawn_local(async move { server::serve(settings).await.expect("the proxy runs") });
-        while stage.try_state().await.is_none_or(|state| state.config.is_none()) {
+        while proxy.try_state().await.is_none_or(|state| state.config.is_none()) {
             tokio::task::yield_now().await;
         }
-        stage
+        proxy
     }
 
     async fn try_state(&self) -> Option<ProxyState> {
@@ -128,8 +128,8 @@
         self.try_state().await.expect("a state")
     }
 
-    /// News counts once the configuration that it speaks of is in force.
-    async fn until_fresh(&self) {
+    /// Waits until the proxy counts a registry's answer as fresh, once the configuration is active.
+    async fn wait_until_fresh(&self) {
         while self.state().await.fresh_age.is_none() {
             tokio::task::yield_now().await;
         }
@@ -143,7 +143,7 @@
         }
     }
 
-    /// Sends a request, and gives the status of its answer.
+    /// Sends a request and returns the response status.
     async fn get(&self, path: &str, id: &str, key: &str) -> u16 {
         let mut stream = TcpStream::connect(self.http).await.expect("a connection");
         let request = format!(
@@ -156,7 +156,7 @@
         answer.split(' ').nth(1).and_then(|status| status.parse().ok()).expect("a status")
     }
 
-    /// Sends a request, and gives its status and what the proxy tells of it.
+    /// Sends a request and returns its status and its recorded outcome.
     async fn outcome(&self, path: &str, id: &str, key: &str) -> (u16, RequestOutcome) {
         let status = self.get(path, id, key).await;
         let explained = self.explain(id).await;
@@ -167,10 +167,10 @@
 }
 
 #[test]
-fn a_proxy_tells_what_it_knows() {
+fn status_reports_the_proxys_view() {
     run(async {
-        let stage = Stage::start(1, true).await;
-        let state = stage.state().await;
+        let proxy = TestProxy::start(1, true).await;
+        let state = proxy.state().await;
         assert_eq!(state.status.id.node, "edge-1");
         assert_eq!(state.config, Some(Registry::document().version));
         assert_eq!(state.workers_version, workers_version(1));
@@ -183,45 +183,45 @@
 }
 
 #[test]
-fn freshness_and_the_lease_of_keys_count_from_the_registrys_news() {
+fn key_lease_counts_from_a_fresh_answer_of_the_registry() {
     run(async {
-        let stage = Stage::start(2, true).await;
-        stage.until_fresh().await;
-        assert!(matches!(stage.state().await.keys, KeyLease::Left(left) if left <= 4_500));
+        let proxy = TestProxy::start(2, true).await;
+        proxy.wait_until_fresh().await;
+        assert!(matches!(proxy.state().await.keys, KeyLease::Left(left) if left <= 4_500));
     });
 }
 
 #[test]
-fn without_fresh_news_requests_with_a_key_are_refused_and_explained() {
+fn requests_with_a_key_are_refused_without_fresh_data() {
     run(async {
-        let stage = Stage::start(3, false).await;
-        let state = stage.state().await;
+        let proxy = TestProxy::start(3, false).await;
+        let state = proxy.state().await;
         assert_eq!((state.keys, state.fresh_age), (KeyLease::Expired, None));
-        assert_eq!(stage.outcome("/shop/1", "id-1", "key-alpha").await, (503, RequestOutcome::KeysUnchecked));
-        assert_eq!(stage.outcome("/other", "id-2", "key-alpha").await, (404, RequestOutcome::UnknownRoute));
+        assert_eq!(proxy.outcome("/shop/1", "id-1", "key-alpha").await, (503, RequestOutcome::KeysUnchecked));
+        assert_eq!(proxy.outcome("/other", "id-2", "key-alpha").await, (404, RequestOutcome::UnknownRoute));
     });
 }
 
 #[test]
-fn refusals_and_attempts_are_counted_and_explained_by_id_and_tenant() {
+fn refusals_and_attempts_are_counted_and_found_by_id_and_tenant() {
     run(async {
-        let stage = Stage::start(4, true).await;
-        stage.until_fresh().await;
-        assert_eq!(stage.outcome("/shop/1", "id-1", "key-gone").await, (401, RequestOutcome::UnknownKey));
-        assert_eq!(stage.outcome("/shop/1", "id-2", "key-beta").await, (429, RequestOutcome::QuotaNoLease));
-        assert_eq!(stage.outcome("/shop/1", "id-3", "key-alpha").await, (503, RequestOutcome::NoWorker));
-        let beta = stage.explain("beta").await;
+        let proxy = TestProxy::start(4, true).await;
+        proxy.wait_until_fresh().await;
+        assert_eq!(proxy.outcome("/shop/1", "id-1", "key-gone").await, (401, RequestOutcome::UnknownKey));
+        assert_eq!(proxy.outcome("/shop/1", "id-2", "key-beta").await, (429, RequestOutcome::QuotaNoLease));
+        assert_eq!(proxy.outcome("/shop/1", "id-3", "key-alpha").await, (503, RequestOutcome::NoWorker));
+        let beta = proxy.explain("beta").await;
         let counters = beta.tenant.expect("counters");
         assert_eq!((counters.refused, counters.last_refusal), (1, Some(RequestOutcome::QuotaNoLease)));
-        let alpha = &stage.explain("alpha").await.requests[0];
+        let alpha = &proxy.explain("alpha").await.requests[0];
         assert_eq!((&*alpha.id, &*alpha.route, &*alpha.service), ("id-3", "shop", "blue"));
         let failed = |attempt: &hingestage_rpc::status::AttemptRecord| {
             attempt.worker == "w-1" && attempt.outcome == AttemptOutcome::ConnectFailed
         };
         assert!(!alpha.attempts.is_empty() && alpha.attempts.iter().all(failed), "{alpha:?}");
-        let state = stage.state().await;
+        let state = proxy.state().await;
         assert_eq!(state.attempts, alpha.attempts.len() as u64);
         assert_eq!(state.requests.iter().map(|entry| entry.count).sum::<u64>(), 3);
-        assert_eq!(stage.explain("id-9").await, Explanation::default());
+        assert_eq!(proxy.explain("id-9").await, Explanation::default());
     });
 }
--- a/crates/proxy/tests/relay.rs
+++ b/crates/proxy/tests/relay.rs
@@ -1,4 +1,4 @@
-//! News within a zone, between running proxies on loopback, beside a registry that is played by the test.
+//! Distribution of updates between running proxies of a zone, on loopback with a fake registry.
 
 use compact_str::{format_compact, CompactString};
 use hingestage_discovery::{Home, Homes, PeerProxy};
@@ -31,12 +31,13 @@
     format_compact!("edge-{number}")
 }
 
-/// A registry that names all proxies, and says who fetched what from it.
+/// A fake registry that lists all proxies and counts fetches.
 struct Registry {
+    /// Number of the current workers' version.
     number: Cell<u64>,
     proxies: Vec<ProxyStatus>,
     changed: Notify,
-    /// Services that were fetched since the list last changed, with how many each.
+    /// Number of fetches of each service since the last change.
     fetched: RefCell<BTreeMap<CompactString, usize>>,
     configs_fetched: Cell<usize>,
 }
@@ -50,8 +51,8 @@
         ConfigDocument::new(1, json)
     }
 
-    /// Another list: each service's worker is replaced.
-    fn change(&self) {
+    /// Replaces each service's worker.
+    fn replace_workers(&self) {
         self.fetched.borrow_mut().clear();
         self.number.set(self.number.get() + 1);
         self.changed.notify_waiters();
@@ -114,19 +115,19 @@
     }
 }
 
-/// Proxies of one zone beside one registry.
+/// Proxies of one zone and their registry.
 struct Zone {
     registry: Rc<Registry>,
     proxies: Vec<(JoinHandle<()>, Client<ProxyRequest, ProxyAnswer>)>,
 }
 
 impl Zone {
-    /// So many that run, and so many that take calls and never answer.
-    async fn start(test: u8, count: u8, silent: u8) -> Zone {
+    /// Starts `running` proxies, and `silent` ones that accept calls and never answer.
+    async fn start(test: u8, running: u8, silent: u8) -> Zone {
         let network = own_network();
         let ip = |number: u8| format!("{network}.{}", 10 * test + number);
         let seed = ip(0);
-        let settings: Vec<Rc<Settings>> = (1..=count + silent)
+        let settings: Vec<Rc<Settings>> = (1..=running + silent)
             .map(|number| {
                 let (name, ip) = (edge(number), ip(number));
                 let text = format!(
@@ -150,8 +151,8 @@
         let seed = settings[0].inner_at(seed.parse().expect("an address"), InnerPort::Registry);
         let listener = TcpListener::bind(seed).await.expect("a port");
         spawn_local(serve(listener, registry.clone()));
-        let (running, standing) = settings.split_at(usize::from(count));
-        for settings in standing {
+        let (running, silent) = settings.split_at(usize::from(running));
+        for settings in silent {
             let listener = TcpListener::bind(settings.inner(InnerPort::Proxy)).await.expect("a port");
             spawn_local(serve(listener, Rc::new(Silent)));
         }
@@ -162,74 +163,74 @@
             (spawn_local(running), calls)
         };
         let zone = Zone { registry, proxies: running.iter().map(start).collect() };
-        zone.all_have(1).await;
+        zone.wait_for_version(1).await;
         zone
     }
 
-    async fn state(&self, place: usize) -> Option<ProxyState> {
-        match self.proxies[place].1.call(&ProxyRequest::Status, PLENTY).await {
+    async fn state(&self, proxy: usize) -> Option<ProxyState> {
+        match self.proxies[proxy].1.call(&ProxyRequest::Status, PLENTY).await {
             Ok(ProxyAnswer::Status(state)) => Some(*state),
             _ => None,
         }
     }
 
-    /// Waits until all running proxies have a list.
-    async fn all_have(&self, number: u64) {
-        for place in 0..self.proxies.len() {
-            while !self.has(place, number).await {
-                assert!(!self.proxies[place].0.is_finished(), "the proxy ended");
+    /// Waits until all running proxies have a configuration and a version of the workers.
+    async fn wait_for_version(&self, number: u64) {
+        for proxy in 0..self.proxies.len() {
+            while !self.has_version(proxy, number).await {
+                assert!(!self.proxies[proxy].0.is_finished(), "the proxy ended");
                 tokio::task::yield_now().await;
             }
         }
     }
 
-    async fn has(&self, place: usize, number: u64) -> bool {
-        let state = self.state(place).await;
+    async fn has_version(&self, proxy: usize, number: u64) -> bool {
+        let state = self.state(proxy).await;
         state.is_some_and(|state| state.workers_version == workers_version(number) && state.config.is_some())
     }
 
-    /// The home of a service, as a place among the proxies.
+    /// Index of the proxy that is the home of a service.
     fn home(&self, service: &str) -> usize {
-        let living = self.registry.proxies.iter();
-        let living = living.map(|proxy| PeerProxy { name: proxy.id.node.clone(), addr: proxy.peer });
+        let peers = self.registry.proxies.iter();
+        let peers = peers.map(|proxy| PeerProxy { name: proxy.id.node.clone(), addr: proxy.peer });
         let mut homes = Homes::new(&edge(1));
-        homes.take(living);
+        homes.take(peers);
         let Home::Peer(peer) = homes.home(0, service) else { return 0 };
-        let place = self.registry.proxies.iter().position(|proxy| proxy.id.node == peer.name);
-        place.expect("one of the zone")
+        let index = self.registry.proxies.iter().position(|proxy| proxy.id.node == peer.name);
+        index.expect("a proxy of the zone")
     }
 }
 
 #[test]
-fn each_service_is_fetched_once_for_the_zone_and_passed_on_by_its_home() {
+fn each_service_is_fetched_once_per_zone_and_relayed_by_its_home() {
     run(async {
         let zone = Zone::start(1, 4, 0).await;
-        zone.registry.change();
-        zone.all_have(2).await;
+        zone.registry.replace_workers();
+        zone.wait_for_version(2).await;
         let fetched = zone.registry.fetched.borrow().clone();
         assert_eq!(fetched.len(), SERVICES);
-        let more: usize = fetched.values().map(|count| count - 1).sum();
-        assert_eq!(more, 0, "{fetched:?}");
-        assert!(zone.registry.configs_fetched.get() < 4, "the configuration was passed on as well");
+        let repeated: usize = fetched.values().map(|count| count - 1).sum();
+        assert_eq!(repeated, 0, "{fetched:?}");
+        assert!(zone.registry.configs_fetched.get() < 4, "the configuration is relayed as well");
     });
 }
 
 #[test]
-fn a_home_killed_while_it_relays_keeps_nobody_from_the_news() {
+fn updates_arrive_after_a_home_is_killed() {
     run(async {
         let mut zone = Zone::start(2, 3, 0).await;
         let killed = zone.home(&service(0));
-        // Its sockets end with it: the others' calls break, or hang where its connections stay open.
+        // Calls of the other proxies to it fail or time out.
         zone.proxies.remove(killed).0.abort();
         for number in 2..6 {
-            zone.registry.change();
-            zone.all_have(number).await;
+            zone.registry.replace_workers();
+            zone.wait_for_version(number).await;
         }
     });
 }
 
 #[test]
-fn a_home_hands_out_no_configuration_older_than_was_asked_for() {
+fn home_returns_no_configuration_older_than_requested() {
     run(async {
         let zone = Zone::start(4, 1, 0).await;
         let ask = |serial| {
@@ -246,18 +247,21 @@
 }
 
 #[test]
-fn a_home_that_stands_still_is_passed_over() {
+fn updates_arrive_while_a_home_does_not_answer() {
     run(async {
         let zone = Zone::start(3, 2, 1).await;
-        assert!((0..SERVICES).any(|number| zone.home(&service(number)) == 2), "it is a home");
+        assert!(
+            (0..SERVICES).any(|number| zone.home(&service(number)) == 2),
+            "the silent proxy is the home of some service"
+        );
         for number in 2..4 {
-            zone.registry.change();
-            zone.all_have(number).await;
+            zone.registry.replace_workers();
+            zone.wait_for_version(number).await;
         }
     });
 }
 
-/// Takes calls and never answers.
+/// Accepts calls and never answers.
 struct Silent;
 
 impl Handler for Silent {
--- a/crates/proxy/tests/request_log.rs
+++ b/crates/proxy/tests/request_log.rs
@@ -1,9 +1,9 @@
-//! Counters of requests, and the bounds of what is remembered of them.
+//! Request counters, the request history and their limits.
 
 use compact_str::{format_compact, CompactString};
-use hingestage_proxy::counters::{Counters, TENANTS_MAX};
-use hingestage_proxy::recent::{RecentRequests, ANSWER_MAX, REQUESTS_MAX};
-use hingestage_proxy::request_log::{RequestLog, ID_MAX};
+use hingestage_proxy::counters::{Counters, MAX_TENANTS};
+use hingestage_proxy::recent::{RecentRequests, MAX_REQUESTS, MAX_RESULTS};
+use hingestage_proxy::request_log::{RequestLog, MAX_ID_LEN};
 use hingestage_rpc::status::{
     AttemptOutcome, AttemptRecord, OutcomeCount, OutcomeKind, RequestOutcome, RequestRecord, TenantCounters,
 };
@@ -11,13 +11,13 @@
 use std::rc::Rc;
 
 const ALPHA: CompactString = CompactString::const_new("alpha");
-const NOBODY: CompactString = CompactString::const_new("");
+const NO_TENANT: CompactString = CompactString::const_new("");
 
 fn tenant(number: usize) -> CompactString {
     format_compact!("tenant-{number}")
 }
 
-fn ended(number: usize) -> RequestRecord {
+fn record(number: usize) -> RequestRecord {
     RequestRecord {
         id: format_compact!("id-{number}"),
         age: 0,
@@ -35,17 +35,17 @@
 }
 
 #[test]
-fn every_outcome_has_a_counter_of_its_own() {
-    for (place, outcome) in RequestOutcome::ALL.into_iter().enumerate() {
-        assert_eq!(outcome as usize, place, "{outcome:?}");
+fn every_outcome_has_its_own_counter() {
+    for (index, outcome) in RequestOutcome::ALL.into_iter().enumerate() {
+        assert_eq!(outcome as usize, index, "{outcome:?}");
         let mut counters = Counters::default();
-        counters.request_ended(&NOBODY, outcome);
-        assert_eq!(counters.occurred(), [OutcomeCount { outcome, count: 1 }]);
+        counters.request_ended(&NO_TENANT, outcome);
+        assert_eq!(counters.nonzero(), [OutcomeCount { outcome, count: 1 }]);
     }
 }
 
 #[test]
-fn a_tenant_has_counts_by_kind_and_the_reason_of_its_last_refusal() {
+fn tenant_counters_group_outcomes_by_kind_and_keep_the_last_refusal() {
     let mut counters = Counters::default();
     for outcome in RequestOutcome::ALL {
         counters.request_ended(&ALPHA, outcome);
@@ -64,59 +64,63 @@
 }
 
 #[test]
-fn a_request_without_a_tenant_is_counted_in_sum_only() {
+fn request_without_a_tenant_counts_only_in_the_total() {
     let mut counters = Counters::default();
-    counters.request_ended(&NOBODY, RequestOutcome::UnknownKey);
+    counters.request_ended(&NO_TENANT, RequestOutcome::UnknownKey);
     assert_eq!(counters.requests(RequestOutcome::UnknownKey), 1);
-    assert_eq!(counters.tenants(), 0);
+    assert_eq!(counters.tenant_count(), 0);
 }
 
 #[test]
-fn tenants_are_bounded_and_one_that_is_used_often_is_kept() {
+fn tenant_table_is_bounded_and_evicts_unused_tenants() {
     let mut counters = Counters::default();
-    let rounds = 5 * TENANTS_MAX;
+    let rounds = 5 * MAX_TENANTS;
     for number in 0..rounds {
         counters.request_ended(&tenant(number), RequestOutcome::Served);
         counters.request_ended(&ALPHA, RequestOutcome::Served);
-        assert!(counters.tenants() <= TENANTS_MAX, "{} after {number}", counters.tenants());
+        assert!(counters.tenant_count() <= MAX_TENANTS, "{} after {number}", counters.tenant_count());
     }
     assert_eq!(counters.tenant("alpha").map(|tenant| tenant.served), Some(rounds as u64));
-    assert_eq!(counters.tenant(&tenant(0)), None, "forgotten");
-    assert!(counters.tenant(&tenant(rounds - 1)).is_some(), "used last");
-    assert!(counters.tenant(&tenant(rounds - TENANTS_MAX / 3)).is_some(), "used lately");
-    assert_eq!(counters.requests(RequestOutcome::Served), 2 * rounds as u64, "the sum forgets nothing");
+    assert_eq!(counters.tenant(&tenant(0)), None, "evicted");
+    assert!(counters.tenant(&tenant(rounds - 1)).is_some(), "the last one");
+    assert!(counters.tenant(&tenant(rounds - MAX_TENANTS / 3)).is_some(), "recently used");
+    assert_eq!(
+        counters.requests(RequestOutcome::Served),
+        2 * rounds as u64,
+        "the total includes evicted tenants"
+    );
 }
 
 #[test]
-fn the_ring_keeps_the_last_requests_and_answers_with_the_newest_first() {
+fn history_is_bounded_and_queries_return_newest_first() {
     let mut recent = RecentRequests::default();
-    for number in 0..REQUESTS_MAX + 1 {
-        recent.push(number as u64 * 1_000, ended(number));
+    for number in 0..MAX_REQUESTS + 1 {
+        recent.push(number as u64 * 1_000, record(number));
     }
-    assert_eq!(recent.len(), REQUESTS_MAX);
-    let now = (REQUESTS_MAX as u64 + 10) * 1_000;
-    assert_eq!(recent.find(now, "id-0"), [], "the oldest has gone");
+    assert_eq!(recent.len(), MAX_REQUESTS);
+    let now = (MAX_REQUESTS as u64 + 10) * 1_000;
+    assert_eq!(recent.find(now, "id-0"), [], "the oldest is evicted");
     let first = &recent.find(now, "id-1")[0];
-    assert_eq!((first.age, first.status), (REQUESTS_MAX as u64 + 9, Some(200)));
+    assert_eq!((first.age, first.status), (MAX_REQUESTS as u64 + 9, Some(200)));
     let of_tenant = recent.find(now, "alpha");
-    assert_eq!(of_tenant.len(), ANSWER_MAX);
-    assert_eq!(of_tenant[0].id, format_compact!("id-{REQUESTS_MAX}"));
+    assert_eq!(of_tenant.len(), MAX_RESULTS);
+    assert_eq!(of_tenant[0].id, format_compact!("id-{MAX_REQUESTS}"));
     assert!(of_tenant.windows(2).all(|pair| pair[0].age < pair[1].age));
     assert_eq!(recent.find(now, "beta"), []);
 }
 
 #[test]
-fn a_request_is_remembered_with_its_attempts_and_its_answer() {
+fn finished_request_is_recorded_with_its_attempts_and_response() {
     let log = Rc::new(RequestLog::default());
     let id = HeaderValue::from_static("9c41");
     let mut request = log.begin(5_000, Some(&id));
-    request.routed(&"shop".into(), &ALPHA);
-    request.bound_for(&"blue".into());
-    request.sending(&id);
+    request.set_route(&"shop".into(), &ALPHA);
+    request.set_service(&"blue".into());
+    request.start_attempts(&id);
     log.attempt_ended(&id, attempt("w-1", AttemptOutcome::ConnectFailed));
     log.attempt_ended(&id, attempt("w-2", AttemptOutcome::Served));
     request.answered(200, RequestOutcome::Served);
-    // An attempt that was called off may end after the answer.
+    // A cancelled attempt may end after the response.
     log.attempt_ended(&id, attempt("w-3", AttemptOutcome::Cancelled));
     let explained = log.explain(9_000, "9c41");
     let [record] = explained.requests.as_slice() else { panic!("{explained:?}") };
@@ -124,43 +128,43 @@
     assert_eq!((&*record.route, &*record.tenant, &*record.service), ("shop", "alpha", "blue"));
     let expected = [attempt("w-1", AttemptOutcome::ConnectFailed), attempt("w-2", AttemptOutcome::Served)];
     assert_eq!(record.attempts, expected);
-    assert_eq!((log.counters().attempts(), log.open()), (3, 0));
+    assert_eq!((log.counters().attempts(), log.open_requests()), (3, 0));
 }
 
 #[test]
-fn a_second_request_with_an_open_id_leaves_the_first_ones_attempts_alone() {
+fn duplicate_of_an_open_request_does_not_change_its_attempts() {
     let log = Rc::new(RequestLog::default());
     let id = HeaderValue::from_static("9c41");
     let mut first = log.begin(0, Some(&id));
-    first.sending(&id);
+    first.start_attempts(&id);
     log.attempt_ended(&id, attempt("w-1", AttemptOutcome::Served));
     let mut second = log.begin(1_000, Some(&id));
-    second.sending(&id);
+    second.start_attempts(&id);
     second.answered(409, RequestOutcome::DuplicateId);
     first.answered(200, RequestOutcome::Served);
     let attempts: Vec<usize> =
         log.explain(2_000, "9c41").requests.iter().map(|record| record.attempts.len()).collect();
-    assert_eq!(attempts, [1, 0], "the first one ended last");
+    assert_eq!(attempts, [1, 0], "newest first: the first request ended last");
 }
 
 #[test]
-fn a_request_dropped_without_an_answer_is_one_whose_client_left() {
+fn request_dropped_without_an_answer_counts_as_client_left() {
     let log = Rc::new(RequestLog::default());
     let id = HeaderValue::from_static("9c41");
     let mut request = log.begin(0, Some(&id));
-    request.sending(&id);
+    request.start_attempts(&id);
     drop(request);
     let record = &log.explain(0, "9c41").requests[0];
     assert_eq!((record.status, record.outcome), (None, RequestOutcome::ClientLeft));
-    assert_eq!((log.counters().requests(RequestOutcome::ClientLeft), log.open()), (1, 0));
+    assert_eq!((log.counters().requests(RequestOutcome::ClientLeft), log.open_requests()), (1, 0));
 }
 
 #[test]
-fn a_long_id_is_cut_and_found_all_the_same() {
+fn long_id_is_truncated_and_still_found() {
     let log = Rc::new(RequestLog::default());
-    let text = "x".repeat(ID_MAX * 3);
+    let text = "x".repeat(MAX_ID_LEN * 3);
     let id = HeaderValue::from_str(&text).expect("a value");
     log.begin(0, Some(&id)).answered(404, RequestOutcome::UnknownRoute);
     let explained = log.explain(0, &text);
-    assert_eq!(explained.requests[0].id.len(), ID_MAX);
+    assert_eq!(explained.requests[0].id.len(), MAX_ID_LEN);
 }
--- a/crates/proxy/tests/view.rs
+++ b/crates/proxy/tests/view.rs
@@ -1,12 +1,13 @@
-//! What a proxy believes as news comes late, out of order or not at all. Time is given.
+//! The proxy's view when updates come late, out of order or not at all. Uses simulated time.
 
 use hingestage_proxy::view::{Spans, Usability, View};
 use hingestage_rpc::messages::{ConfigDocument, ZoneDrain, ZoneDrains};
 use hingestage_rpc::workers::{ServiceNews, ServiceUpdate, WorkerRecord, WorkersVersion};
 
+/// Microseconds per second.
 const S: u64 = 1_000_000;
-/// Milliseconds in a second, as ages are told.
-const AGE: u64 = 1_000;
+/// Milliseconds per second, the unit of ages.
+const AGE_S: u64 = 1_000;
 const SPANS: Spans = Spans {
     return_after: 2 * S,
     cold_margin: S / 2,
@@ -34,14 +35,14 @@
     WorkerRecord { cold_left, ..hingestage_fixtures::worker(id, "s") }
 }
 
-/// All workers of the service under a version.
-fn list(fence: u64, number: u64, workers: &[WorkerRecord]) -> ServiceUpdate {
+/// A snapshot of the service's workers under a version.
+fn snapshot(fence: u64, number: u64, workers: &[WorkerRecord]) -> ServiceUpdate {
     let version = WorkersVersion { fence, reader: 1, number };
     ServiceUpdate { service: "s".into(), version, news: ServiceNews::Snapshot(workers.to_vec()) }
 }
 
-/// Takes an update in. Tells whether it changed anything.
-fn take(view: &mut View, now: u64, update: ServiceUpdate) -> bool {
+/// Applies an update. Returns whether it changed anything.
+fn apply(view: &mut View, now: u64, update: ServiceUpdate) -> bool {
     !view.followed_mut().take(now, vec![update]).is_empty()
 }
 
@@ -49,25 +50,25 @@
     view.workers(now).map(|(_, usability)| usability).collect()
 }
 
-/// A view with configuration 5 and a worker that is warm, as of one second.
+/// A view with configuration 5 and a warm worker, as of one second.
 fn view() -> View {
     let mut view = View::new(SPANS);
     assert!(view.take_config(&document(5, "one")));
-    assert!(take(&mut view, S, list(1, 1, &[worker("i", 0)])));
+    assert!(apply(&mut view, S, snapshot(1, 1, &[worker("i", 0)])));
     view
 }
 
 #[test]
-fn a_proxy_serves_once_it_has_a_configuration_and_workers() {
+fn serving_requires_a_configuration_and_workers() {
     let mut empty = View::new(SPANS);
     assert!(!empty.can_serve());
-    take(&mut empty, S, list(1, 1, &[worker("i", 0)]));
+    apply(&mut empty, S, snapshot(1, 1, &[worker("i", 0)]));
     assert!(!empty.can_serve());
     assert!(view().can_serve());
 }
 
 #[test]
-fn an_older_configuration_never_takes_the_place_of_a_newer_one() {
+fn older_configuration_does_not_replace_a_newer_one() {
     let mut view = view();
     assert!(!view.take_config(&document(4, "one")));
     assert!(!view.take_config(&document(5, "one")), "the same again");
@@ -77,7 +78,7 @@
 }
 
 #[test]
-fn two_configurations_under_one_serial_end_alike_in_either_order() {
+fn configurations_with_equal_serials_converge_in_either_order() {
     let (one, other) = (document(7, "one"), document(7, "other"));
     let (mut forth, mut back) = (View::new(SPANS), View::new(SPANS));
     for document in [&one, &other] {
@@ -90,7 +91,7 @@
 }
 
 #[test]
-fn what_cannot_be_read_is_not_in_force() {
+fn invalid_configuration_is_not_activated() {
     let mut view = view();
     let json = b"{\"serial\":".to_vec();
     let torn = ConfigDocument::new(9, json);
@@ -99,28 +100,28 @@
 }
 
 #[test]
-fn an_evacuated_zone_gets_nothing_and_one_taken_back_waits() {
+fn drained_zone_gets_no_requests_until_some_time_after_the_drain_ends() {
     let mut view = view();
     assert!(view.take_drains(2 * S, &drains(1, true)));
-    assert_eq!(usability(&view, 2 * S), [Usability::Leaving]);
+    assert_eq!(usability(&view, 2 * S), [Usability::Draining]);
     assert!(view.take_drains(10 * S, &drains(2, false)));
-    assert_eq!(usability(&view, 10 * S), [Usability::Leaving], "its workers may be cold");
+    assert_eq!(usability(&view, 10 * S), [Usability::Draining], "its workers may be cold");
     assert_eq!(view.next_change(10 * S), Some(12 * S));
     assert_eq!(usability(&view, 12 * S), [Usability::Ready]);
 }
 
 #[test]
-fn an_older_order_about_a_zone_changes_nothing() {
+fn older_drain_order_is_ignored() {
     let mut view = view();
     view.take_drains(2 * S, &drains(3, true));
     assert!(!view.take_drains(2 * S, &drains(2, false)));
-    assert!(!view.take_drains(2 * S, &drains(3, false)), "of two under one number the evacuation holds");
-    assert!(!view.take_drains(2 * S, &ZoneDrains::new()), "nor does silence");
-    assert_eq!(usability(&view, 2 * S), [Usability::Leaving]);
+    assert!(!view.take_drains(2 * S, &drains(3, false)), "of two orders with the same number the drain wins");
+    assert!(!view.take_drains(2 * S, &ZoneDrains::new()), "an empty list ends no drain");
+    assert_eq!(usability(&view, 2 * S), [Usability::Draining]);
 }
 
 #[test]
-fn an_order_given_twice_does_not_begin_the_wait_anew() {
+fn repeated_end_of_a_drain_does_not_restart_the_delay() {
     let mut view = view();
     view.take_drains(2 * S, &drains(1, true));
     view.take_drains(3 * S, &drains(2, false));
@@ -129,118 +130,118 @@
 }
 
 #[test]
-fn a_worker_is_cold_for_as_long_as_was_said_and_a_margin_on_top() {
+fn worker_is_cold_for_the_announced_time_plus_a_margin() {
     let mut view = view();
-    take(&mut view, 2 * S, list(1, 2, &[worker("i", 3_000)]));
+    apply(&mut view, 2 * S, snapshot(1, 2, &[worker("i", 3_000)]));
     assert_eq!(usability(&view, 5 * S), [Usability::Cold]);
     assert_eq!(view.next_change(2 * S), Some(5 * S + SPANS.cold_margin));
     assert_eq!(usability(&view, 5 * S + SPANS.cold_margin), [Usability::Ready]);
-    take(&mut view, 6 * S, list(1, 3, &[worker("i", 1_000)]));
-    assert_eq!(usability(&view, 6 * S), [Usability::Cold], "it may turn cold again");
-    let leaving = WorkerRecord { draining: true, ..worker("i", 1_000) };
-    take(&mut view, 6 * S, list(1, 4, &[leaving]));
-    assert_eq!(usability(&view, 6 * S), [Usability::Leaving]);
+    apply(&mut view, 6 * S, snapshot(1, 3, &[worker("i", 1_000)]));
+    assert_eq!(usability(&view, 6 * S), [Usability::Cold], "a warm worker may become cold again");
+    let draining = WorkerRecord { draining: true, ..worker("i", 1_000) };
+    apply(&mut view, 6 * S, snapshot(1, 4, &[draining]));
+    assert_eq!(usability(&view, 6 * S), [Usability::Draining]);
 }
 
 #[test]
-fn an_older_list_changes_nothing_and_a_higher_fence_holds_whatever_its_number() {
+fn older_worker_list_is_ignored_and_a_higher_fence_wins_over_any_number() {
     let mut view = view();
-    take(&mut view, S, list(2, 9, &[worker("j", 0)]));
-    assert!(!take(&mut view, S, list(1, 50, &[worker("i", 0)])));
-    assert!(!take(&mut view, S, list(2, 9, &[])));
-    assert!(view.lists("s", "j") && !view.lists("s", "i"));
-    assert!(take(&mut view, S, list(3, 1, &[worker("i", 0)])));
-    assert!(view.lists("s", "i"));
+    apply(&mut view, S, snapshot(2, 9, &[worker("j", 0)]));
+    assert!(!apply(&mut view, S, snapshot(1, 50, &[worker("i", 0)])));
+    assert!(!apply(&mut view, S, snapshot(2, 9, &[])));
+    assert!(view.is_listed("s", "j") && !view.is_listed("s", "i"));
+    assert!(apply(&mut view, S, snapshot(3, 1, &[worker("i", 0)])));
+    assert!(view.is_listed("s", "i"));
 }
 
 #[test]
-fn keys_are_believed_for_their_lease_counted_from_when_the_news_was_asked_for() {
+fn key_lease_counts_from_the_time_of_the_request() {
     let mut view = view();
-    assert!(!view.keys_hold(S), "nothing has been heard");
+    assert!(!view.keys_valid(S), "no answer yet");
     let version = view.have().config;
-    view.take_freshness(10 * S, Some(AGE), version);
-    assert!(view.keys_hold(13 * S - 1));
-    assert!(!view.keys_hold(13 * S), "four seconds after a moment one second before the question");
+    view.take_freshness(10 * S, Some(AGE_S), version);
+    assert!(view.keys_valid(13 * S - 1));
+    assert!(!view.keys_valid(13 * S), "four seconds after the data's time, one second before the request");
     view.take_freshness(9 * S, Some(0), version);
-    assert!(!view.keys_hold(13 * S), "what was asked earlier and tells no more changes nothing");
+    assert!(!view.keys_valid(13 * S), "an earlier request with no newer data changes nothing");
     view.take_freshness(12 * S, None, version);
-    assert!(!view.keys_hold(13 * S), "no news is no lease");
+    assert!(!view.keys_valid(13 * S), "an answer without an age extends no lease");
 }
 
 #[test]
-fn freshness_counts_only_where_what_it_speaks_of_is_in_force() {
+fn freshness_counts_only_if_its_configuration_is_active() {
     let mut view = view();
     let newer = document(6, "one");
     view.take_freshness(10 * S, Some(0), Some(newer.version));
-    assert!(!view.keys_hold(10 * S), "a key may be gone in the newer one");
+    assert!(!view.keys_valid(10 * S), "the newer configuration may revoke a key");
     view.take_config(&newer);
-    assert!(!view.keys_hold(10 * S), "nor does what was said before count afterwards");
+    assert!(!view.keys_valid(10 * S), "an earlier answer does not count after activation");
     view.take_freshness(11 * S, Some(0), Some(newer.version));
-    assert!(view.keys_hold(11 * S));
+    assert!(view.keys_valid(11 * S));
     view.take_freshness(12 * S, Some(0), None);
-    assert!(view.keys_hold(15 * S), "a registry that knows of none has nothing newer");
+    assert!(view.keys_valid(15 * S), "a registry without a configuration has nothing newer");
 }
 
 #[test]
-fn a_lease_from_before_a_proxys_start_holds_no_longer_for_that() {
+fn lease_from_before_the_start_is_not_extended() {
     let mut view = view();
     let version = view.have().config;
-    view.take_freshness(S, Some(3 * AGE), version);
-    assert!(view.keys_hold(2 * S - 1));
-    assert!(!view.keys_hold(2 * S), "four seconds after a moment two seconds before its start");
+    view.take_freshness(S, Some(3 * AGE_S), version);
+    assert!(view.keys_valid(2 * S - 1));
+    assert!(!view.keys_valid(2 * S), "four seconds after the data's time, two seconds before the start");
     let mut view = self::view();
-    view.take_freshness(S, Some(6 * AGE), version);
-    assert!(!view.keys_hold(S), "it was over before the start");
+    view.take_freshness(S, Some(6 * AGE_S), version);
+    assert!(!view.keys_valid(S), "expired before the start");
     assert_eq!(view.freshness().age(S), Some(6 * S));
 }
 
 #[test]
-fn a_proxy_that_stood_still_for_five_seconds_believes_no_key_until_it_has_asked_again() {
+fn keys_are_invalid_after_a_five_second_pause_until_a_new_request() {
     let mut view = view();
     let version = view.have().config;
     view.take_freshness(10 * S, Some(0), version);
-    assert!(view.keys_hold(10 * S));
-    let wakes = 15 * S;
-    assert!(!view.keys_hold(wakes));
+    assert!(view.keys_valid(10 * S));
+    let resumed = 15 * S;
+    assert!(!view.keys_valid(resumed));
     view.take_freshness(10 * S + 1, Some(0), version);
-    assert!(!view.keys_hold(wakes), "the answer to a question from before counts from then");
-    assert!(view.part().share(wakes) == 0.0, "and no part was given");
-    view.take_freshness(wakes, Some(0), version);
-    assert!(view.keys_hold(wakes));
+    assert!(!view.keys_valid(resumed), "an answer counts from the time of its request");
+    assert!(view.part().share(resumed) == 0.0, "no share was granted");
+    view.take_freshness(resumed, Some(0), version);
+    assert!(view.keys_valid(resumed));
 }
 
 #[test]
-fn where_revocation_does_not_bind_proxies_that_are_cut_off_keys_hold_without_news() {
+fn keys_stay_valid_without_fresh_data_if_no_lease_is_set() {
     let mut view = View::new(Spans { key_lease: None, ..SPANS });
     view.take_config(&document(5, "one"));
-    assert!(view.keys_hold(1_000 * S));
+    assert!(view.keys_valid(1_000 * S));
 }
 
 #[test]
-fn a_part_is_held_once_settled_while_news_is_young_and_never_grows() {
+fn share_requires_settled_and_fresh_data_and_never_grows() {
     let mut view = view();
     let version = view.have().config;
     view.take_freshness(10 * S, Some(0), version);
     view.take_members(4, false);
-    assert_eq!(view.part().share(10 * S), 0.0, "others may still use parts that leave none for it");
+    assert_eq!(view.part().share(10 * S), 0.0, "the other proxies may still use the whole limit");
     view.take_members(4, true);
     assert_eq!(view.part().share(10 * S), 0.25);
     assert_eq!(view.part().share(21 * S - 1), 0.25);
-    assert_eq!(view.part().share(21 * S), 0.0, "the lease is over");
+    assert_eq!(view.part().share(21 * S), 0.0, "the lease has expired");
     view.take_members(3, true);
-    assert_eq!(view.part().gateways, 4, "a registry that is behind knows of fewer");
+    assert_eq!(view.part().gateways, 4, "a registry that lags behind reports fewer proxies");
     view.take_members(5, false);
     assert_eq!(view.part().gateways, 5);
 }
 
 #[test]
-fn a_subscriber_far_behind_takes_the_newest_of_everything_in_one_step() {
+fn proxy_far_behind_catches_up_in_one_step() {
     let mut view = view();
     view.take_drains(S, &drains(1, true));
     assert!(view.take_config(&document(4_000, "late")));
-    assert!(take(&mut view, 90 * S, list(40, 3, &[worker("k", 0)])));
+    assert!(apply(&mut view, 90 * S, snapshot(40, 3, &[worker("k", 0)])));
     assert!(view.take_drains(90 * S, &drains(18, false)));
     assert_eq!(serial(&view), Some(4_000));
-    assert_eq!(usability(&view, 90 * S), [Usability::Leaving], "the zone was given back in the meantime");
+    assert_eq!(usability(&view, 90 * S), [Usability::Draining], "the drain ended in the meantime");
     assert_eq!(usability(&view, 92 * S), [Usability::Ready]);
 }
