--- a/crates/capacity/src/workers.rs
+++ b/crates/capacity/src/workers.rs
@@ -5,17 +5,17 @@
 use eyre::Result;
 use hingestage_platform::Tokio;
 use hingestage_proxy::services::{ServiceKey, Services};
-use hingestage_proxy::view::{Spans, View};
+use hingestage_proxy::view::{View, ViewSettings};
 use hingestage_rpc::messages::RegistryAnswer;
 use hingestage_rpc::{decoded, encoded};
 use std::hint::black_box;
 use std::rc::Rc;
 
-const SPANS: Spans = Spans {
-    return_after: 2_500_000,
+const SPANS: ViewSettings = ViewSettings {
+    zone_return_delay: 2_500_000,
     cold_margin: 300_000,
     key_lease: None,
-    part_lease: 11_000_000,
+    share_lease: 11_000_000,
     trials: hingestage_trial::Spans::DEFAULT,
 };
 /// Workers handled in one run, about.
--- a/crates/control-sim/src/judge.rs
+++ b/crates/control-sim/src/judge.rs
@@ -236,7 +236,7 @@
         let mut shares = 0.0;
         for proxy in &*proxies {
             self.check_proxy_at_end(now, proxy, newest, platform)?;
-            shares += proxy.view.part().share(proxy.clock(now));
+            shares += proxy.view.limit_share().share(proxy.clock(now));
         }
         if shares < 1.0 - 1e-6 {
             return Err(format!("parts of {shares} in sum are held, with nothing in the way"));
@@ -344,7 +344,7 @@
         return Ok(());
     }
     let shares: Vec<(&CompactString, f64)> =
-        running.iter().map(|proxy| (&proxy.name, proxy.view.part().share(proxy.clock(now)))).collect();
+        running.iter().map(|proxy| (&proxy.name, proxy.view.limit_share().share(proxy.clock(now)))).collect();
     let sum: f64 = shares.iter().map(|(_, share)| share).sum();
     if sum > 1.0 + ROUNDING {
         return Err(format!("parts come to {sum}: {shares:?}"));
--- a/crates/control-sim/src/proxy_node.rs
+++ b/crates/control-sim/src/proxy_node.rs
@@ -6,7 +6,7 @@
 use compact_str::{format_compact, CompactString};
 use fastrand::Rng;
 use hingestage_discovery::{Home, Homes, PeerProxy};
-use hingestage_proxy::view::{Spans, View};
+use hingestage_proxy::view::{View, ViewSettings};
 use hingestage_rpc::messages::{Have, ProcessId, ProxyStatus, Watched};
 use hingestage_rpc::trials::{TrialPosition, TrialRevision};
 use hingestage_rpc::workers::ServiceHave;
@@ -23,11 +23,11 @@
 /// How long an answer about workers is awaited.
 const SERVICES_WITHIN: Micros = 400 * MILLI;
 /// What a proxy goes by.
-const SPANS: Spans = Spans {
-    return_after: 2_500 * MILLI,
+const SPANS: ViewSettings = ViewSettings {
+    zone_return_delay: 2_500 * MILLI,
     cold_margin: 300 * MILLI,
     key_lease: Some(4_500 * MILLI),
-    part_lease: 11 * SECOND,
+    share_lease: 11 * SECOND,
     trials: TRIAL_SPANS,
 };
 /// How steps of trials take effect.
@@ -89,10 +89,10 @@
     /// trial.
     pub fn judged_by(&mut self, now: Micros, tenant: &str) -> Option<TrialPosition> {
         let clock = self.clock(now);
-        if self.view.part().share(clock) <= 0.0 {
+        if self.view.limit_share().share(clock) <= 0.0 {
             return None;
         }
-        match self.view.judge_trial(clock, tenant) {
+        match self.view.evaluate_trial(clock, tenant) {
             Judgement::NoTrial => Some(TrialPosition::default()),
             Judgement::Unknown(_) => None,
             Judgement::Trial(standing) if self.defect == Some(Defect::StepByOwnClock) => {
@@ -169,7 +169,7 @@
                 self.take(clock, envelope.from, asked_at, *news)
             }
             Message::Config(document) => {
-                self.view.take_config(&document);
+                self.view.apply_config(&document);
                 Vec::new()
             }
             Message::Services(updates) => {
@@ -187,15 +187,15 @@
 
     fn take(&mut self, clock: Micros, from: NodeId, asked_at: Micros, news: Watched) -> Vec<Envelope> {
         let mut sent = Vec::new();
-        self.view.take_trials(clock, news.trials);
+        self.view.apply_trials(clock, news.trials);
         self.trials[from] = news.have.trials;
         if let Some(peers) = news.directory {
             let of_zone = peers.iter().filter(|peer| peer.zone == self.zone);
             let living = of_zone.map(|peer| PeerProxy { name: peer.id.node.clone(), addr: peer.peer });
             self.homes.take(living);
-            self.view.take_peers(peers);
+            self.view.set_peers(peers);
         }
-        self.view.take_drains(clock, &news.have.drains);
+        self.view.apply_drains(clock, &news.have.drains);
         self.view.followed_mut().told(clock, &news.services);
         let (homes, until) = (&self.homes, clock + SERVICES_WITHIN);
         let due = |name: &CompactString, _| homes.home(clock, name) == Home::Me;
@@ -206,13 +206,13 @@
         if news.have.config > self.view.config_version() {
             sent.push(self.envelope(from, Message::FetchConfig));
         }
-        self.view.take_freshness(asked_at, news.fresh_age, news.have.config);
-        self.view.take_members(news.members, news.settled);
+        self.view.apply_freshness(asked_at, news.fresh_age, news.have.config);
+        self.view.apply_members(news.members, news.settled);
         sent
     }
 }
 
-fn spans(defect: Option<Defect>) -> Spans {
+fn spans(defect: Option<Defect>) -> ViewSettings {
     let mut spans = SPANS;
     match defect {
         Some(Defect::StepAtOnce) => spans.trials.delay = 0,
--- a/crates/proxy/src/admission.rs
+++ b/crates/proxy/src/admission.rs
@@ -151,7 +151,7 @@
         routed: &RoutedRequest,
         leaves_reserve: bool,
     ) -> Decision {
-        let part = self.view.borrow().part();
+        let part = self.view.borrow().limit_share();
         let RequestLimits { limits, class, slowed } =
             match self.limits_for(tenant, routed, part, leaves_reserve) {
                 Ok(limits) => limits,
@@ -189,7 +189,7 @@
     ) -> Result<RequestLimits, Decision> {
         let quota = self.quota_of(tenant, part);
         let open_cap = open_cap(tenant, routed.route.timeout);
-        match self.view.borrow_mut().judge_trial(self.now(), &tenant.name) {
+        match self.view.borrow_mut().evaluate_trial(self.now(), &tenant.name) {
             Judgement::NoTrial => {
                 let limits = TenantLimits { open_cap, ..quota };
                 Ok(RequestLimits { limits, class: None, slowed: false })
@@ -221,7 +221,7 @@
         let mut view = self.view.borrow_mut();
         let newest = view.trials().newest(tenant)?;
         let lease_left = view.trials().lease_left(now) / MILLI;
-        let in_effect = match view.judge_trial(now, tenant) {
+        let in_effect = match view.evaluate_trial(now, tenant) {
             Judgement::Trial(standing) => Some(standing.position),
             Judgement::NoTrial | Judgement::Unknown(_) => None,
         };
@@ -231,7 +231,7 @@
     /// Limits within which a tenant's tokens may be lent to other proxies; `None` if nothing may be lent.
     pub(crate) fn lending_limits(&self, tenant: &Tenant, part: Part) -> Option<TenantLimits> {
         let quota = self.quota_of(tenant, part);
-        match self.view.borrow_mut().judge_trial(self.now(), &tenant.name) {
+        match self.view.borrow_mut().evaluate_trial(self.now(), &tenant.name) {
             Judgement::NoTrial => Some(quota),
             Judgement::Unknown(_) => None,
             Judgement::Trial(standing) => under_trial(&standing, quota, RequestClass::RefusedLast, false),
--- a/crates/proxy/src/control.rs
+++ b/crates/proxy/src/control.rs
@@ -93,12 +93,12 @@
 
 /// Applies a registry's update, and fetches what it announces beyond the local state.
 async fn apply_update(proxy: &Rc<Proxy>, registry: &Rc<Registry>, asked_at: u64, update: Watched) {
-    proxy.view.borrow_mut().take_trials(proxy.now(), update.trials);
+    proxy.view.borrow_mut().apply_trials(proxy.now(), update.trials);
     proxy.update_registries(update.registries);
     if let Some(peers) = update.directory {
         proxy.update_peers(peers);
     }
-    if proxy.view.borrow_mut().take_drains(proxy.now(), &update.have.drains) {
+    if proxy.view.borrow_mut().apply_drains(proxy.now(), &update.have.drains) {
         proxy.refresh_workers();
     }
     if proxy.view.borrow_mut().followed_mut().told(proxy.now(), &update.services) {
@@ -122,10 +122,10 @@
     }
     {
         let mut view = proxy.view.borrow_mut();
-        view.take_freshness(asked_at, update.fresh_age, update.have.config);
-        view.take_members(update.members, update.settled);
+        view.apply_freshness(asked_at, update.fresh_age, update.have.config);
+        view.apply_members(update.members, update.settled);
     }
-    proxy.update_part();
+    proxy.update_limit_share();
 }
 
 /// Fetches the worker lists of services that this proxy is the home of, and after [`HOME_TIMEOUT`] those that another
--- a/crates/proxy/src/lending.rs
+++ b/crates/proxy/src/lending.rs
@@ -111,7 +111,7 @@
         let Some(active) = active else { return 0.0 };
         let tenant = active.configuration.tenants.iter().find(|known| known.name == tenant);
         let Some(tenant) = tenant.filter(|_| max_tokens.is_finite() && max_tokens > 0.0) else { return 0.0 };
-        let part = self.view.borrow().part();
+        let part = self.view.borrow().limit_share();
         let Some(limits) = self.lending_limits(tenant, part) else { return 0.0 };
         self.tenants.borrow_mut().lend(self.now(), &tenant.name, limits, part, max_tokens)
     }
--- a/crates/proxy/src/operators.rs
+++ b/crates/proxy/src/operators.rs
@@ -41,7 +41,7 @@
         let now = self.now();
         let view = self.view.borrow();
         let have = view.have();
-        let part = view.part();
+        let part = view.limit_share();
         let counters = self.requests.counters();
         let drained = have.drains.iter().filter(|(_, drain)| drain.drained);
         ProxyState {
--- a/crates/proxy/src/server.rs
+++ b/crates/proxy/src/server.rs
@@ -6,7 +6,7 @@
 use crate::request_log::RequestLog;
 use crate::services::Services;
 use crate::trial_counts::TrialCounts;
-use crate::view::{Spans, View};
+use crate::view::{View, ViewSettings};
 use crate::{control, peers, readiness};
 use eyre::{eyre, Context, Result};
 use hingestage_dataplane::body::BodyLimits;
@@ -205,11 +205,11 @@
     fn new(settings: Rc<Settings>, http: SocketAddr) -> Proxy {
         let bounds = &settings.bounds;
         let key_lease = bounds.revoke_strict.then(|| micros(bounds.revoke.saturating_sub(KEY_LEASE_MARGIN)));
-        let spans = Spans {
-            return_after: micros(ZONE_RETURN_DELAY),
+        let view_settings = ViewSettings {
+            zone_return_delay: micros(ZONE_RETURN_DELAY),
             cold_margin: micros(COLD_MARGIN),
             key_lease,
-            part_lease: micros(SHARE_LEASE),
+            share_lease: micros(SHARE_LEASE),
             trials: hingestage_trial::Spans::default(),
         };
         let started = Instant::now();
@@ -217,7 +217,7 @@
         let requests: Rc<RequestLog> = Rc::default();
         Proxy {
             platform: Tokio,
-            view: RefCell::new(View::new(spans)),
+            view: RefCell::new(View::new(view_settings)),
             services: Services::new(settings.clone(), started, Tokio, requests.clone()),
             requests,
             tenants: RefCell::new(TenantTable::new(0, Incarnation(incarnation), table_settings())),
@@ -302,7 +302,7 @@
     /// Updates the list of proxies.
     pub(crate) fn update_peers(&self, peers: Vec<ProxyStatus>) {
         self.relay.update_peers(&peers, &self.settings.zone);
-        self.view.borrow_mut().take_peers(peers);
+        self.view.borrow_mut().set_peers(peers);
     }
 
     /// Applies a configuration if it is newer than the active one. A transfer that can't be unpacked, such as a delta
@@ -313,7 +313,7 @@
             log::warn!("configuration {:08x} can't be unpacked", transfer.version.serial);
             return;
         };
-        if !self.view.borrow_mut().take_config(&document) {
+        if !self.view.borrow_mut().apply_config(&document) {
             return;
         }
         log::info!("configuration {:08x} in force", document.version.serial);
@@ -343,8 +343,8 @@
     }
 
     /// Passes this proxy's share of global limits on to services and quotas.
-    pub(crate) fn update_part(&self) {
-        let part = self.view.borrow().part();
+    pub(crate) fn update_limit_share(&self) {
+        let part = self.view.borrow().limit_share();
         if part.valid_until > 0 {
             self.services.set_proxy_count(part.gateways);
         }
--- a/crates/proxy/src/view.rs
+++ b/crates/proxy/src/view.rs
@@ -15,19 +15,19 @@
 /// Microseconds per millisecond.
 const MILLI: Micros = 1_000;
 
-/// Time spans that the view applies.
+/// Leases and delays that the view applies.
 #[derive(Clone, Copy, Debug)]
-pub struct Spans {
+pub struct ViewSettings {
     /// Delay before a zone's workers get requests after the end of a drain, so that a list that marks cold workers
     /// arrives first.
-    pub return_after: Micros,
+    pub zone_return_delay: Micros,
     /// Safety margin added to the announced cold time of a worker.
     pub cold_margin: Micros,
     /// Maximum age of the registries' data with which API keys are accepted; `None` for no limit.
     pub key_lease: Option<Micros>,
     /// Maximum age of the registries' data with which a share of a global limit may be used.
-    pub part_lease: Micros,
-    /// Time spans of trials.
+    pub share_lease: Micros,
+    /// Time settings of trials.
     pub trials: hingestage_trial::Spans,
 }
 
@@ -56,7 +56,7 @@
 
 /// A proxy's view of the system.
 pub struct View {
-    spans: Spans,
+    settings: ViewSettings,
     active: Option<Rc<Active>>,
     drains: ZoneDrains,
     /// When the last drain of each zone ended.
@@ -72,9 +72,9 @@
 
 impl View {
     /// Creates an empty view.
-    pub fn new(spans: Spans) -> Self {
+    pub fn new(settings: ViewSettings) -> Self {
         View {
-            spans,
+            settings,
             active: None,
             drains: ZoneDrains::new(),
             drain_ended_at: BTreeMap::new(),
@@ -83,7 +83,7 @@
             members: 0,
             settled: false,
             peers: Vec::new(),
-            trials: TrialBook::new(spans.trials),
+            trials: TrialBook::new(settings.trials),
         }
     }
 
@@ -130,12 +130,12 @@
     }
 
     /// Replaces the list of proxies.
-    pub fn take_peers(&mut self, peers: Vec<ProxyStatus>) {
+    pub fn set_peers(&mut self, peers: Vec<ProxyStatus>) {
         self.peers = peers;
     }
 
     /// Activates a configuration if it is valid and newer than the active one. Returns whether it was activated.
-    pub fn take_config(&mut self, document: &ConfigDocument) -> bool {
+    pub fn apply_config(&mut self, document: &ConfigDocument) -> bool {
         if self.active.as_ref().is_some_and(|active| active.version >= document.version) {
             return false;
         }
@@ -148,7 +148,7 @@
     }
 
     /// Merges zone drains; the later order for a zone wins. Returns whether anything changed.
-    pub fn take_drains(&mut self, now: Micros, drains: &ZoneDrains) -> bool {
+    pub fn apply_drains(&mut self, now: Micros, drains: &ZoneDrains) -> bool {
         let mut changed = false;
         for (zone, drain) in drains {
             let held = self.drains.get(zone).copied();
@@ -166,12 +166,12 @@
     }
 
     /// Applies trial updates from a registry's answer that was received at `received_at`.
-    pub fn take_trials(&mut self, received_at: Micros, updates: Vec<TrialNews>) {
+    pub fn apply_trials(&mut self, received_at: Micros, updates: Vec<TrialNews>) {
         self.trials.take(received_at, updates);
     }
 
     /// Returns the trial state that applies to a request of a tenant that starts now.
-    pub fn judge_trial(&mut self, now: Micros, tenant: &str) -> Judgement {
+    pub fn evaluate_trial(&mut self, now: Micros, tenant: &str) -> Judgement {
         self.trials.judge(now, tenant)
     }
 
@@ -182,7 +182,7 @@
 
     /// Records how fresh an answer is: requested at `asked_at`, with data `age` milliseconds old when it was sent. It
     /// counts only if the answer's configuration is active here. Apply the answer's trials first.
-    pub fn take_freshness(&mut self, asked_at: Micros, age: Option<u64>, config: Option<ConfigVersion>) {
+    pub fn apply_freshness(&mut self, asked_at: Micros, age: Option<u64>, config: Option<ConfigVersion>) {
         self.trials.take_freshness(asked_at, age);
         let up_to_date = self.config_version() >= config;
         if let Some(age) = age.filter(|_| up_to_date) {
@@ -191,7 +191,7 @@
     }
 
     /// Updates the number of proxies that share global limits, and whether this one may use its share.
-    pub fn take_members(&mut self, members: u32, settled: bool) {
+    pub fn apply_members(&mut self, members: u32, settled: bool) {
         self.members = self.members.max(members);
         self.settled |= settled;
     }
@@ -211,7 +211,7 @@
         let worker = &listed.record;
         let drained = self.drains.get(&worker.zone).is_some_and(|drain| drain.drained);
         let drain_ended = self.drain_ended_at.get(&worker.zone);
-        let returning = drain_ended.is_some_and(|at| now < at + self.spans.return_after);
+        let returning = drain_ended.is_some_and(|at| now < at + self.settings.zone_return_delay);
         if worker.draining || drained || returning {
             return Usability::Draining;
         }
@@ -224,13 +224,13 @@
 
     /// Next time at which the usability of a worker changes without an update.
     pub fn next_change(&self, now: Micros) -> Option<Micros> {
-        let returns = self.drain_ended_at.values().map(|at| at + self.spans.return_after);
+        let returns = self.drain_ended_at.values().map(|at| at + self.settings.zone_return_delay);
         let warm = self.workers.catalog().workers().filter_map(|listed| self.cold_until(listed));
         returns.chain(warm).filter(|at| *at > now).min()
     }
 
     fn cold_until(&self, listed: &Listed) -> Option<Micros> {
-        listed.cold_until.map(|until| until + self.spans.cold_margin)
+        listed.cold_until.map(|until| until + self.settings.cold_margin)
     }
 
     /// Whether a worker is listed for a service.
@@ -245,7 +245,7 @@
 
     /// When API keys expire without a fresh answer; `None` for no limit.
     pub fn keys_valid_until(&self) -> Option<Micros> {
-        let lease = self.spans.key_lease?;
+        let lease = self.settings.key_lease?;
         Some(self.freshness.lease_until(lease))
     }
 
@@ -265,15 +265,15 @@
     }
 
     /// This proxy's share of global limits, and until when it may be used.
-    pub fn part(&self) -> Part {
+    pub fn limit_share(&self) -> Part {
         let valid = self.settled && self.members > 0;
-        let valid_until = if valid { self.freshness.lease_until(self.spans.part_lease) } else { 0 };
+        let valid_until = if valid { self.freshness.lease_until(self.settings.share_lease) } else { 0 };
         Part { gateways: self.members.max(1), valid_until }
     }
 
     /// Number of proxies that share global limits; `None` while this one has no valid share.
     pub fn sharing_proxies(&self, now: Micros) -> Option<u32> {
-        let part = self.part();
+        let part = self.limit_share();
         (now < part.valid_until).then_some(part.gateways)
     }
 
--- a/crates/proxy/tests/view.rs
+++ b/crates/proxy/tests/view.rs
@@ -1,6 +1,6 @@
 //! The proxy's view when updates come late, out of order or not at all. Uses simulated time.
 
-use hingestage_proxy::view::{Spans, Usability, View};
+use hingestage_proxy::view::{Usability, View, ViewSettings};
 use hingestage_rpc::messages::{ConfigDocument, ZoneDrain, ZoneDrains};
 use hingestage_rpc::workers::{ServiceNews, ServiceUpdate, WorkerRecord, WorkersVersion};
 
@@ -8,11 +8,11 @@
 const S: u64 = 1_000_000;
 /// Milliseconds per second, the unit of ages.
 const AGE_S: u64 = 1_000;
-const SPANS: Spans = Spans {
-    return_after: 2 * S,
+const SETTINGS: ViewSettings = ViewSettings {
+    zone_return_delay: 2 * S,
     cold_margin: S / 2,
     key_lease: Some(4 * S),
-    part_lease: 11 * S,
+    share_lease: 11 * S,
     trials: hingestage_trial::Spans::DEFAULT,
 };
 
@@ -52,15 +52,15 @@
 
 /// A view with configuration 5 and a warm worker, as of one second.
 fn view() -> View {
-    let mut view = View::new(SPANS);
-    assert!(view.take_config(&document(5, "one")));
+    let mut view = View::new(SETTINGS);
+    assert!(view.apply_config(&document(5, "one")));
     assert!(apply(&mut view, S, snapshot(1, 1, &[worker("i", 0)])));
     view
 }
 
 #[test]
 fn serving_requires_a_configuration_and_workers() {
-    let mut empty = View::new(SPANS);
+    let mut empty = View::new(SETTINGS);
     assert!(!empty.can_serve());
     apply(&mut empty, S, snapshot(1, 1, &[worker("i", 0)]));
     assert!(!empty.can_serve());
@@ -70,22 +70,22 @@
 #[test]
 fn older_configuration_does_not_replace_a_newer_one() {
     let mut view = view();
-    assert!(!view.take_config(&document(4, "one")));
-    assert!(!view.take_config(&document(5, "one")), "the same again");
-    assert!(view.take_config(&document(9, "one")));
-    assert!(!view.take_config(&document(5, "one")));
+    assert!(!view.apply_config(&document(4, "one")));
+    assert!(!view.apply_config(&document(5, "one")), "the same again");
+    assert!(view.apply_config(&document(9, "one")));
+    assert!(!view.apply_config(&document(5, "one")));
     assert_eq!(serial(&view), Some(9));
 }
 
 #[test]
 fn configurations_with_equal_serials_converge_in_either_order() {
     let (one, other) = (document(7, "one"), document(7, "other"));
-    let (mut forth, mut back) = (View::new(SPANS), View::new(SPANS));
+    let (mut forth, mut back) = (View::new(SETTINGS), View::new(SETTINGS));
     for document in [&one, &other] {
-        forth.take_config(document);
+        forth.apply_config(document);
     }
     for document in [&other, &one] {
-        back.take_config(document);
+        back.apply_config(document);
     }
     assert_eq!(forth.have(), back.have());
 }
@@ -95,16 +95,16 @@
     let mut view = view();
     let json = b"{\"serial\":".to_vec();
     let torn = ConfigDocument::new(9, json);
-    assert!(!view.take_config(&torn));
+    assert!(!view.apply_config(&torn));
     assert_eq!(serial(&view), Some(5));
 }
 
 #[test]
 fn drained_zone_gets_no_requests_until_some_time_after_the_drain_ends() {
     let mut view = view();
-    assert!(view.take_drains(2 * S, &drains(1, true)));
+    assert!(view.apply_drains(2 * S, &drains(1, true)));
     assert_eq!(usability(&view, 2 * S), [Usability::Draining]);
-    assert!(view.take_drains(10 * S, &drains(2, false)));
+    assert!(view.apply_drains(10 * S, &drains(2, false)));
     assert_eq!(usability(&view, 10 * S), [Usability::Draining], "its workers may be cold");
     assert_eq!(view.next_change(10 * S), Some(12 * S));
     assert_eq!(usability(&view, 12 * S), [Usability::Ready]);
@@ -113,19 +113,22 @@
 #[test]
 fn older_drain_order_is_ignored() {
     let mut view = view();
-    view.take_drains(2 * S, &drains(3, true));
-    assert!(!view.take_drains(2 * S, &drains(2, false)));
-    assert!(!view.take_drains(2 * S, &drains(3, false)), "of two orders with the same number the drain wins");
-    assert!(!view.take_drains(2 * S, &ZoneDrains::new()), "an empty list ends no drain");
+    view.apply_drains(2 * S, &drains(3, true));
+    assert!(!view.apply_drains(2 * S, &drains(2, false)));
+    assert!(
+        !view.apply_drains(2 * S, &drains(3, false)),
+        "of two orders with the same number the drain wins"
+    );
+    assert!(!view.apply_drains(2 * S, &ZoneDrains::new()), "an empty list ends no drain");
     assert_eq!(usability(&view, 2 * S), [Usability::Draining]);
 }
 
 #[test]
 fn repeated_end_of_a_drain_does_not_restart_the_delay() {
     let mut view = view();
-    view.take_drains(2 * S, &drains(1, true));
-    view.take_drains(3 * S, &drains(2, false));
-    view.take_drains(4 * S, &drains(4, false));
+    view.apply_drains(2 * S, &drains(1, true));
+    view.apply_drains(3 * S, &drains(2, false));
+    view.apply_drains(4 * S, &drains(4, false));
     assert_eq!(usability(&view, 5 * S), [Usability::Ready]);
 }
 
@@ -134,8 +137,8 @@
     let mut view = view();
     apply(&mut view, 2 * S, snapshot(1, 2, &[worker("i", 3_000)]));
     assert_eq!(usability(&view, 5 * S), [Usability::Cold]);
-    assert_eq!(view.next_change(2 * S), Some(5 * S + SPANS.cold_margin));
-    assert_eq!(usability(&view, 5 * S + SPANS.cold_margin), [Usability::Ready]);
+    assert_eq!(view.next_change(2 * S), Some(5 * S + SETTINGS.cold_margin));
+    assert_eq!(usability(&view, 5 * S + SETTINGS.cold_margin), [Usability::Ready]);
     apply(&mut view, 6 * S, snapshot(1, 3, &[worker("i", 1_000)]));
     assert_eq!(usability(&view, 6 * S), [Usability::Cold], "a warm worker may become cold again");
     let draining = WorkerRecord { draining: true, ..worker("i", 1_000) };
@@ -159,12 +162,12 @@
     let mut view = view();
     assert!(!view.keys_valid(S), "no answer yet");
     let version = view.have().config;
-    view.take_freshness(10 * S, Some(AGE_S), version);
+    view.apply_freshness(10 * S, Some(AGE_S), version);
     assert!(view.keys_valid(13 * S - 1));
     assert!(!view.keys_valid(13 * S), "four seconds after the data's time, one second before the request");
-    view.take_freshness(9 * S, Some(0), version);
+    view.apply_freshness(9 * S, Some(0), version);
     assert!(!view.keys_valid(13 * S), "an earlier request with no newer data changes nothing");
-    view.take_freshness(12 * S, None, version);
+    view.apply_freshness(12 * S, None, version);
     assert!(!view.keys_valid(13 * S), "an answer without an age extends no lease");
 }
 
@@ -172,13 +175,13 @@
 fn freshness_counts_only_if_its_configuration_is_active() {
     let mut view = view();
     let newer = document(6, "one");
-    view.take_freshness(10 * S, Some(0), Some(newer.version));
+    view.apply_freshness(10 * S, Some(0), Some(newer.version));
     assert!(!view.keys_valid(10 * S), "the newer configuration may revoke a key");
-    view.take_config(&newer);
+    view.apply_config(&newer);
     assert!(!view.keys_valid(10 * S), "an earlier answer does not count after activation");
-    view.take_freshness(11 * S, Some(0), Some(newer.version));
+    view.apply_freshness(11 * S, Some(0), Some(newer.version));
     assert!(view.keys_valid(11 * S));
-    view.take_freshness(12 * S, Some(0), None);
+    view.apply_freshness(12 * S, Some(0), None);
     assert!(view.keys_valid(15 * S), "a registry without a configuration has nothing newer");
 }
 
@@ -186,11 +189,11 @@
 fn lease_from_before_the_start_is_not_extended() {
     let mut view = view();
     let version = view.have().config;
-    view.take_freshness(S, Some(3 * AGE_S), version);
+    view.apply_freshness(S, Some(3 * AGE_S), version);
     assert!(view.keys_valid(2 * S - 1));
     assert!(!view.keys_valid(2 * S), "four seconds after the data's time, two seconds before the start");
     let mut view = self::view();
-    view.take_freshness(S, Some(6 * AGE_S), version);
+    view.apply_freshness(S, Some(6 * AGE_S), version);
     assert!(!view.keys_valid(S), "expired before the start");
     assert_eq!(view.freshness().age(S), Some(6 * S));
 }
@@ -199,21 +202,21 @@
 fn keys_are_invalid_after_a_five_second_pause_until_a_new_request() {
     let mut view = view();
     let version = view.have().config;
-    view.take_freshness(10 * S, Some(0), version);
+    view.apply_freshness(10 * S, Some(0), version);
     assert!(view.keys_valid(10 * S));
     let resumed = 15 * S;
     assert!(!view.keys_valid(resumed));
-    view.take_freshness(10 * S + 1, Some(0), version);
+    view.apply_freshness(10 * S + 1, Some(0), version);
     assert!(!view.keys_valid(resumed), "an answer counts from the time of its request");
-    assert!(view.part().share(resumed) == 0.0, "no share was granted");
-    view.take_freshness(resumed, Some(0), version);
+    assert!(view.limit_share().share(resumed) == 0.0, "no share was granted");
+    view.apply_freshness(resumed, Some(0), version);
     assert!(view.keys_valid(resumed));
 }
 
 #[test]
 fn keys_stay_valid_without_fresh_data_if_no_lease_is_set() {
-    let mut view = View::new(Spans { key_lease: None, ..SPANS });
-    view.take_config(&document(5, "one"));
+    let mut view = View::new(ViewSettings { key_lease: None, ..SETTINGS });
+    view.apply_config(&document(5, "one"));
     assert!(view.keys_valid(1_000 * S));
 }
 
@@ -221,26 +224,26 @@
 fn share_requires_settled_and_fresh_data_and_never_grows() {
     let mut view = view();
     let version = view.have().config;
-    view.take_freshness(10 * S, Some(0), version);
-    view.take_members(4, false);
-    assert_eq!(view.part().share(10 * S), 0.0, "the other proxies may still use the whole limit");
-    view.take_members(4, true);
-    assert_eq!(view.part().share(10 * S), 0.25);
-    assert_eq!(view.part().share(21 * S - 1), 0.25);
-    assert_eq!(view.part().share(21 * S), 0.0, "the lease has expired");
-    view.take_members(3, true);
-    assert_eq!(view.part().gateways, 4, "a registry that lags behind reports fewer proxies");
-    view.take_members(5, false);
-    assert_eq!(view.part().gateways, 5);
+    view.apply_freshness(10 * S, Some(0), version);
+    view.apply_members(4, false);
+    assert_eq!(view.limit_share().share(10 * S), 0.0, "the other proxies may still use the whole limit");
+    view.apply_members(4, true);
+    assert_eq!(view.limit_share().share(10 * S), 0.25);
+    assert_eq!(view.limit_share().share(21 * S - 1), 0.25);
+    assert_eq!(view.limit_share().share(21 * S), 0.0, "the lease has expired");
+    view.apply_members(3, true);
+    assert_eq!(view.limit_share().gateways, 4, "a registry that lags behind reports fewer proxies");
+    view.apply_members(5, false);
+    assert_eq!(view.limit_share().gateways, 5);
 }
 
 #[test]
 fn proxy_far_behind_catches_up_in_one_step() {
     let mut view = view();
-    view.take_drains(S, &drains(1, true));
-    assert!(view.take_config(&document(4_000, "late")));
+    view.apply_drains(S, &drains(1, true));
+    assert!(view.apply_config(&document(4_000, "late")));
     assert!(apply(&mut view, 90 * S, snapshot(40, 3, &[worker("k", 0)])));
-    assert!(view.take_drains(90 * S, &drains(18, false)));
+    assert!(view.apply_drains(90 * S, &drains(18, false)));
     assert_eq!(serial(&view), Some(4_000));
     assert_eq!(usability(&view, 90 * S), [Usability::Draining], "the drain ended in the meantime");
     assert_eq!(usability(&view, 92 * S), [Usability::Ready]);
