--- a/crates/proxy/src/control.rs
+++ b/crates/proxy/src/control.rs
@@ -174,7 +174,7 @@
     transfer: Duration,
     relayed: bool,
 ) {
-    if relayed && proxy.relay.follow_config(&proxy, version, HOME_TIMEOUT + transfer).await {
+    if relayed && proxy.relay.fetch_config_from_home(&proxy, version, HOME_TIMEOUT + transfer).await {
         return;
     }
     let have = proxy.view.borrow().config_version();
--- a/crates/proxy/src/peers.rs
+++ b/crates/proxy/src/peers.rs
@@ -89,8 +89,8 @@
         for (owner, adds) in batches {
             let Some(addr) = peers.get(&owner) else { continue };
             for tenants in adds.tenants.chunks(TENANTS_PER_DATAGRAM) {
-                let part = Adds { tenants: tenants.to_vec(), ..adds.clone() };
-                send(&socket, &PeerMessage::Adds(me, part), *addr).await;
+                let batch = Adds { tenants: tenants.to_vec(), ..adds.clone() };
+                send(&socket, &PeerMessage::Adds(me, batch), *addr).await;
             }
         }
     }
--- a/crates/proxy/src/relay.rs
+++ b/crates/proxy/src/relay.rs
@@ -57,9 +57,8 @@
     pub(crate) fn update_peers(&self, peers: &[ProxyStatus], zone: &str) {
         let in_zone = peers.iter().filter(|peer| peer.zone == zone);
         let members = neighbors::zone_members(zone, in_zone, |peer| &peer.id.node);
-        let living =
-            members.into_iter().map(|peer| PeerProxy { name: peer.id.node.clone(), addr: peer.peer });
-        if self.homes.borrow_mut().take(living) {
+        let peers = members.into_iter().map(|peer| PeerProxy { name: peer.id.node.clone(), addr: peer.peer });
+        if self.homes.borrow_mut().take(peers) {
             let homes = self.homes.borrow();
             let known = |addr: &SocketAddr| homes.peers().any(|peer| peer.addr == *addr);
             self.clients.borrow_mut().retain(|addr, _| known(addr));
@@ -108,7 +107,7 @@
     }
 
     /// Fetches a configuration from its home in this zone. Returns whether that version or a later one is active.
-    pub(crate) async fn follow_config(
+    pub(crate) async fn fetch_config_from_home(
         &self,
         proxy: &Proxy,
         version: ConfigVersion,
--- a/crates/proxy/src/services.rs
+++ b/crates/proxy/src/services.rs
@@ -49,7 +49,7 @@
 const COLD_CAPACITY: f64 = 0.5;
 /// Longest time that the policy treats a worker as cold, microseconds.
 const MAX_COLD_TIME: Micros = 3_600_000_000;
-/// Preference tier of workers in this proxy's zone.
+/// Preference tier of workers in this proxy's zone; lower tiers are preferred.
 const TIER_ZONE: u32 = 0;
 /// Preference tier of workers in this proxy's region.
 const TIER_REGION: u32 = 1;
@@ -181,6 +181,7 @@
         Service { driver, dialect, classes: RefCell::default() }
     }
 
+    /// Policy settings of a new driver.
     fn policy_settings(&self) -> PolicySettings {
         let instances = self.proxy_count.get().max(1);
         PolicySettings {
