--- a/crates/control-sim/src/judge.rs
+++ b/crates/control-sim/src/judge.rs
@@ -149,7 +149,7 @@
 
     /// No proxy believes keys by a configuration that is too old, in touch or not.
     fn check_keys(&self, now: Micros, proxy: &ProxyNode) -> Result<(), String> {
-        if proxy.process.is_frozen(now) || !proxy.view.keys_hold(proxy.clock(now)) {
+        if proxy.process.is_frozen(now) || !proxy.view.keys_valid(proxy.clock(now)) {
             return Ok(());
         }
         let binding = self.acknowledged.iter().filter(|(at, _)| *at + REVOKE <= now);
@@ -236,7 +236,7 @@
         let mut shares = 0.0;
         for proxy in &*proxies {
             self.check_proxy_at_end(now, proxy, newest, platform)?;
-            shares += proxy.view.part().share(proxy.clock(now));
+            shares += proxy.view.limit_share().share(proxy.clock(now));
         }
         if shares < 1.0 - 1e-6 {
             return Err(format!("parts of {shares} in sum are held, with nothing in the way"));
@@ -276,7 +276,7 @@
                 proxy.view.config_version()
             ));
         }
-        if !proxy.view.keys_hold(proxy.clock(now)) {
+        if !proxy.view.keys_valid(proxy.clock(now)) {
             return Err(format!("{name} believes no key, with nothing in the way"));
         }
         let workers = proxy.view.followed().catalog().workers();
@@ -344,7 +344,7 @@
         return Ok(());
     }
     let shares: Vec<(&CompactString, f64)> =
-        running.iter().map(|proxy| (&proxy.name, proxy.view.part().share(proxy.clock(now)))).collect();
+        running.iter().map(|proxy| (&proxy.name, proxy.view.limit_share().share(proxy.clock(now)))).collect();
     let sum: f64 = shares.iter().map(|(_, share)| share).sum();
     if sum > 1.0 + ROUNDING {
         return Err(format!("parts come to {sum}: {shares:?}"));
