--- a/crates/config-store/src/audit.rs
+++ b/crates/config-store/src/audit.rs
@@ -1,7 +1,7 @@
-//! Which steps of trials this store took in, and when by its time of day: a database beside the files.
+//! Audit log of trial steps: which steps this store learnt of, and when by its wall clock.
 //!
-//! It tells operators how things came about. What holds is in the files, and a database that can't be used changes nothing
-//! of that. It is opened with the first step, so that a system without trials has none.
+//! The log is for operators only: replication does not depend on it, so a failing database affects nothing else. The
+//! database is created with the first step.
 
 use eyre::{Result, WrapErr};
 use hingestage_node::time_of_day;
@@ -10,39 +10,39 @@
 use std::cell::OnceCell;
 use std::path::{Path, PathBuf};
 
-/// Steps by a number that grows.
+/// Entries as JSON by sequence number.
 const STEPS: TableDefinition<u64, &[u8]> = TableDefinition::new("steps");
-const FILE: &str = "trial-audit.redb";
-/// Steps that are kept.
-const KEPT: u64 = 20_000;
-/// Memory for pages, bytes.
-const CACHE: usize = 1 << 20;
+const FILE_NAME: &str = "trial-audit.redb";
+/// Maximum number of entries; the oldest are removed.
+const ENTRIES_MAX: u64 = 20_000;
+/// Size of the page cache, in bytes.
+const CACHE_BYTES: usize = 1 << 20;
 
-/// The steps that were taken in.
+/// The audit log.
 pub struct Audit {
     path: PathBuf,
     database: OnceCell<Database>,
 }
 
 impl Audit {
-    /// An audit in a directory. Nothing is read or written yet.
+    /// Creates an audit log in a directory. Nothing is read or written yet.
     pub fn new(dir: &Path) -> Audit {
-        Audit { path: dir.join(FILE), database: OnceCell::new() }
+        Audit { path: dir.join(FILE_NAME), database: OnceCell::new() }
     }
 
     fn database(&self) -> Result<&Database> {
         if let Some(database) = self.database.get() {
             return Ok(database);
         }
-        let opened = Database::builder().set_cache_size(CACHE).create(&self.path);
+        let opened = Database::builder().set_cache_size(CACHE_BYTES).create(&self.path);
         let opened = opened.wrap_err_with(|| format!("{}", self.path.display()))?;
         Ok(self.database.get_or_init(|| opened))
     }
 
-    /// Notes steps that are taken in now. They are on disk once it returns.
+    /// Appends the steps of these records with the current time; they are durable once this returns.
     ///
     /// # Errors
-    /// The database can't be used.
+    /// The database cannot be opened or written.
     pub fn note(&self, records: &[TrialRecord]) -> Result<()> {
         if records.is_empty() {
             return Ok(());
@@ -57,7 +57,7 @@
                 let entry = AuditEntry { at: time_of_day(), tenant, position };
                 steps.insert(number, serde_json::to_vec(&entry)?.as_slice())?;
             }
-            while steps.len()? > KEPT {
+            while steps.len()? > ENTRIES_MAX {
                 steps.pop_first()?;
             }
         }
@@ -65,10 +65,10 @@
         Ok(())
     }
 
-    /// Steps of a tenant's trial, the latest last.
+    /// Steps of a tenant's trial, oldest first.
     ///
     /// # Errors
-    /// The database can't be used.
+    /// The database cannot be opened or read.
     pub fn of(&self, tenant: &str) -> Result<Vec<AuditEntry>> {
         if !self.path.exists() {
             return Ok(Vec::new());
--- a/crates/config-store/src/files.rs
+++ b/crates/config-store/src/files.rs
@@ -1,9 +1,8 @@
-//! A replica's record as plain files in one directory: long parts under names that tell their contents, and a manifest
-//! that names what belongs together.
+//! Storage of a replica's record as files in one directory: content-addressed parts and a manifest that lists them.
 //!
-//! Parts are written and synced first, with their names; then a new manifest is synced, renamed over the old one, and
-//! the directory synced. After a loss of power the manifest is the old one or the new one, and what it names is there:
-//! a file that is missing, torn or another one is damage, and is told from an empty disk.
+//! Parts are written and synced first; then a new manifest is synced and renamed over the old one, and the directory
+//! is synced. After a power loss the manifest is either the old or the new one, and its parts exist. A missing, torn
+//! or mismatching file is reported as damage, not as an empty disk.
 
 use hingestage_replication::{digest, Disk, Record, State, TrialSet};
 use hingestage_rpc::messages::{
@@ -18,63 +17,63 @@
 use std::path::{Path, PathBuf};
 use std::rc::Rc;
 
-/// Version of the format.
+/// Version of the manifest format.
 const FORMAT: u32 = 2;
 const MANIFEST: &str = "store.json";
 /// Suffix of a manifest that is being written.
-const UNFINISHED: &str = ".new";
-/// Suffix of a manifest that can't be used, kept for whoever looks into it.
-const DAMAGED: &str = ".damaged";
-/// Prefixes of the names of parts; a version follows.
+const TEMPORARY_SUFFIX: &str = ".new";
+/// Suffix of a damaged manifest, kept for diagnosis.
+const DAMAGED_SUFFIX: &str = ".damaged";
+// Prefixes of part names; the version follows.
 const CONFIG_PREFIX: &str = "config-";
 const PROXIES_PREFIX: &str = "proxies-";
 const TRIALS_PREFIX: &str = "trials-";
-/// A file of the format before this one.
-const FIRST_FORMAT: &str = "members.json";
+/// A file that only the first, unsupported format has.
+const FIRST_FORMAT_FILE: &str = "members.json";
 
-/// What names the files that belong together.
+/// Lists the parts of a record; stored as JSON after a checksum line.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 struct Manifest {
     format: u32,
-    /// Whose disk it is.
+    /// The store that owns the directory.
     me: StoreMember,
-    /// Whether this store founds the system.
+    /// Whether the store is one of the initial voters.
     founder: bool,
     promised: Ballot,
     accepted: Ballot,
-    /// Versions of the parts, and the orders about zones themselves.
+    /// Versions of the parts, and the zone drains.
     summary: Summary,
     membership: Membership,
-    /// Digests of the parts' files, by name.
+    /// Digests of the part files by name.
     parts: BTreeMap<String, u64>,
 }
 
-/// What the directory held at the start.
+/// Contents of the directory at startup.
 #[derive(Debug, PartialEq)]
 pub enum Loaded {
-    /// Nothing: no store has run here.
+    /// No store has run here.
     Empty,
-    /// All of a store's record.
+    /// A complete record.
     Whole {
-        /// Whose it is.
+        /// The store that owns the directory.
         me: StoreMember,
-        /// Whether that store founds the system.
+        /// Whether the store is one of the initial voters.
         founder: bool,
         /// The record.
         record: Box<Record>,
     },
-    /// Less than the store had on it: it counts as lost.
+    /// The record is damaged and counts as lost; the text says why.
     Damaged(String),
 }
 
-/// Why a directory can't be used.
+/// Error of a data directory.
 #[derive(Debug)]
 pub enum FilesError {
-    /// The disk refuses.
+    /// An I/O error.
     Io(io::Error),
-    /// It holds the files of a version that had another format.
+    /// The directory has the first, unsupported format.
     FirstFormat,
-    /// It is the directory of another machine.
+    /// The directory belongs to another machine.
     Foreign(StoreMember),
 }
 
@@ -85,7 +84,7 @@
             FilesError::FirstFormat => {
                 write!(
                     f,
-                    "holds {FIRST_FORMAT}, of a version before agreement: start with an empty directory"
+                    "holds {FIRST_FORMAT_FILE}, of a version before agreement: start with an empty directory"
                 )
             }
             FilesError::Foreign(owner) => write!(f, "is the directory of {}", owner.name),
@@ -101,35 +100,35 @@
     }
 }
 
-/// The directory.
+/// A store's data directory.
 #[derive(Debug)]
 pub struct Files {
     dir: PathBuf,
     me: Option<(StoreMember, bool)>,
-    /// Digests of the files of parts that are known to be on disk, by name.
+    /// Digests of the parts known to be on disk, by file name.
     written: BTreeMap<String, u64>,
 }
 
 impl Files {
-    /// Files in a directory, which is made where it is missing.
+    /// Opens a data directory, creating it if missing.
     ///
     /// # Errors
-    /// The directory can't be made.
+    /// The directory cannot be created.
     pub fn open(dir: &Path) -> io::Result<Files> {
         fs::create_dir_all(dir)?;
         Ok(Files { dir: dir.to_path_buf(), me: None, written: BTreeMap::new() })
     }
 
-    /// Reads what is there for the store on a machine. A manifest that can't be used is kept under another name.
+    /// Loads the record of the store on machine `node`. A damaged manifest is renamed and kept.
     ///
     /// # Errors
-    /// The directory can't be read, or is not this store's.
+    /// The directory cannot be read, belongs to another machine, or has the first format.
     pub fn load(&mut self, node: &str) -> Result<Loaded, FilesError> {
-        let names = self.names()?;
+        let names = self.file_names()?;
         if !names.contains(MANIFEST) {
-            return without_manifest(&names);
+            return classify_without_manifest(&names);
         }
-        match self.read_whole() {
+        match self.read_record() {
             Ok((manifest, _)) if manifest.me.name != node => Err(FilesError::Foreign(manifest.me)),
             Ok((manifest, record)) => {
                 let (me, founder) = (manifest.me, manifest.founder);
@@ -139,28 +138,28 @@
                 Ok(Loaded::Whole { me, founder, record: Box::new(record) })
             }
             Err(why) => {
-                fs::rename(self.dir.join(MANIFEST), self.dir.join(format!("{MANIFEST}{DAMAGED}")))?;
-                self.sync_names()?;
+                fs::rename(self.dir.join(MANIFEST), self.dir.join(format!("{MANIFEST}{DAMAGED_SUFFIX}")))?;
+                self.sync_dir()?;
                 Ok(Loaded::Damaged(why))
             }
         }
     }
 
-    /// A store begins here.
+    /// Initializes the directory for a new store with an empty record.
     ///
     /// # Errors
-    /// The disk refuses.
+    /// The write fails.
     pub fn begin(&mut self, me: &StoreMember, founder: bool) -> io::Result<()> {
         self.me = Some((me.clone(), founder));
         self.write(&Record::default())
     }
 
-    fn names(&self) -> io::Result<BTreeSet<String>> {
+    fn file_names(&self) -> io::Result<BTreeSet<String>> {
         let entries: io::Result<Vec<fs::DirEntry>> = fs::read_dir(&self.dir)?.collect();
         Ok(entries?.into_iter().filter_map(|entry| entry.file_name().into_string().ok()).collect())
     }
 
-    fn read_whole(&self) -> Result<(Manifest, Record), String> {
+    fn read_record(&self) -> Result<(Manifest, Record), String> {
         let bytes = self.read(MANIFEST)?;
         let manifest = parse_manifest(&bytes).ok_or_else(|| format!("{MANIFEST} is damaged"))?;
         let state = self.read_state(&manifest)?;
@@ -193,7 +192,7 @@
         fs::read(self.dir.join(name)).map_err(|error| format!("{name}: {error}"))
     }
 
-    /// Reads the file of a part, and compares it with what the manifest says of it.
+    /// Reads a part file and checks its digest against the manifest.
     fn read_part(&self, manifest: &Manifest, name: &str) -> Result<Vec<u8>, String> {
         let bytes = self.read(name)?;
         match manifest.parts.get(name) == Some(&digest(&bytes)) {
@@ -210,7 +209,7 @@
         serde_json::from_slice(&self.read_part(manifest, name)?).map_err(|error| format!("{name}: {error}"))
     }
 
-    /// Writes the parts of a state that are not on disk.
+    /// Writes the parts of a state that are not on disk yet.
     fn write_parts(&mut self, state: &State) -> io::Result<()> {
         let mut wrote = false;
         for name in part_names(state) {
@@ -222,7 +221,7 @@
             }
         }
         if wrote {
-            self.sync_names()?;
+            self.sync_dir()?;
         }
         Ok(())
     }
@@ -245,14 +244,14 @@
             parts: self.parts_of(&record.state),
         };
         let json = serde_json::to_vec(&manifest)?;
-        let unfinished = format!("{MANIFEST}{UNFINISHED}");
-        let checked = [format!("{:016x}\n", digest(&json)).as_bytes(), &json].concat();
-        self.write_synced(&unfinished, &checked)?;
-        fs::rename(self.dir.join(unfinished), self.dir.join(MANIFEST))?;
-        self.sync_names()
+        let temporary = format!("{MANIFEST}{TEMPORARY_SUFFIX}");
+        let contents = [format!("{:016x}\n", digest(&json)).as_bytes(), &json].concat();
+        self.write_synced(&temporary, &contents)?;
+        fs::rename(self.dir.join(temporary), self.dir.join(MANIFEST))?;
+        self.sync_dir()
     }
 
-    /// Removes parts of a record whose manifest never came: they may be torn.
+    /// Removes parts that were written without a manifest following; they may be incomplete.
     fn remove_leftovers(&self, names: &BTreeSet<String>) {
         let leftover = names.iter().filter(|name| is_part(name) && !self.written.contains_key(*name));
         for name in leftover {
@@ -260,12 +259,12 @@
         }
     }
 
-    /// Removes parts that the manifest on disk does not name.
-    fn forget_old_parts(&mut self, state: &State) {
+    /// Removes parts that the current manifest does not list.
+    fn remove_old_parts(&mut self, state: &State) {
         let needed: BTreeSet<String> = part_names(state).into_iter().collect();
         let old: Vec<String> = self.written.keys().filter(|name| !needed.contains(*name)).cloned().collect();
         for name in old {
-            // What can't be removed is in nobody's way.
+            // A leftover file is harmless.
             let _ = fs::remove_file(self.dir.join(&name));
             self.written.remove(&name);
         }
@@ -277,7 +276,7 @@
         file.sync_all()
     }
 
-    fn sync_names(&self) -> io::Result<()> {
+    fn sync_dir(&self) -> io::Result<()> {
         File::open(&self.dir)?.sync_all()
     }
 }
@@ -286,14 +285,14 @@
     fn write(&mut self, record: &Record) -> io::Result<()> {
         self.write_parts(&record.state)?;
         self.write_manifest(record)?;
-        self.forget_old_parts(&record.state);
+        self.remove_old_parts(&record.state);
         Ok(())
     }
 }
 
-/// What a directory without a manifest is.
-fn without_manifest(names: &BTreeSet<String>) -> Result<Loaded, FilesError> {
-    if names.contains(FIRST_FORMAT) {
+/// Classifies a directory without a manifest.
+fn classify_without_manifest(names: &BTreeSet<String>) -> Result<Loaded, FilesError> {
+    if names.contains(FIRST_FORMAT_FILE) {
         return Err(FilesError::FirstFormat);
     }
     match names.iter().any(|name| is_part(name)) {
@@ -306,11 +305,11 @@
     let at = bytes.iter().position(|byte| *byte == b'\n')?;
     let (checksum, json) = (std::str::from_utf8(&bytes[..at]).ok()?, &bytes[at + 1..]);
     let manifest: Manifest = serde_json::from_slice(json).ok()?;
-    let whole = checksum == format!("{:016x}", digest(json)) && manifest.format == FORMAT;
-    whole.then_some(manifest)
+    let valid = checksum == format!("{:016x}", digest(json)) && manifest.format == FORMAT;
+    valid.then_some(manifest)
 }
 
-/// Names of the files that a state's long parts are in.
+/// File names of a state's parts.
 fn part_names(state: &State) -> Vec<String> {
     let config = state.config.as_ref().map(|config| config_name(config.version));
     let proxies = (!state.proxies.is_empty()).then(|| version_name(PROXIES_PREFIX, state.names_version()));
--- a/crates/config-store/src/lib.rs
+++ b/crates/config-store/src/lib.rs
@@ -1,4 +1,4 @@
-//! The store of configuration: replicas of the operator's orders as plain files, mended by comparing versions.
+//! The configuration store: a replica of the operator's configuration with file storage, networking and an audit log.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/crates/config-store/src/main.rs
+++ b/crates/config-store/src/main.rs
@@ -1,4 +1,4 @@
-//! `config-store`: keeps the operator's orders on a core machine's disk.
+//! The `config-store` program: stores the operator's configuration on a core machine.
 #![forbid(unsafe_code)]
 
 use hingestage_config_store::server;
@@ -7,6 +7,6 @@
 
 fn main() -> ExitCode {
     let program =
-        Program { name: "config-store", about: "keeps the operator's orders on a core machine's disk" };
+        Program { name: "config-store", about: "stores the operator's configuration on a core machine" };
     run(&program, server::serve)
 }
--- a/crates/config-store/src/server.rs
+++ b/crates/config-store/src/server.rs
@@ -1,4 +1,4 @@
-//! The replica on sockets and a disk.
+//! The store's server: connects the replica to the network, the disk and its clients.
 
 use crate::audit::Audit;
 use crate::files::{Files, Loaded};
@@ -22,54 +22,54 @@
 use tokio::sync::Notify;
 use tokio::task::spawn_local;
 
-/// Period at which replicas compare how far they are.
+/// Period of exchanges with another replica of the same region.
 const EXCHANGE_PERIOD: Duration = Duration::from_millis(300);
-/// The same between regions, where bytes are dear. What is new goes out at once all the same.
-const EXCHANGE_PERIOD_FAR: Duration = Duration::from_millis(700);
-/// How long another replica may take to answer.
-const ANSWER_WITHIN: Duration = Duration::from_millis(1_000);
-/// How often replicas look for others at the seeds.
+/// Period of exchanges between regions, longer to save traffic. Decisions are announced at once.
+const FAR_EXCHANGE_PERIOD: Duration = Duration::from_millis(700);
+/// Timeout of a request to another replica.
+const PEER_TIMEOUT: Duration = Duration::from_millis(1_000);
+/// Period of asking the seeds for unknown replicas.
 const SEED_PERIOD: Duration = Duration::from_secs(2);
-/// How often a replica looks whether anything is due, while a proposal is under way and otherwise.
+/// Poll period while the replica has pending work.
 const BUSY_PERIOD: Duration = Duration::from_millis(40);
+/// Poll period otherwise.
 const IDLE_PERIOD: Duration = Duration::from_millis(400);
-/// How long a store that is told to end may take to hand its vote over.
-const LEAVE_WITHIN: Duration = Duration::from_secs(2);
+/// Timeout for handing the vote over at shutdown.
+const HANDOVER_TIMEOUT: Duration = Duration::from_secs(2);
 /// Microseconds in a millisecond.
 const MILLI: Micros = 1_000;
 
 type Peer = Client<StoreRequest, StoreAnswer>;
 
-/// Connections to another replica. Comparisons go by one of their own, so that none takes a proposal along when it
-/// is late.
-struct Link {
+/// Connections to another replica. Exchanges have their own, so that a slow one does not delay a proposal.
+struct PeerConnections {
     exchanges: Peer,
     proposals: Peer,
 }
 
-/// A replica on sockets and a disk.
+/// A running store.
 pub struct Store {
     settings: Rc<Settings>,
     replica: RefCell<Replica>,
     files: RefCell<Files>,
     audit: Audit,
-    /// The trials whose steps the audit has.
-    audited: RefCell<Rc<TrialSet>>,
-    announced: Cell<Ballot>,
+    /// The trials that the audit log already covers.
+    audited_trials: RefCell<Rc<TrialSet>>,
+    audited_ballot: Cell<Ballot>,
     started: Instant,
-    /// Told whenever the replica or what it knows of others has changed.
+    /// Notified after every change of the replica's state.
     changed: Notify,
-    /// Told when the others are to be asked at once.
-    news: Notify,
-    /// Told when something may be due.
-    due: Notify,
-    links: RefCell<BTreeMap<CompactString, Rc<Link>>>,
+    /// Notified to start exchanges with all replicas at once.
+    exchange_now: Notify,
+    /// Notified to poll the replica at once.
+    poll_now: Notify,
+    connections: RefCell<BTreeMap<CompactString, Rc<PeerConnections>>>,
 }
 
-/// Runs the program until it is told to end.
+/// Runs the store until the process is asked to terminate.
 ///
 /// # Errors
-/// The directory or the address can't be had.
+/// The data directory cannot be used or the address cannot be bound.
 pub async fn serve(settings: Rc<Settings>) -> Result<()> {
     let mut signals = Signals::listen()?;
     let dir = settings.data_dir.as_ref().ok_or_else(|| eyre!("settings: `data_dir` is missing"))?;
@@ -82,26 +82,26 @@
         replica: RefCell::new(replica),
         files: RefCell::new(files),
         audit: Audit::new(dir),
-        audited: RefCell::new(audited),
-        announced: Cell::default(),
+        audited_trials: RefCell::new(audited),
+        audited_ballot: Cell::default(),
         started: Instant::now(),
         changed: Notify::new(),
-        news: Notify::new(),
-        due: Notify::new(),
-        links: RefCell::default(),
+        exchange_now: Notify::new(),
+        poll_now: Notify::new(),
+        connections: RefCell::default(),
     });
     let listener = TcpListener::bind(addr).await.wrap_err_with(|| format!("{addr}"))?;
     spawn_local(serve_calls(listener, store.clone()));
-    spawn_local(find_members(store.clone(), settings.clone()));
-    spawn_local(store.clone().drive());
+    spawn_local(discover_members(store.clone(), settings.clone()));
+    spawn_local(store.clone().poll_periodically());
     store.start_peers();
     signals.terminate.recv().await;
     log::info!("told to end");
-    let _ = tokio::time::timeout(LEAVE_WITHIN, store.leave()).await;
+    let _ = tokio::time::timeout(HANDOVER_TIMEOUT, store.hand_over_vote()).await;
     Ok(())
 }
 
-/// The replica that the disk holds, or a new one.
+/// Loads the replica from disk, or creates a new one.
 fn load(settings: &Settings, files: &mut Files) -> Result<Replica> {
     let addr = settings.inner(InnerPort::ConfigStore);
     let loaded = files.load(&settings.node)?;
@@ -109,10 +109,12 @@
         Loaded::Whole { me, founder, record } => {
             (StoreMember { addr, zone: settings.zone.as_str().into(), ..me }, founder, *record)
         }
-        Loaded::Empty => (begin(settings, files, settings.bootstrap)?, settings.bootstrap, Record::default()),
+        Loaded::Empty => {
+            (initialize(settings, files, settings.bootstrap)?, settings.bootstrap, Record::default())
+        }
         Loaded::Damaged(why) => {
             log::error!("the disk is damaged ({why}): its contents count as lost");
-            (begin(settings, files, false)?, false, Record::default())
+            (initialize(settings, files, false)?, false, Record::default())
         }
     };
     if record.accepted == Ballot::ZERO && !founder {
@@ -133,8 +135,8 @@
     Ok(Replica::new(me, record, founders, Figures { plan, ..Figures::default() }, seed))
 }
 
-/// A store whose disk is empty is a new one.
-fn begin(settings: &Settings, files: &mut Files, founder: bool) -> Result<StoreMember> {
+/// Initializes the data directory for a new store.
+fn initialize(settings: &Settings, files: &mut Files, founder: bool) -> Result<StoreMember> {
     let addr = settings.inner(InnerPort::ConfigStore);
     let disk = incarnation() ^ digest(settings.node.as_bytes());
     let (name, zone) = (settings.node.as_str().into(), settings.zone.as_str().into());
@@ -143,14 +145,14 @@
     Ok(me)
 }
 
-/// Addresses of the stores at the seeds: each of these machines has one.
+/// Addresses of the stores on the seed machines.
 fn seed_stores(settings: &Settings) -> Vec<SocketAddr> {
     let machines: BTreeSet<_> = settings.seeds.iter().map(SocketAddr::ip).collect();
     machines.into_iter().map(|ip| settings.inner_at(ip, InnerPort::ConfigStore)).collect()
 }
 
-/// Asks the seeds for replicas that are not known yet. The settings file is read again: seeds change.
-async fn find_members(store: Rc<Store>, settings: Rc<Settings>) {
+/// Periodically asks seeds that are not known as replicas yet. Rereads the settings file, since seeds may change.
+async fn discover_members(store: Rc<Store>, settings: Rc<Settings>) {
     let file = SettingsFile::new(settings);
     loop {
         let current = file.current();
@@ -172,54 +174,60 @@
         self.started.elapsed().as_micros() as Micros
     }
 
-    /// Keeps an exchange going with every replica that is known.
+    /// Starts an exchange task for each new replica and stops those of removed ones.
     fn start_peers(self: &Rc<Self>) {
         let members = self.replica.borrow().members();
         let me = self.replica.borrow().me().name.clone();
-        self.links.borrow_mut().retain(|name, _| members.iter().any(|member| member.name == *name));
+        self.connections.borrow_mut().retain(|name, _| members.iter().any(|member| member.name == *name));
         for member in members.into_iter().filter(|member| member.name != me) {
-            let same = |link: &Rc<Link>| link.exchanges.addr() == member.addr;
-            if self.links.borrow().get(&member.name).is_some_and(same) {
+            let same = |connection: &Rc<PeerConnections>| connection.exchanges.addr() == member.addr;
+            if self.connections.borrow().get(&member.name).is_some_and(same) {
                 continue;
             }
-            let link = Rc::new(Link { exchanges: Peer::new(member.addr), proposals: Peer::new(member.addr) });
-            self.links.borrow_mut().insert(member.name.clone(), link.clone());
+            let connection = Rc::new(PeerConnections {
+                exchanges: Peer::new(member.addr),
+                proposals: Peer::new(member.addr),
+            });
+            self.connections.borrow_mut().insert(member.name.clone(), connection.clone());
             let store = self.clone();
-            spawn_local(async move { store.keep_exchanging(member, link).await });
+            spawn_local(async move { store.exchange_periodically(member, connection).await });
         }
     }
 
-    async fn keep_exchanging(self: Rc<Self>, member: StoreMember, link: Rc<Link>) {
+    async fn exchange_periodically(self: Rc<Self>, member: StoreMember, connection: Rc<PeerConnections>) {
         loop {
-            let current =
-                self.links.borrow().get(&member.name).is_some_and(|current| Rc::ptr_eq(current, &link));
+            let current = self
+                .connections
+                .borrow()
+                .get(&member.name)
+                .is_some_and(|current| Rc::ptr_eq(current, &connection));
             if !current {
                 return;
             }
-            let news = self.news.notified();
-            self.exchange(&link.exchanges).await;
-            let _ = tokio::time::timeout(self.exchange_period(&member), news).await;
+            let requested = self.exchange_now.notified();
+            self.exchange(&connection.exchanges).await;
+            let _ = tokio::time::timeout(self.exchange_period(&member), requested).await;
         }
     }
 
     fn exchange_period(&self, member: &StoreMember) -> Duration {
         if self.settings.is_far(&member.zone) {
-            EXCHANGE_PERIOD_FAR
+            FAR_EXCHANGE_PERIOD
         } else {
             EXCHANGE_PERIOD
         }
     }
 
-    /// Compares how far both are.
+    /// Exchanges ballots and known members with a replica.
     async fn exchange(self: &Rc<Self>, peer: &Peer) {
         let request = self.replica.borrow().exchange();
         self.ask(peer, request).await;
     }
 
-    /// Asks another replica, and takes its answer in.
+    /// Sends a request to another replica and handles its answer.
     async fn ask(self: &Rc<Self>, peer: &Peer, request: PeerRequest) {
         let asked_at = self.now();
-        let answer = peer.call(&StoreRequest::Peer(request), ANSWER_WITHIN).await;
+        let answer = peer.call(&StoreRequest::Peer(request), PEER_TIMEOUT).await;
         if let Ok(StoreAnswer::Peer(answer)) = answer {
             let known = self.replica.borrow().members().len();
             let outgoing = {
@@ -227,22 +235,22 @@
                 replica.answered(self.now(), asked_at, answer, &mut *files)
             };
             self.send(outgoing);
-            self.note_changes();
+            self.publish_changes();
             if self.replica.borrow().members().len() != known {
                 self.start_peers();
             }
         }
     }
 
-    /// Sends requests, each by itself.
+    /// Sends requests concurrently.
     fn send(self: &Rc<Self>, outgoing: Vec<Outgoing>) {
         for Outgoing { to, request } in outgoing {
-            let known = self.links.borrow().get(&to.name).cloned();
-            let link = known.filter(|link| link.proposals.addr() == to.addr);
+            let known = self.connections.borrow().get(&to.name).cloned();
+            let connection = known.filter(|connection| connection.proposals.addr() == to.addr);
             let store = self.clone();
             spawn_local(async move {
-                match link {
-                    Some(link) => store.ask(&link.proposals, request).await,
+                match connection {
+                    Some(connection) => store.ask(&connection.proposals, request).await,
                     None => store.ask(&Peer::new(to.addr), request).await,
                 }
             });
@@ -255,49 +263,49 @@
             replica.poll(self.now(), &mut *files)
         };
         self.send(outgoing);
-        self.note_changes();
+        self.publish_changes();
     }
 
-    /// Does what is due as time passes.
-    async fn drive(self: Rc<Self>) {
+    /// Polls the replica periodically.
+    async fn poll_periodically(self: Rc<Self>) {
         loop {
-            let due = self.due.notified();
+            let requested = self.poll_now.notified();
             self.poll();
             let busy = self.replica.borrow().is_busy();
             let period = if busy { BUSY_PERIOD } else { IDLE_PERIOD };
-            let _ = tokio::time::timeout(period, due).await;
+            let _ = tokio::time::timeout(period, requested).await;
         }
     }
 
-    /// Tells those who wait, and the audit, what has changed.
-    fn note_changes(&self) {
+    /// Wakes waiting clients, announces new decisions, and updates the audit log.
+    fn publish_changes(&self) {
         self.changed.notify_waiters();
         let (decided, trials) = {
             let replica = self.replica.borrow();
             (replica.standing().decided, replica.state().trials.clone())
         };
         if self.replica.borrow_mut().take_announcement() {
-            self.news.notify_waiters();
+            self.exchange_now.notify_waiters();
         }
-        if self.announced.replace(decided) == decided {
+        if self.audited_ballot.replace(decided) == decided {
             return;
         }
-        let before = self.audited.replace(trials.clone());
+        let before = self.audited_trials.replace(trials.clone());
         if before.version() == trials.version() {
             return;
         }
         let records: Vec<_> = trials.records().cloned().collect();
         if let Err(error) = self.audit.note(&before.news_of(&records)) {
-            // What holds is in the files; the audit only tells how it came about.
+            // The audit log is informational: the trials themselves are stored with the record.
             log::error!("audit: {error}");
         }
     }
 
-    /// Hands the vote over where another store stands by.
-    async fn leave(self: &Rc<Self>) {
+    /// Hands the vote over to a standby store, if there is one.
+    async fn hand_over_vote(self: &Rc<Self>) {
         self.replica.borrow_mut().leave();
         while !self.replica.borrow().has_left(self.now()) {
-            self.due.notify_waiters();
+            self.poll_now.notify_waiters();
             tokio::time::sleep(BUSY_PERIOD).await;
         }
     }
@@ -310,7 +318,7 @@
         let ticket = self.replica.borrow_mut().propose(self.now(), change, until);
         let Some(ticket) = ticket else { return StoreAnswer::Proposed(Proposed::Pending) };
         self.poll();
-        self.due.notify_waiters();
+        self.poll_now.notify_waiters();
         loop {
             let changed = self.changed.notified();
             if let Some(outcome) = self.replica.borrow_mut().outcome(ticket) {
@@ -323,7 +331,7 @@
         }
     }
 
-    /// Waits for a notification; false where the time is up first.
+    /// Waits for a notification; returns false if the deadline passes first.
     async fn wait_until(&self, changed: impl std::future::Future<Output = ()>, until: Micros) -> bool {
         let left = Duration::from_micros(until.saturating_sub(self.now()));
         tokio::time::timeout(left, changed).await.is_ok()
@@ -334,11 +342,11 @@
         loop {
             let changed = self.changed.notified();
             let news = self.replica.borrow_mut().news(self.now(), &have);
-            let is_news = news.config.is_some()
+            let has_changes = news.config.is_some()
                 || news.proxies.is_some()
                 || news.trials.is_some()
                 || news.summary.drains != have.drains;
-            if is_news || self.now() >= until {
+            if has_changes || self.now() >= until {
                 return StoreAnswer::Watched(Box::new(news));
             }
             let _ = self.wait_until(changed, until).await;
@@ -347,7 +355,7 @@
 
     async fn read(self: Rc<Self>, wait: Duration) -> StoreAnswer {
         let (asked_at, until) = (self.now(), self.now() + wait.as_micros() as Micros);
-        self.news.notify_waiters();
+        self.exchange_now.notify_waiters();
         let mut current = false;
         while !current && self.now() < until {
             let changed = self.changed.notified();
@@ -361,7 +369,7 @@
         StoreAnswer::Read(config.map(|config| config.as_ref().clone()), state)
     }
 
-    /// What an operator is told of this store.
+    /// The status report for operators.
     fn status(&self) -> StoreStatus {
         let now = self.now();
         let replica = self.replica.borrow();
@@ -393,9 +401,9 @@
             log::error!("another store's request failed here");
         }
         if self.replica.borrow().is_busy() {
-            self.due.notify_waiters();
+            self.poll_now.notify_waiters();
         }
-        self.note_changes();
+        self.publish_changes();
         if self.replica.borrow().members().len() != known {
             self.start_peers();
         }
--- a/crates/config-store/tests/audit.rs
+++ b/crates/config-store/tests/audit.rs
@@ -1,4 +1,4 @@
-//! The audit of trials outlives its process, and is there only where there are trials.
+//! Persistence of the audit log, and handling of a damaged database.
 
 use hingestage_config_store::audit::Audit;
 use hingestage_rpc::trials::{TrialPosition, TrialRecord};
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn steps_are_kept_over_a_restart() {
+fn steps_survive_a_restart() {
     let dir = directory("audit");
     let audit = Audit::new(&dir);
     assert_eq!(audit.of("a").unwrap(), []);
@@ -33,9 +33,9 @@
 }
 
 #[test]
-fn a_database_that_can_t_be_read_is_an_error_and_no_panic() {
-    let dir = directory("audit-spoilt");
-    std::fs::write(dir.join("trial-audit.redb"), b"this is no database").unwrap();
+fn damaged_database_is_an_error_and_does_not_panic() {
+    let dir = directory("audit-damaged");
+    std::fs::write(dir.join("trial-audit.redb"), b"not a database").unwrap();
     assert!(Audit::new(&dir).note(&[record("a", 0)]).is_err());
     assert!(Audit::new(&dir).of("a").is_err());
 }
--- a/crates/config-store/tests/files.rs
+++ b/crates/config-store/tests/files.rs
@@ -1,5 +1,4 @@
-//! What a store keeps through a loss of power at any step of a write, and what it makes of a disk that is damaged, empty
-//! or another machine's.
+//! Durability of the data directory: power loss at any step of a write, and damaged, empty or foreign directories.
 
 use hingestage_config_store::files::{Files, FilesError, Loaded};
 use hingestage_replication::{Disk, Record, State};
@@ -26,7 +25,7 @@
         Dir(dir)
     }
 
-    /// All files with their contents.
+    /// Contents of all files by name.
     fn contents(&self) -> BTreeMap<String, Vec<u8>> {
         let entries = fs::read_dir(&self.0).expect("the directory").map(|entry| entry.expect("a file"));
         let content = |entry: fs::DirEntry| {
@@ -36,7 +35,7 @@
         entries.map(content).collect()
     }
 
-    /// Makes these all the files that there are.
+    /// Replaces all files.
     fn put(&self, contents: &BTreeMap<String, Vec<u8>>) {
         for name in self.contents().keys() {
             fs::remove_file(self.0.join(name)).expect("a file");
@@ -90,8 +89,8 @@
     }
 }
 
-/// A directory in which a store has begun, with some records written one after the other.
-fn begun(dir: &Path, records: &[Record]) -> Files {
+/// Initializes a directory and writes these records in order.
+fn initialized(dir: &Path, records: &[Record]) -> Files {
     let mut files = Files::open(dir).expect("the directory");
     assert_eq!(files.load("s0").expect("the directory"), Loaded::Empty);
     files.begin(&member("s0"), true).expect("the disk");
@@ -103,7 +102,7 @@
     Files::open(dir).expect("the directory").load("s0").expect("a directory of this store")
 }
 
-fn whole(record: &Record) -> Loaded {
+fn intact(record: &Record) -> Loaded {
     Loaded::Whole { me: member("s0"), founder: true, record: Box::new(record.clone()) }
 }
 
@@ -112,36 +111,36 @@
 }
 
 #[test]
-fn what_was_written_is_there_after_a_restart() {
+fn records_survive_a_restart() {
     let dir = Dir::new();
-    drop(begun(&dir.0, &[]));
-    assert_eq!(load(&dir.0), whole(&Record::default()), "a store that has begun has not lost its disk");
+    drop(initialized(&dir.0, &[]));
+    assert_eq!(load(&dir.0), intact(&Record::default()), "an initialized directory is not an empty disk");
     let last = record(2, &changes(4));
     let mut files = Files::open(&dir.0).expect("the directory");
     files.load("s0").expect("the directory");
     for record in [record(1, &changes(3)), last.clone()] {
         files.write(&record).expect("the disk");
     }
-    assert_eq!(load(&dir.0), whole(&last));
+    assert_eq!(load(&dir.0), intact(&last));
 }
 
 #[test]
-fn a_part_that_stays_is_not_written_again_and_old_parts_go() {
+fn old_parts_are_removed() {
     let dir = Dir::new();
     let records: Vec<Record> = (1..=200).map(|serial| record(serial, &changes(serial))).collect();
-    drop(begun(&dir.0, &records));
+    drop(initialized(&dir.0, &records));
     let names: Vec<String> = dir.contents().into_keys().collect();
     assert_eq!(names.len(), 4, "a manifest and three parts: {names:?}");
-    assert_eq!(load(&dir.0), whole(&records[199]));
+    assert_eq!(load(&dir.0), intact(&records[199]));
 }
 
-/// Power goes at any step of a write. Parts are synced before the manifest is renamed, so until then each of them may
-/// be absent, torn or whole; old parts go after that, each by itself.
+/// Parts are synced before the manifest is renamed, so until then each may be absent, torn or complete; old parts
+/// are removed after it, in any order.
 #[test]
-fn power_lost_at_any_step_leaves_the_record_before_or_the_one_after() {
+fn power_loss_at_any_step_leaves_the_old_or_the_new_record() {
     let (old, new) = (record(1, &changes(3)), record(2, &changes(4)));
     let dir = Dir::new();
-    drop(begun(&dir.0, std::slice::from_ref(&old)));
+    drop(initialized(&dir.0, std::slice::from_ref(&old)));
     let before = dir.contents();
     let mut files = Files::open(&dir.0).expect("the directory");
     files.load("s0").expect("the directory");
@@ -152,37 +151,37 @@
     assert_eq!((added.len(), removed.len()), (3, 3));
     for choice in 0..3u32.pow(4) {
         let mut contents = before.clone();
-        let unfinished = format!("{MANIFEST}.new");
+        let temporary = format!("{MANIFEST}.new");
         let pieces = added.iter().map(|name| (name.to_string(), &after[*name]));
-        let pieces = pieces.chain([(unfinished, &after[MANIFEST])]);
-        for (place, (name, bytes)) in pieces.enumerate() {
-            match choice / 3u32.pow(place as u32) % 3 {
+        let pieces = pieces.chain([(temporary, &after[MANIFEST])]);
+        for (index, (name, bytes)) in pieces.enumerate() {
+            match choice / 3u32.pow(index as u32) % 3 {
                 0 => {}
                 1 => drop(contents.insert(name, bytes[..bytes.len() / 2].to_vec())),
                 _ => drop(contents.insert(name, bytes.clone())),
             }
         }
         dir.put(&contents);
-        assert_eq!(load(&dir.0), whole(&old), "{choice}");
+        assert_eq!(load(&dir.0), intact(&old), "{choice}");
         let mut files = Files::open(&dir.0).expect("the directory");
         files.load("s0").expect("the directory");
         files.write(&new).expect("the disk");
-        assert_eq!(load(&dir.0), whole(&new), "{choice}: what was left over is in nobody's way");
+        assert_eq!(load(&dir.0), intact(&new), "{choice}: leftover files are harmless");
     }
     for choice in 0..2u32.pow(3) {
         let mut contents = after.clone();
-        let kept = removed.iter().enumerate().filter(|(place, _)| choice >> place & 1 == 1);
+        let kept = removed.iter().enumerate().filter(|(index, _)| choice >> index & 1 == 1);
         contents.extend(kept.map(|(_, name)| (name.to_string(), before[*name].clone())));
         dir.put(&contents);
-        assert_eq!(load(&dir.0), whole(&new), "{choice}");
+        assert_eq!(load(&dir.0), intact(&new), "{choice}");
     }
 }
 
 #[test]
-fn every_byte_that_is_flipped_or_missing_is_noticed_and_the_manifest_is_kept_aside() {
+fn every_flipped_or_missing_byte_is_detected_and_the_manifest_is_kept() {
     let dir = Dir::new();
     let last = record(2, &changes(4));
-    drop(begun(&dir.0, std::slice::from_ref(&last)));
+    drop(initialized(&dir.0, std::slice::from_ref(&last)));
     let contents = dir.contents();
     for (name, bytes) in &contents {
         for at in 0..bytes.len() {
@@ -205,9 +204,9 @@
 }
 
 #[test]
-fn a_file_that_is_missing_is_damage_and_not_an_empty_disk() {
+fn missing_file_is_damage_and_not_an_empty_disk() {
     let dir = Dir::new();
-    drop(begun(&dir.0, &[record(2, &changes(4))]));
+    drop(initialized(&dir.0, &[record(2, &changes(4))]));
     let contents = dir.contents();
     for name in contents.keys() {
         let mut left = contents.clone();
@@ -219,9 +218,9 @@
 }
 
 #[test]
-fn a_store_on_a_damaged_disk_begins_as_another_one_and_is_whole_from_then_on() {
+fn damaged_directory_can_be_initialized_for_a_new_store() {
     let dir = Dir::new();
-    drop(begun(&dir.0, &[record(2, &changes(4))]));
+    drop(initialized(&dir.0, &[record(2, &changes(4))]));
     fs::write(dir.0.join(MANIFEST), b"").expect("a file");
     let mut files = Files::open(&dir.0).expect("the directory");
     assert!(matches!(files.load("s0"), Ok(Loaded::Damaged(_))));
@@ -233,9 +232,9 @@
 }
 
 #[test]
-fn the_directory_of_another_machine_and_that_of_the_format_before_are_refused() {
+fn foreign_directory_and_old_format_are_refused() {
     let dir = Dir::new();
-    drop(begun(&dir.0, &[]));
+    drop(initialized(&dir.0, &[]));
     let mut files = Files::open(&dir.0).expect("the directory");
     assert!(matches!(files.load("s1"), Err(FilesError::Foreign(owner)) if owner == member("s0")));
     let dir = Dir::new();
@@ -245,7 +244,7 @@
 }
 
 #[test]
-fn files_of_other_names_are_passed_over() {
+fn unrelated_files_are_ignored() {
     let dir = Dir::new();
     for name in ["notes.txt", "store.json.new", "trial-audit.redb"] {
         fs::write(dir.0.join(name), b"{}").expect("a file");
@@ -254,17 +253,17 @@
 }
 
 #[test]
-fn a_disk_that_refuses_leaves_the_record_before() {
+fn failed_write_leaves_the_old_record() {
     let dir = Dir::new();
     let old = record(1, &changes(3));
-    let mut files = begun(&dir.0, std::slice::from_ref(&old));
-    // A directory stands where the next part is to be written.
+    let mut files = initialized(&dir.0, std::slice::from_ref(&old));
+    // A directory blocks the name of the next part.
     let version = ConfigVersion { serial: 4, digest: hingestage_replication::digest(b"content 4") };
-    let in_the_way = dir.0.join(format!("config-{:08x}-{:016x}.json", version.serial, version.digest));
-    fs::create_dir(&in_the_way).expect("a directory");
+    let blocking_dir = dir.0.join(format!("config-{:08x}-{:016x}.json", version.serial, version.digest));
+    fs::create_dir(&blocking_dir).expect("a directory");
     assert!(files.write(&record(2, &changes(4))).is_err());
-    fs::remove_dir(&in_the_way).expect("a directory");
-    assert_eq!(load(&dir.0), whole(&old));
+    fs::remove_dir(&blocking_dir).expect("a directory");
+    assert_eq!(load(&dir.0), intact(&old));
     files.write(&record(2, &changes(4))).expect("the disk");
-    assert_eq!(load(&dir.0), whole(&record(2, &changes(4))));
+    assert_eq!(load(&dir.0), intact(&record(2, &changes(4))));
 }
--- a/crates/config-store/tests/status.rs
+++ b/crates/config-store/tests/status.rs
@@ -1,4 +1,4 @@
-//! What a running store tells operators, over sockets on loopback.
+//! Status reports of a running store, over loopback sockets.
 
 use hingestage_config_store::server;
 use hingestage_fixtures::{own_network, run, PLENTY};
@@ -11,16 +11,16 @@
 use std::rc::Rc;
 use tokio::task::spawn_local;
 
-/// How long a change may take to be decided, milliseconds.
-const DECIDED_WITHIN: u64 = 1_000;
+/// Timeout of a change in milliseconds.
+const CHANGE_TIMEOUT: u64 = 1_000;
 
-/// A store that knows no other.
-struct Stage {
+/// A single running store and a client of it.
+struct TestStore {
     calls: Client<StoreRequest, StoreAnswer>,
 }
 
-impl Stage {
-    async fn start(number: u8, bootstrap: bool) -> Stage {
+impl TestStore {
+    async fn start(number: u8, bootstrap: bool) -> TestStore {
         let data_dir = Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("status-{number}"));
         let _ = std::fs::remove_dir_all(&data_dir);
         std::fs::create_dir_all(&data_dir).expect("a directory");
@@ -31,12 +31,12 @@
             data_dir.display()
         );
         let settings = Rc::new(Settings::parse(&text).expect("settings"));
-        let stage = Stage { calls: Client::new(settings.inner(InnerPort::ConfigStore)) };
+        let store = TestStore { calls: Client::new(settings.inner(InnerPort::ConfigStore)) };
         spawn_local(async move { server::serve(settings).await.expect("the store runs") });
-        while stage.try_status().await.is_none() {
+        while store.try_status().await.is_none() {
             tokio::task::yield_now().await;
         }
-        stage
+        store
     }
 
     async fn try_status(&self) -> Option<StoreStatus> {
@@ -51,7 +51,7 @@
     }
 
     async fn propose(&self, change: Change) -> Option<Proposed> {
-        let request = StoreRequest::Propose { change, wait: DECIDED_WITHIN };
+        let request = StoreRequest::Propose { change, wait: CHANGE_TIMEOUT };
         match self.calls.call(&request, PLENTY).await {
             Ok(StoreAnswer::Proposed(proposed)) => Some(proposed),
             _ => None,
@@ -60,27 +60,31 @@
 }
 
 #[test]
-fn a_store_tells_what_it_holds_and_what_is_durable() {
+fn status_reports_the_accepted_and_the_durable_configuration() {
     run(async {
-        let stage = Stage::start(1, true).await;
-        // It founds the system with its first proposal.
-        while stage.status().await.recovering {
+        let store = TestStore::start(1, true).await;
+        // The store bootstraps the system with its first proposal.
+        while store.status().await.recovering {
             tokio::task::yield_now().await;
         }
-        let empty = stage.status().await;
+        let empty = store.status().await;
         assert_eq!((empty.held, empty.in_force, empty.durable), (None, None, false));
-        assert_eq!((empty.recovering, empty.members.len()), (false, 1), "it founds a system by itself");
+        assert_eq!(
+            (empty.recovering, empty.members.len()),
+            (false, 1),
+            "a single founder bootstraps the system"
+        );
         assert_eq!(empty.voters, ["core-1"]);
         let document = ConfigDocument::new(7, b"{}".to_vec());
         let version = document.version;
-        assert_eq!(stage.propose(Change::Config(document)).await, Some(Proposed::Durable));
+        assert_eq!(store.propose(Change::Config(document)).await, Some(Proposed::Durable));
         let other = ConfigDocument::new(7, b"{ }".to_vec());
-        assert_eq!(stage.propose(Change::Config(other)).await, Some(Proposed::SerialTaken));
+        assert_eq!(store.propose(Change::Config(other)).await, Some(Proposed::SerialTaken));
         let drain = Change::Drain { zone: "north-1".into(), drained: true };
-        assert_eq!(stage.propose(drain).await, Some(Proposed::Durable));
+        assert_eq!(store.propose(drain).await, Some(Proposed::Durable));
         let proxies = [("edge-1".into(), true), ("edge-2".into(), false)].into();
-        assert_eq!(stage.propose(Change::Proxies(proxies)).await, Some(Proposed::Durable));
-        let status = stage.status().await;
+        assert_eq!(store.propose(Change::Proxies(proxies)).await, Some(Proposed::Durable));
+        let status = store.status().await;
         assert_eq!((status.held, status.in_force, status.durable), (Some(version), Some(version), true));
         assert_eq!((status.proxies, status.current_age), (2, Some(0)));
         assert_eq!(status.drained, ["north-1"]);
@@ -88,9 +92,9 @@
 }
 
 #[test]
-fn a_store_that_lost_its_disk_says_so_and_speaks_for_nobody() {
+fn store_with_a_lost_disk_reports_that_it_is_recovering() {
     run(async {
-        let status = Stage::start(2, false).await.status().await;
+        let status = TestStore::start(2, false).await.status().await;
         assert!(status.recovering);
         assert_eq!((status.current_age, status.durable, status.held), (None, false, None));
     });
--- a/crates/replication/src/acceptor.rs
+++ b/crates/replication/src/acceptor.rs
@@ -1,62 +1,63 @@
-//! The acceptor: what a store has promised and accepted, on disk before it is said.
+//! The acceptor: the ballots that a store has promised and accepted.
 //!
-//! Invariant *promise*: once a ballot is promised, nothing below it is accepted. Invariant *disk first*: an answer leaves
-//! only once what it says is on disk; where the disk refuses, nothing has changed.
+//! Invariant *promise*: once a ballot is promised, no proposal below it is accepted. Invariant *disk first*: an
+//! answer is returned only once what it says is durable; if the write fails, nothing has changed.
 
 use crate::state::State;
 use crate::Micros;
 use hingestage_rpc::messages::{Ballot, PeerAnswer, Standing, StoreMember, Transfer};
 use std::io;
 
-/// How long another proposer's ballot is refused after a promise, so that proposals don't overtake each other for ever.
-const PROMISE_REST: Micros = 350_000;
+/// How long ballots of other proposers are refused after a promise, in microseconds. Prevents livelock between
+/// competing proposers.
+const PROMISE_HOLD: Micros = 350_000;
 
-/// What a store has on its disk.
+/// The durable state of an acceptor.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Record {
-    /// No proposal below this ballot is accepted.
+    /// Proposals below this ballot are refused.
     pub promised: Ballot,
-    /// Ballot of the proposal that was accepted last.
+    /// Ballot of the last accepted proposal.
     pub accepted: Ballot,
-    /// The state that it proposed.
+    /// State of the last accepted proposal.
     pub state: State,
 }
 
-/// Where a record is made durable.
+/// Durable storage for a record.
 pub trait Disk {
-    /// Makes a record durable in place of the one before. Where it fails, either may be found after a restart.
+    /// Durably replaces the stored record. After an error, a restart may find either record.
     ///
     /// # Errors
-    /// The disk refuses.
+    /// The write fails.
     fn write(&mut self, record: &Record) -> io::Result<()>;
 }
 
-/// The acceptor.
+/// The acceptor of one store.
 #[derive(Clone, Debug)]
 pub struct Acceptor {
     me: StoreMember,
     record: Record,
-    /// When the promise was made that no proposal has followed yet.
+    /// When the latest promise was made, until a proposal follows it.
     promised_at: Option<Micros>,
 }
 
 impl Acceptor {
-    /// An acceptor with what its disk held.
+    /// Creates an acceptor from its stored record.
     pub fn new(me: StoreMember, record: Record) -> Acceptor {
         Acceptor { me, record, promised_at: None }
     }
 
-    /// What is on disk.
+    /// The durable record.
     pub fn record(&self) -> &Record {
         &self.record
     }
 
-    /// The state before any proposal, the same for all founders of a system.
-    pub fn found(&mut self, state: State) {
+    /// Sets the initial state, which is the same for all founders.
+    pub fn bootstrap(&mut self, state: State) {
         self.record.state = state;
     }
 
-    /// Promises a ballot, unless a higher one was promised or another proposal is under way.
+    /// Promises a ballot, unless one at least as high was promised or another proposer's round is in progress.
     pub fn prepare(
         &mut self,
         now: Micros,
@@ -65,9 +66,9 @@
         disk: &mut impl Disk,
     ) -> PeerAnswer {
         let promised = self.record.promised;
-        let other_under_way = promised.proposer != ballot.proposer
-            && self.promised_at.is_some_and(|at| now < at + PROMISE_REST);
-        if ballot <= promised || other_under_way {
+        let other_in_progress = promised.proposer != ballot.proposer
+            && self.promised_at.is_some_and(|at| now < at + PROMISE_HOLD);
+        if ballot <= promised || other_in_progress {
             return PeerAnswer::Refused { from: self.me.clone(), ballot, promised };
         }
         let record = Record { promised: ballot, ..self.record.clone() };
@@ -79,7 +80,7 @@
         PeerAnswer::Promised { from: self.me.clone(), ballot, standing }
     }
 
-    /// A proposer has given its round up: others need not wait for it.
+    /// Ends the hold for an abandoned round, so that other proposers need not wait.
     pub fn release(&mut self, ballot: Ballot) {
         if self.record.promised == ballot {
             self.promised_at = None;
@@ -98,21 +99,21 @@
         let Some(state) = self.record.state.with(transfer) else {
             return PeerAnswer::Lacks { from: self.me.clone(), ballot, have: self.record.state.summary() };
         };
-        self.take(Record { promised: ballot, accepted: ballot, state }, disk)
+        self.store(Record { promised: ballot, accepted: ballot, state }, disk)
     }
 
-    /// Takes in a proposal that is decided. It may be below what was promised: whoever got that promise hears of the
-    /// proposal from those who decided it.
+    /// Stores a decided proposal; returns whether it is durable. It may be below the promised ballot: the promise's
+    /// proposer learns of the decision from the quorum that made it.
     pub fn learn(&mut self, ballot: Ballot, state: State, disk: &mut impl Disk) -> bool {
         if ballot <= self.record.accepted {
             return false;
         }
         let promised = self.record.promised.max(ballot);
-        let answer = self.take(Record { promised, accepted: ballot, state }, disk);
+        let answer = self.store(Record { promised, accepted: ballot, state }, disk);
         matches!(answer, PeerAnswer::Accepted { .. })
     }
 
-    fn take(&mut self, record: Record, disk: &mut impl Disk) -> PeerAnswer {
+    fn store(&mut self, record: Record, disk: &mut impl Disk) -> PeerAnswer {
         if disk.write(&record).is_err() {
             return PeerAnswer::Failed;
         }
--- a/crates/replication/src/lib.rs
+++ b/crates/replication/src/lib.rs
@@ -1,9 +1,9 @@
-//! Replicas of the operator's orders: agreement on one state, who votes, how far back a replica may be.
+//! Replication of the operator's configuration: consensus on one state, membership of voters, and read freshness.
 //!
-//! No leader and no log: the state is a register that is changed by compare-and-set under ballots (`docs/agreement.md`).
-//! A change is *decided* once a majority of the voters, in more than one zone where there are several, has it on disk. A
-//! replica is *current* as of a moment when a majority of the voters, asked since then, had nothing newer. No clock, disk
-//! or socket is touched here.
+//! The state is a register changed by compare-and-set under ballots, with no leader and no log
+//! (`docs/agreement.md`). A change is *decided* once a majority of the voters has it on disk, in more than one zone
+//! where there are several. A replica is *current* as of a moment if a majority of the voters, asked at or after it,
+//! had nothing newer. The crate does no I/O and reads no clock.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
@@ -25,5 +25,5 @@
 pub use state::State;
 pub use trials::{DurableTrials, TrialSet, TrialsVersion};
 
-/// A point in time or a span, microseconds, on one process's steady clock.
+/// A point in time or a duration in microseconds, on one process's monotonic clock.
 pub type Micros = u64;
--- a/crates/replication/src/peers.rs
+++ b/crates/replication/src/peers.rs
@@ -1,4 +1,4 @@
-//! What a store knows of the others.
+//! Table of the other replicas: addresses, latest answers and reachability.
 
 use crate::quorum::{self, Disks};
 use crate::Micros;
@@ -7,58 +7,58 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// What a store answered.
+/// The latest answer of a peer.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Heard {
+pub(crate) struct LastAnswer {
     pub standing: Standing,
-    /// When it was asked.
+    /// When the request was sent.
     pub asked_at: Micros,
 }
 
-/// Another store.
+/// Another replica.
 #[derive(Clone, Debug)]
 pub(crate) struct Peer {
     pub member: StoreMember,
-    /// Its latest answer; none where others have told of it only.
-    pub heard: Option<Heard>,
+    /// Its latest answer; `None` if it is only known from others.
+    pub last_answer: Option<LastAnswer>,
 }
 
-/// The other stores, by the names of their machines.
+/// The other replicas by machine name.
 #[derive(Clone, Debug)]
 pub(crate) struct Peers {
     me: StoreMember,
-    away_after: Micros,
+    unreachable_after: Micros,
     peers_max: usize,
     peers: BTreeMap<CompactString, Peer>,
-    /// Since when a majority of the voters has been heard without a pause.
+    /// Since when a majority of the voters has been reachable without interruption.
     in_contact_since: Option<Micros>,
 }
 
 impl Peers {
-    pub fn new(me: StoreMember, away_after: Micros, peers_max: usize) -> Peers {
-        Peers { me, away_after, peers_max, peers: BTreeMap::new(), in_contact_since: None }
+    pub fn new(me: StoreMember, unreachable_after: Micros, peers_max: usize) -> Peers {
+        Peers { me, unreachable_after, peers_max, peers: BTreeMap::new(), in_contact_since: None }
     }
 
-    /// Others tell of stores. A store that speaks for itself is believed first. Tells whether any was new.
-    pub fn told_of(&mut self, now: Micros, members: &[StoreMember]) -> bool {
+    /// Adds replicas reported by others; returns whether any was new. A reachable peer's own record takes precedence.
+    pub fn add_members(&mut self, now: Micros, members: &[StoreMember]) -> bool {
         let mut new = false;
         for member in members {
             let known = self.peers.get(&member.name);
             let full = known.is_none() && self.peers.len() >= self.peers_max;
-            let speaks = known.is_some_and(|peer| self.is_heard(now, peer));
+            let answers = known.is_some_and(|peer| self.answered_recently(now, peer));
             let same = known.is_some_and(|peer| peer.member == *member);
-            if member.name == self.me.name || full || speaks || same {
+            if member.name == self.me.name || full || answers || same {
                 continue;
             }
-            self.peers.insert(member.name.clone(), Peer { member: member.clone(), heard: None });
+            self.peers.insert(member.name.clone(), Peer { member: member.clone(), last_answer: None });
             new = true;
         }
         new
     }
 
-    /// A store has answered what it was asked at a moment. An answer to an older question than the latest replaces
-    /// nothing. Tells whether the store is a new one.
-    pub fn heard(&mut self, asked_at: Micros, member: &StoreMember, standing: Standing) -> bool {
+    /// Records a peer's answer to a request sent at `asked_at`, unless a later request was answered before. Returns
+    /// whether the peer is new.
+    pub fn record_answer(&mut self, asked_at: Micros, member: &StoreMember, standing: Standing) -> bool {
         if member.name == self.me.name {
             return false;
         }
@@ -67,19 +67,19 @@
         if new && known.is_none() && self.peers.len() >= self.peers_max {
             return false;
         }
-        let later = known.and_then(|peer| peer.heard).is_none_or(|heard| heard.asked_at <= asked_at);
+        let later = known.and_then(|peer| peer.last_answer).is_none_or(|answer| answer.asked_at <= asked_at);
         if later {
-            let heard = Some(Heard { standing, asked_at });
-            self.peers.insert(member.name.clone(), Peer { member: member.clone(), heard });
+            let last_answer = Some(LastAnswer { standing, asked_at });
+            self.peers.insert(member.name.clone(), Peer { member: member.clone(), last_answer });
         }
         new && later
     }
 
-    /// Forgets stores that neither vote nor were heard for long.
+    /// Removes peers that do not vote and have not answered for `keep`.
     pub fn forget(&mut self, now: Micros, membership: &Membership, keep: Micros) {
         let votes = |member: &StoreMember| membership.voters.iter().any(|voter| voter.name == member.name);
         self.peers.retain(|_, peer| {
-            votes(&peer.member) || peer.heard.is_none_or(|heard| now < heard.asked_at + keep)
+            votes(&peer.member) || peer.last_answer.is_none_or(|answer| now < answer.asked_at + keep)
         });
     }
 
@@ -91,56 +91,57 @@
         self.peers.get(name)
     }
 
-    pub fn at(&self, addr: SocketAddr) -> Option<&Peer> {
+    pub fn by_addr(&self, addr: SocketAddr) -> Option<&Peer> {
         self.peers.values().find(|peer| peer.member.addr == addr)
     }
 
-    /// All stores that are known, this one among them.
+    /// All known replicas, including this one.
     pub fn members(&self) -> Vec<StoreMember> {
         let mut all: Vec<StoreMember> = self.peers.values().map(|peer| peer.member.clone()).collect();
         all.push(self.me.clone());
         all
     }
 
-    /// Records of machines that have spoken for themselves.
-    pub fn speakers(&self) -> impl Iterator<Item = &StoreMember> + Clone {
-        let spoke = self.peers.values().filter(|peer| peer.heard.is_some());
-        spoke.map(|peer| &peer.member).chain(std::iter::once(&self.me))
+    /// Replicas that have answered themselves, including this one.
+    pub fn responders(&self) -> impl Iterator<Item = &StoreMember> + Clone {
+        let responders = self.peers.values().filter(|peer| peer.last_answer.is_some());
+        responders.map(|peer| &peer.member).chain(std::iter::once(&self.me))
     }
 
-    fn is_heard(&self, now: Micros, peer: &Peer) -> bool {
-        peer.heard.is_some_and(|heard| now < heard.asked_at + self.away_after)
+    fn answered_recently(&self, now: Micros, peer: &Peer) -> bool {
+        peer.last_answer.is_some_and(|answer| now < answer.asked_at + self.unreachable_after)
     }
 
-    /// Whether this very disk was heard lately.
-    pub fn is_present(&self, now: Micros, member: &StoreMember) -> bool {
+    /// Whether this replica, with this disk, has answered recently.
+    pub fn is_reachable(&self, now: Micros, member: &StoreMember) -> bool {
         let peer = self.peers.get(&member.name);
-        *member == self.me || peer.is_some_and(|peer| peer.member == *member && self.is_heard(now, peer))
+        *member == self.me
+            || peer.is_some_and(|peer| peer.member == *member && self.answered_recently(now, peer))
     }
 
-    /// Notes whether a majority of the voters is heard.
-    pub fn watch_contact(&mut self, now: Micros, membership: &Membership) {
-        let present = membership.voters.iter().filter(|voter| self.is_present(now, voter));
-        let present: Disks = present.map(|voter| voter.disk).collect();
-        let contact = quorum::has_majority(&membership.voters, &present) && !membership.voters.is_empty();
+    /// Updates since when a majority of the voters has been reachable.
+    pub fn update_contact(&mut self, now: Micros, membership: &Membership) {
+        let reachable = membership.voters.iter().filter(|voter| self.is_reachable(now, voter));
+        let reachable: Disks = reachable.map(|voter| voter.disk).collect();
+        let contact = quorum::has_majority(&membership.voters, &reachable) && !membership.voters.is_empty();
         self.in_contact_since = contact.then(|| self.in_contact_since.unwrap_or(now));
     }
 
-    /// The voters that are away: not heard for long, while a majority has been heard all the time. After a freeze or
-    /// a cut nobody counts as away until that time has passed again.
-    pub fn silent(&self, now: Micros, voters: &[StoreMember], after: Micros) -> Disks {
-        let judged = self.in_contact_since.is_some_and(|since| now >= since + after);
-        let is_silent = |voter: &&StoreMember| {
-            let heard = self.peers.get(&voter.name).filter(|peer| peer.member == **voter);
-            let heard_at = heard.and_then(|peer| peer.heard).map_or(0, |heard| heard.asked_at);
-            **voter != self.me && now >= heard_at + after
+    /// Voters that have not answered for `after` while a majority was reachable all that time. After a pause of this
+    /// process or a partition no voter counts as unreachable until that time has passed again.
+    pub fn unreachable(&self, now: Micros, voters: &[StoreMember], after: Micros) -> Disks {
+        let in_contact = self.in_contact_since.is_some_and(|since| now >= since + after);
+        let is_unreachable = |voter: &&StoreMember| {
+            let peer = self.peers.get(&voter.name).filter(|peer| peer.member == **voter);
+            let answered_at = peer.and_then(|peer| peer.last_answer).map_or(0, |answer| answer.asked_at);
+            **voter != self.me && now >= answered_at + after
         };
-        voters.iter().filter(is_silent).filter(|_| judged).map(|voter| voter.disk).collect()
+        voters.iter().filter(is_unreachable).filter(|_| in_contact).map(|voter| voter.disk).collect()
     }
 
-    /// Disks that say they have accepted just this proposal.
-    pub fn holders(&self, ballot: Ballot) -> Disks {
-        let holds = |peer: &&Peer| peer.heard.is_some_and(|heard| heard.standing.accepted == ballot);
+    /// Disks of peers that report this ballot as their last accepted proposal.
+    pub fn acceptors_of(&self, ballot: Ballot) -> Disks {
+        let holds = |peer: &&Peer| peer.last_answer.is_some_and(|answer| answer.standing.accepted == ballot);
         self.peers.values().filter(holds).map(|peer| peer.member.disk).collect()
     }
 }
--- a/crates/replication/src/planner.rs
+++ b/crates/replication/src/planner.rs
@@ -1,25 +1,25 @@
-//! Which stores are to vote next.
+//! Chooses the next set of voters.
 //!
-//! Invariant *fencing*: a store whose disk was lost is another one, and takes the old one's place by a change of
-//! membership; the old one's vote counts no more. There are never fewer voters than losses to be borne ask for.
+//! Invariant *fencing*: a store that lost its disk is a new member and replaces the old one by a membership change,
+//! after which the old one's vote does not count. The voter set never shrinks below the configured minimum.
 
 use crate::peers::{Peer, Peers};
 use crate::quorum::{zones, Disks};
 use crate::Micros;
 use hingestage_rpc::messages::{Membership, Standing, StoreMember};
 
-/// Periods and sizes by which voters are chosen.
+/// Timeouts and sizes for choosing voters.
 #[derive(Clone, Copy, Debug)]
 pub struct Plan {
-    /// A voter not heard for so long is replaced where a store stands by.
+    /// A voter unreachable for this long is replaced by a standby store, if there is one.
     pub replace_after: Micros,
-    /// A voter not heard for so long is removed where there are more than needed.
+    /// A voter unreachable for this long is removed if there are more than `voters_min`.
     pub remove_after: Micros,
-    /// Voters that there are at the least, once as many stores are there.
+    /// Minimum number of voters, once that many stores exist.
     pub voters_min: usize,
 }
 
-/// What the planner goes by.
+/// Computes membership changes from what one replica knows of the others.
 pub(crate) struct Planner<'a> {
     pub plan: Plan,
     pub now: Micros,
@@ -29,8 +29,8 @@
 }
 
 impl Planner<'_> {
-    /// The voters that are to follow; none where those that vote are right.
-    pub fn next(&self, membership: &Membership) -> Option<Membership> {
+    /// The next membership; `None` if no change is needed or one is in progress.
+    pub fn next_membership(&self, membership: &Membership) -> Option<Membership> {
         if !membership.previous.is_empty() || membership.voters.is_empty() {
             return None;
         }
@@ -38,57 +38,57 @@
         let next = self
             .with_new_disks(voters)
             .or_else(|| self.without_leaving(voters))
-            .or_else(|| self.without_silent(voters))
-            .or_else(|| self.grown(voters))
-            .or_else(|| self.shrunk(voters))?;
+            .or_else(|| self.without_unreachable(voters))
+            .or_else(|| self.enlarged(voters))
+            .or_else(|| self.reduced(voters))?;
         Some(Membership { epoch: membership.epoch + 1, voters: sorted(next), previous: voters.clone() })
     }
 
-    /// Machines that came back with another disk take their own places.
+    /// Replaces voters whose machines came back with another disk.
     fn with_new_disks(&self, voters: &[StoreMember]) -> Option<Vec<StoreMember>> {
         let renewed = |voter: &StoreMember| {
-            let mut speakers = self.peers.speakers();
-            speakers.find(|member| member.name == voter.name).unwrap_or(voter).clone()
+            let mut responders = self.peers.responders();
+            responders.find(|member| member.name == voter.name).unwrap_or(voter).clone()
         };
         let next: Vec<StoreMember> = voters.iter().map(renewed).collect();
         (next != voters).then_some(next)
     }
 
-    /// A store that is told to end hands its place over, or leaves where it is not needed.
+    /// Replaces a voter that is shutting down by a standby store, or removes it if it is not needed.
     fn without_leaving(&self, voters: &[StoreMember]) -> Option<Vec<StoreMember>> {
         let leaving: Disks =
-            voters.iter().filter(|voter| self.leaves(voter)).map(|voter| voter.disk).collect();
+            voters.iter().filter(|voter| self.is_leaving(voter)).map(|voter| voter.disk).collect();
         let first = voters.iter().find(|voter| leaving.contains(&voter.disk))?;
         let spare = voters.len() > self.plan.voters_min;
-        self.handed_over(voters, &leaving).or_else(|| spare.then(|| without(voters, first)))
+        self.replace_one(voters, &leaving).or_else(|| spare.then(|| without(voters, first)))
     }
 
-    fn leaves(&self, member: &StoreMember) -> bool {
+    fn is_leaving(&self, member: &StoreMember) -> bool {
         if member == self.me {
             return self.standing.leaving;
         }
         let peer = self.peers.get(&member.name).filter(|peer| peer.member == *member);
-        peer.and_then(|peer| peer.heard).is_some_and(|heard| heard.standing.leaving)
+        peer.and_then(|peer| peer.last_answer).is_some_and(|answer| answer.standing.leaving)
     }
 
-    /// A store that stands by takes the place of a voter that is away.
-    fn without_silent(&self, voters: &[StoreMember]) -> Option<Vec<StoreMember>> {
-        self.handed_over(voters, &self.peers.silent(self.now, voters, self.plan.replace_after))
+    /// Replaces an unreachable voter by a standby store.
+    fn without_unreachable(&self, voters: &[StoreMember]) -> Option<Vec<StoreMember>> {
+        self.replace_one(voters, &self.peers.unreachable(self.now, voters, self.plan.replace_after))
     }
 
-    /// A store that stands by takes the place of one of some voters, one of the same zone first.
-    fn handed_over(&self, voters: &[StoreMember], going: &Disks) -> Option<Vec<StoreMember>> {
-        let candidates = self.standing_by(voters);
-        let going = voters.iter().filter(|voter| going.contains(&voter.disk));
+    /// Replaces one of the `outgoing` voters by a standby store, preferably one of the same zone.
+    fn replace_one(&self, voters: &[StoreMember], outgoing: &Disks) -> Option<Vec<StoreMember>> {
+        let candidates = self.standbys(voters);
+        let outgoing = voters.iter().filter(|voter| outgoing.contains(&voter.disk));
         let mut pairs: Vec<(&StoreMember, &StoreMember)> =
-            going.flat_map(|voter| candidates.iter().map(move |candidate| (voter, candidate))).collect();
+            outgoing.flat_map(|voter| candidates.iter().map(move |candidate| (voter, candidate))).collect();
         pairs.sort_by_key(|(voter, candidate)| voter.zone != candidate.zone);
         pairs.into_iter().find_map(|(voter, candidate)| replaced(voters, voter, candidate))
     }
 
-    /// Stores that stand by vote too where there are too few voters, or an even number of them, or for two more.
-    fn grown(&self, voters: &[StoreMember]) -> Option<Vec<StoreMember>> {
-        let mut candidates = self.standing_by(voters);
+    /// Adds one standby store if there are too few voters or an even number of them, else two at once.
+    fn enlarged(&self, voters: &[StoreMember]) -> Option<Vec<StoreMember>> {
+        let mut candidates = self.standbys(voters);
         let wanted =
             if voters.len().is_multiple_of(2) || voters.len() < self.plan.voters_min { 1 } else { 2 };
         if candidates.len() < wanted {
@@ -98,25 +98,25 @@
         Some(voters.iter().cloned().chain(candidates.into_iter().take(wanted)).collect())
     }
 
-    /// Voters that are away for long go where there are more than needed.
-    fn shrunk(&self, voters: &[StoreMember]) -> Option<Vec<StoreMember>> {
-        let silent = self.peers.silent(self.now, voters, self.plan.remove_after);
-        let first = voters.iter().find(|voter| silent.contains(&voter.disk))?;
+    /// Removes a voter that was unreachable for long, if there are more than needed.
+    fn reduced(&self, voters: &[StoreMember]) -> Option<Vec<StoreMember>> {
+        let unreachable = self.peers.unreachable(self.now, voters, self.plan.remove_after);
+        let first = voters.iter().find(|voter| unreachable.contains(&voter.disk))?;
         let spare = voters.len() > self.plan.voters_min;
         spare.then(|| without(voters, first))
     }
 
-    /// Stores that don't vote, are present and hold what was decided.
-    fn standing_by(&self, voters: &[StoreMember]) -> Vec<StoreMember> {
+    /// Standby stores: reachable non-voters that have accepted at least what this store knows to be decided.
+    fn standbys(&self, voters: &[StoreMember]) -> Vec<StoreMember> {
         let holds = |peer: &&Peer| {
-            let heard = peer.heard.filter(|_| self.peers.is_present(self.now, &peer.member));
+            let answer = peer.last_answer.filter(|_| self.peers.is_reachable(self.now, &peer.member));
             let usable = |standing: Standing| standing.accepted >= self.standing.decided && !standing.leaving;
-            heard.is_some_and(|heard| usable(heard.standing))
+            answer.is_some_and(|answer| usable(answer.standing))
         };
         let votes = |name: &str| voters.iter().any(|voter| voter.name == name);
         let others = self.peers.iter().filter(holds).map(|peer| peer.member.clone());
-        let mine = (!self.standing.leaving).then(|| self.me.clone());
-        others.chain(mine).filter(|member| !votes(&member.name)).collect()
+        let this_store = (!self.standing.leaving).then(|| self.me.clone());
+        others.chain(this_store).filter(|member| !votes(&member.name)).collect()
     }
 }
 
--- a/crates/replication/src/proposer.rs
+++ b/crates/replication/src/proposer.rs
@@ -1,7 +1,7 @@
-//! One round of a proposer: a ballot prepared at a majority, then a state accepted by one.
+//! One round of a proposer: a ballot is prepared at a read quorum, then a state is accepted by an accept quorum.
 //!
-//! Invariant *highest first*: a round builds on the proposal with the highest ballot that its majority has accepted, so
-//! that whatever was decided before is in what it proposes.
+//! Invariant *highest first*: a round builds on the proposal with the highest ballot that its read quorum has
+//! accepted, so that its proposal includes everything decided before.
 
 use crate::quorum::{self, Disks};
 use crate::state::State;
@@ -9,64 +9,65 @@
 use hingestage_rpc::messages::{Ballot, Membership, Proposed, Standing, StoreMember};
 use std::collections::BTreeMap;
 
-/// A store's promise.
+/// An acceptor's promise.
 #[derive(Clone, Debug)]
 pub(crate) struct Promise {
     pub member: StoreMember,
     pub standing: Standing,
 }
 
-/// What a round builds on.
+/// A state with the ballot that it was proposed under.
 #[derive(Clone, Debug)]
 pub(crate) struct Base {
     pub ballot: Ballot,
     pub state: State,
 }
 
-/// How far a round is.
+/// Phase of a round.
 #[derive(Clone, Debug)]
 pub(crate) enum Phase {
-    /// Promises are awaited.
+    /// Waiting for promises.
     Preparing,
-    /// The proposed state is to be accepted.
+    /// Waiting for acceptances of the proposal.
     Accepting(Proposal),
 }
 
-/// A state that is proposed.
+/// A proposed state.
 #[derive(Clone, Debug)]
 pub(crate) struct Proposal {
     pub state: State,
     pub accepted: Disks,
-    /// What becomes of changes once the state is decided.
+    /// Outcomes of the included changes by ticket, valid once the state is decided.
     pub outcomes: Vec<(u64, Proposed)>,
 }
 
-/// A round.
+/// A round of one ballot.
 #[derive(Clone, Debug)]
 pub(crate) struct Round {
     pub ballot: Ballot,
     pub started_at: Micros,
     pub phase: Phase,
     pub promises: BTreeMap<u64, Promise>,
-    /// Stores that have refused.
+    /// Acceptors that have refused in this phase.
     pub refused: Disks,
-    /// Stores that were asked for a promise.
+    /// Stores that were sent a `Prepare`.
     pub asked: Vec<StoreMember>,
-    /// The state of the highest proposal, where it was fetched.
+    /// State of the highest accepted proposal, if it was fetched.
     pub fetched: Option<Base>,
+    /// Ballot of the proposal that is being fetched.
     pub fetching: Option<Ballot>,
 }
 
-/// What a round needs next.
+/// Next step of a round in its prepare phase.
 #[derive(Clone, Debug)]
 pub(crate) enum Step {
-    /// Answers.
+    /// Wait for more answers.
     Wait,
-    /// The state of a proposal that a store has accepted.
+    /// Fetch the state of a proposal from a store that has accepted it.
     Fetch(StoreMember, Ballot),
-    /// Promises of more stores.
+    /// Send `Prepare` to more stores.
     Ask(Vec<StoreMember>),
-    /// Nothing: it is to build on this.
+    /// Propose a state built on this base.
     Build(Base),
 }
 
@@ -84,28 +85,28 @@
         }
     }
 
-    /// What is to be done with the promises that have come. `mine` is what this store has accepted, `lost` tells which
-    /// disks of some voters are lost.
-    pub fn step(&mut self, mine: &Base, lost: impl Fn(&[StoreMember]) -> Disks) -> Step {
+    /// The next step after the promises received so far. `own` is what this store has accepted; `lost` returns the
+    /// lost disks among some voters.
+    pub fn step(&mut self, own: &Base, lost: impl Fn(&[StoreMember]) -> Disks) -> Step {
         let Some(highest) = self.promises.values().max_by_key(|promise| promise.standing.accepted) else {
             return Step::Wait;
         };
         let ballot = highest.standing.accepted;
         let fetched = self.fetched.as_ref().filter(|base| base.ballot == ballot);
-        let Some(base) = (if mine.ballot == ballot { Some(mine) } else { fetched }) else {
+        let Some(base) = (if own.ballot == ballot { Some(own) } else { fetched }) else {
             return self.fetch(highest.member.clone(), ballot);
         };
         let decided = self.promises.values().any(|promise| promise.standing.decided >= ballot);
         let disks: Disks = self.promises.keys().copied().collect();
         let reads = |membership: &Membership| {
-            let mut gone = lost(&membership.voters);
-            gone.extend(lost(&membership.previous));
-            quorum::reads(membership, &disks, &gone)
+            let mut all_lost = lost(&membership.voters);
+            all_lost.extend(lost(&membership.previous));
+            quorum::reads(membership, &disks, &all_lost)
         };
-        if reads(&base.state.membership) && (decided || reads(&mine.state.membership)) {
+        if reads(&base.state.membership) && (decided || reads(&own.state.membership)) {
             return Step::Build(base.clone());
         }
-        let voters = askable(&base.state.membership).into_iter();
+        let voters = distinct_voters(&base.state.membership).into_iter();
         let unasked: Vec<StoreMember> =
             voters.filter(|voter| !self.asked.iter().any(|asked| asked.addr == voter.addr)).collect();
         if unasked.is_empty() {
@@ -123,32 +124,32 @@
         Step::Fetch(member, ballot)
     }
 
-    /// Whether those that have not refused can't do any more what this phase needs. `mine` is the membership that this
-    /// store has accepted.
-    pub fn is_hopeless(&self, mine: &Membership, lost: &Disks, silent: &Disks) -> bool {
+    /// Whether the acceptors that have not refused no longer form the quorum of this phase. `own` is the membership
+    /// that this store has accepted.
+    pub fn cannot_succeed(&self, own: &Membership, lost: &Disks, unreachable: &Disks) -> bool {
         let membership = match &self.phase {
-            Phase::Preparing => mine,
+            Phase::Preparing => own,
             Phase::Accepting(proposal) => &proposal.state.membership,
         };
         let voters = voters_of(membership).map(|voter| voter.disk);
-        let left: Disks =
+        let remaining: Disks =
             voters.filter(|disk| !self.refused.contains(disk) && !lost.contains(disk)).collect();
         match &self.phase {
-            Phase::Preparing => !quorum::reads(membership, &left, lost),
-            Phase::Accepting(_) => !quorum::accepts(membership, &left, silent),
+            Phase::Preparing => !quorum::reads(membership, &remaining, lost),
+            Phase::Accepting(_) => !quorum::accepts(membership, &remaining, unreachable),
         }
     }
 }
 
-/// All who have a say in a proposal with this membership.
+/// Voters of the current set, followed by those that are only in the previous set.
 pub(crate) fn voters_of(membership: &Membership) -> impl Iterator<Item = &StoreMember> {
     let Membership { voters, previous, .. } = membership;
     let leaving = previous.iter().filter(|voter| !voters.contains(voter));
     voters.iter().chain(leaving)
 }
 
-/// The same, one for each address: a lost disk's machine is asked as what it is now.
-pub(crate) fn askable(membership: &Membership) -> Vec<StoreMember> {
+/// Like [`voters_of`], but once per address: a machine with a replaced disk is asked only as its new member.
+pub(crate) fn distinct_voters(membership: &Membership) -> Vec<StoreMember> {
     let mut members: Vec<StoreMember> = Vec::new();
     for voter in voters_of(membership) {
         if !members.iter().any(|member| member.addr == voter.addr) {
--- a/crates/replication/src/replica.rs
+++ b/crates/replication/src/replica.rs
@@ -1,11 +1,12 @@
-//! One replica: what it has accepted, what it knows of the others, and the round that it proposes in.
+//! A replica of the replicated state: acceptor, proposer and membership of one store.
 //!
-//! A register that is changed by compare-and-set under ballots, without a log or a leader (`docs/agreement.md`).
+//! The state is a single register changed by compare-and-set under ballots, without a log or a leader
+//! (`docs/agreement.md`).
 
 use crate::acceptor::{Acceptor, Disk, Record};
 use crate::peers::Peers;
 use crate::planner::{Plan, Planner};
-use crate::proposer::{askable, voters_of, Base, Phase, Promise, Proposal, Round, Step};
+use crate::proposer::{distinct_voters, voters_of, Base, Phase, Promise, Proposal, Round, Step};
 use crate::quorum::{self, Disks};
 use crate::state::State;
 use crate::trials::DurableTrials;
@@ -19,28 +20,28 @@
 /// Microseconds in a millisecond.
 const MILLI: Micros = 1_000;
 
-/// Periods by which a replica goes.
+/// Timeouts and limits of a replica.
 #[derive(Clone, Copy, Debug)]
 pub struct Figures {
-    /// A replica not heard for so long is taken to be away.
+    /// A replica that has not answered for this long is considered unreachable.
     pub away_after: Micros,
-    /// Contact with a majority holds for so long: what rests on it may be said without asking again.
+    /// How long contact with a majority stays valid without asking it again.
     pub contact_lease: Micros,
-    /// A proposal that stays undecided for so long is completed by whoever has accepted it.
+    /// Voters that accepted a proposal start a round to complete it after it was undecided for this long.
     pub complete_after: Micros,
-    /// A round is given up after so long.
+    /// Timeout of a round.
     pub round_within: Micros,
-    /// The same for one that waits only for a zone that may be away.
+    /// Timeout of a round that has a majority and waits for a second zone.
     pub zone_within: Micros,
-    /// Pause after a round that was given up, at the most.
+    /// Upper bound of the random backoff after an abandoned round.
     pub pause_max: Micros,
-    /// Replicas that neither vote nor were heard for so long are forgotten.
+    /// How long to keep non-voting replicas that do not answer, and outcomes that no caller takes.
     pub forget_after: Micros,
-    /// Replicas known at the most.
+    /// Maximum number of other replicas tracked.
     pub peers_max: usize,
-    /// Changes that wait at the most.
+    /// Maximum number of pending changes.
     pub changes_max: usize,
-    /// Which replicas are to vote.
+    /// Policy for choosing the voters.
     pub plan: Plan,
 }
 
@@ -64,54 +65,55 @@
 /// A request to another replica.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Outgoing {
-    /// Whom to ask.
+    /// The replica to send to.
     pub to: StoreMember,
-    /// What.
+    /// The request.
     pub request: PeerRequest,
 }
 
-/// A change that waits for its round.
+/// A change that is not decided yet.
 #[derive(Clone, Debug)]
-struct Waiting {
+struct PendingChange {
     ticket: u64,
     change: Change,
-    /// Nobody waits for it from then on, and it is not proposed any more.
+    /// Deadline of the caller; the change is no longer proposed after it.
     until: Micros,
 }
 
-/// One replica. Cloning it forks time.
+/// A replica as a state machine: the caller supplies time, storage and transport.
 #[derive(Clone, Debug)]
 pub struct Replica {
     me: StoreMember,
     figures: Figures,
-    /// Addresses of the stores that found the system, where it starts for the first time.
+    /// Addresses of the initial voters; empty unless this replica bootstraps the system.
     founders: Vec<SocketAddr>,
     acceptor: Acceptor,
     peers: Peers,
-    /// The latest proposal that is known to be decided, and its state.
+    /// The latest proposal known to be decided, with its state.
     decided: Base,
-    /// Trials that proxies may go by.
+    /// Decided trials, with the time at which each was learnt.
     trials: DurableTrials,
-    /// Since when the accepted proposal has been undecided.
+    /// When the accepted proposal was first seen undecided.
     undecided_since: Option<Micros>,
     round: Option<Round>,
     next_round_at: Micros,
-    /// The highest round heard of.
+    /// The highest round number seen in any ballot.
     highest_round: u64,
-    waiting: Vec<Waiting>,
+    pending: Vec<PendingChange>,
     outcomes: BTreeMap<u64, (Micros, Proposed)>,
     next_ticket: u64,
     leaving: bool,
-    /// A decision that is missing here, and who has it.
-    behind: Option<(StoreMember, Ballot)>,
-    /// Whether a round of this replica has decided something that others are to hear of.
-    announces: bool,
-    random: u64,
+    /// A decision that is missing here, and a replica that has it.
+    missing_decision: Option<(StoreMember, Ballot)>,
+    /// Whether a round of this replica was decided and not announced to the others yet.
+    unannounced: bool,
+    /// State of the xorshift generator for the backoff.
+    rng_state: u64,
 }
 
 impl Replica {
-    /// A replica with what its disk held. `founders` are the addresses of those that found the system, where its disk
-    /// is as new as the system. `seed` is for pauses.
+    /// Creates a replica from its stored record. `founders` are the addresses of the initial voters if this
+    /// replica bootstraps the system, else empty. `seed` seeds the random backoff.
     pub fn new(
         me: StoreMember,
         record: Record,
@@ -132,93 +134,93 @@
             undecided_since: undecided.then_some(0),
             round: None,
             next_round_at: 0,
-            waiting: Vec::new(),
+            pending: Vec::new(),
             outcomes: BTreeMap::new(),
             next_ticket: 1,
             leaving: false,
-            behind: None,
-            announces: false,
-            random: seed | 1,
+            missing_decision: None,
+            unannounced: false,
+            rng_state: seed | 1,
         };
         let known: Vec<StoreMember> = voters_of(replica.membership()).cloned().collect();
-        replica.peers.told_of(0, &known);
-        replica.found();
+        replica.peers.add_members(0, &known);
+        replica.bootstrap();
         replica
     }
 
-    /// This replica.
+    /// The identity of this replica.
     pub fn me(&self) -> &StoreMember {
         &self.me
     }
 
-    /// What is on its disk.
+    /// The durable acceptor record.
     pub fn record(&self) -> &Record {
         self.acceptor.record()
     }
 
-    /// The state that is known to be decided.
+    /// The latest decided state known here.
     pub fn state(&self) -> &State {
         &self.decided.state
     }
 
-    /// Which replicas vote, by what is on disk here.
+    /// The membership in the accepted state.
     pub fn membership(&self) -> &Membership {
         &self.record().state.membership
     }
 
-    /// All replicas that are known, this one among them.
+    /// All known replicas, including this one.
     pub fn members(&self) -> Vec<StoreMember> {
         self.peers.members()
     }
 
-    /// How far it is.
+    /// The accepted and decided ballots, as reported to other replicas.
     pub fn standing(&self) -> Standing {
         Standing { accepted: self.record().accepted, decided: self.decided.ballot, leaving: self.leaving }
     }
 
-    /// Whether it knows of no decision: it speaks for nobody.
+    /// Whether no decision is known here yet, so that reads cannot be answered.
     pub fn recovering(&self) -> bool {
         self.decided.ballot == Ballot::ZERO
     }
 
-    /// What is decided, in short.
+    /// Versions of the decided state's parts.
     pub fn summary(&self) -> Summary {
         Summary { recovering: self.recovering(), ..self.decided.state.summary() }
     }
 
-    /// Takes in which replicas others tell of. Tells whether any was new.
+    /// Adds replicas reported by others; returns whether any was new.
     pub fn told_of(&mut self, now: Micros, members: &[StoreMember]) -> bool {
-        self.peers.told_of(now, members)
+        self.peers.add_members(now, members)
     }
 
-    /// What it asks others regularly.
+    /// The periodic request that exchanges ballots and known members with another replica.
     pub fn exchange(&self) -> PeerRequest {
         PeerRequest::Exchange { from: self.me.clone(), standing: self.standing(), known: self.members() }
     }
 
-    /// The process is to end: another replica takes its vote where one stands by.
+    /// Starts handing the vote over to a standby replica, before the process stops.
     pub fn leave(&mut self) {
         self.leaving = true;
     }
 
-    /// Whether one that is to end has done what it can to hand its vote over.
+    /// Whether the handover is complete, or no membership change is left that could complete it.
     pub fn has_left(&self, now: Micros) -> bool {
         let settled = self.membership().previous.is_empty();
         !self.votes() || (settled && self.next_membership(now, &self.decided.state).is_none())
     }
 
-    /// Whether it has a vote.
+    /// Whether this replica is a voter of the current or the previous voter set.
     pub fn votes(&self) -> bool {
         voters_of(self.membership()).any(|voter| *voter == self.me)
     }
 
-    /// Answers another replica.
+    /// Handles a request of another replica.
     pub fn handle(&mut self, now: Micros, request: PeerRequest, disk: &mut impl Disk) -> PeerAnswer {
         match request {
             PeerRequest::Exchange { from, standing, known } => {
-                self.peers.told_of(now, &known);
-                self.peers.told_of(now, std::slice::from_ref(&from));
-                self.told_decision(now, &from, standing.decided);
+                self.peers.add_members(now, &known);
+                self.peers.add_members(now, std::slice::from_ref(&from));
+                self.note_remote_decision(now, &from, standing.decided);
                 let (from, standing) = (self.me.clone(), self.standing());
                 PeerAnswer::Exchanged { from, standing, known: self.members() }
             }
@@ -229,14 +231,15 @@
             PeerRequest::Accept { ballot, transfer } => {
                 self.highest_round = self.highest_round.max(ballot.round);
                 let answer = self.acceptor.accept(ballot, transfer, disk);
-                self.note_accepted(now);
+                self.update_undecided_since(now);
                 answer
             }
-            PeerRequest::Fetch { ballot, have } => self.hand_over(ballot, &have),
+            PeerRequest::Fetch { ballot, have } => self.answer_fetch(ballot, &have),
         }
     }
 
-    fn hand_over(&self, ballot: Ballot, have: &Summary) -> PeerAnswer {
+    /// Answers a `Fetch`: the accepted state if its ballot matches, else a decided state at least as new.
+    fn answer_fetch(&self, ballot: Ballot, have: &Summary) -> PeerAnswer {
         let record = self.record();
         let (ballot, state) = if record.accepted == ballot {
             (ballot, &record.state)
@@ -249,12 +252,13 @@
         PeerAnswer::Fetched { ballot, decided, transfer: state.transfer(have) }
     }
 
-    fn note_accepted(&mut self, now: Micros) {
+    /// Starts or clears the timer for an undecided proposal.
+    fn update_undecided_since(&mut self, now: Micros) {
         let undecided = self.record().accepted > self.decided.ballot;
         self.undecided_since = undecided.then(|| self.undecided_since.unwrap_or(now));
     }
 
-    /// Takes in what another replica answered to what it was asked at `asked_at`.
+    /// Handles an answer to a request that was sent at `asked_at`; returns the requests to send next.
     pub fn answered(
         &mut self,
         now: Micros,
@@ -265,16 +269,20 @@
         let mut outgoing = Vec::new();
         match answer {
             PeerAnswer::Exchanged { from, standing, known } => {
-                self.peers.told_of(now, &known);
-                self.heard(now, asked_at, &from, standing);
+                self.peers.add_members(now, &known);
+                self.handle_exchanged(now, asked_at, &from, standing);
+            }
+            PeerAnswer::Promised { from, ballot, standing } => self.handle_promise(ballot, from, standing),
+            PeerAnswer::Accepted { from, ballot } => self.handle_acceptance(now, ballot, &from),
+            PeerAnswer::Lacks { from, ballot, have } => {
+                outgoing.extend(self.resend_proposal(ballot, from, &have))
+            }
+            PeerAnswer::Refused { from, ballot, promised } => {
+                self.handle_refusal(now, ballot, &from, promised)
             }
-            PeerAnswer::Promised { from, ballot, standing } => self.promised(ballot, from, standing),
-            PeerAnswer::Accepted { from, ballot } => self.accepted(now, ballot, &from),
-            PeerAnswer::Lacks { from, ballot, have } => outgoing.extend(self.complete(ballot, from, &have)),
-            PeerAnswer::Refused { from, ballot, promised } => self.refused(now, ballot, &from, promised),
             PeerAnswer::Fetched { ballot, decided, transfer } => {
                 if let Some(state) = self.record().state.with(transfer) {
-                    self.fetched(now, ballot, decided, state, disk);
+                    self.handle_fetched(now, ballot, decided, state, disk);
                 }
             }
             PeerAnswer::Failed => {}
@@ -283,71 +291,77 @@
         outgoing
     }
 
-    fn heard(&mut self, now: Micros, asked_at: Micros, from: &StoreMember, standing: Standing) {
-        self.peers.heard(asked_at, from, standing);
+    fn handle_exchanged(&mut self, now: Micros, asked_at: Micros, from: &StoreMember, standing: Standing) {
+        self.peers.record_answer(asked_at, from, standing);
         self.highest_round = self.highest_round.max(standing.accepted.round);
-        self.found();
-        self.peers.watch_contact(now, &self.acceptor.record().state.membership);
-        self.told_decision(now, from, standing.decided);
+        self.bootstrap();
+        self.peers.update_contact(now, &self.acceptor.record().state.membership);
+        self.note_remote_decision(now, from, standing.decided);
         let accepted = self.record().accepted;
         if accepted > self.decided.ballot && self.is_decided(now) {
-            self.decide(now, accepted, self.record().state.clone());
+            self.install_decision(now, accepted, self.record().state.clone());
         }
     }
 
-    /// Another replica knows that a proposal is decided.
-    fn told_decision(&mut self, now: Micros, from: &StoreMember, decided: Ballot) {
+    /// Learns that another replica knows this ballot to be decided.
+    fn note_remote_decision(&mut self, now: Micros, from: &StoreMember, decided: Ballot) {
         let accepted = self.record().accepted;
         if decided > accepted {
-            self.behind = Some((from.clone(), decided));
+            self.missing_decision = Some((from.clone(), decided));
         } else if decided == accepted && accepted > self.decided.ballot {
-            self.decide(now, accepted, self.record().state.clone());
+            self.install_decision(now, accepted, self.record().state.clone());
         }
     }
 
-    /// Asks for the decision that is missing here.
-    fn catch_up(&mut self) -> Option<Outgoing> {
-        let (to, ballot) = self.behind.take()?;
+    /// Requests the decision that is missing here.
+    fn fetch_missing_decision(&mut self) -> Option<Outgoing> {
+        let (to, ballot) = self.missing_decision.take()?;
         let have = self.record().state.summary();
         (ballot > self.record().accepted)
             .then_some(Outgoing { to, request: PeerRequest::Fetch { ballot, have } })
     }
 
-    /// Whether enough replicas say that they have accepted the same proposal.
+    /// Whether a quorum reports the proposal accepted here.
     fn is_decided(&self, now: Micros) -> bool {
-        let mut holders = self.peers.holders(self.record().accepted);
-        holders.insert(self.me.disk);
-        quorum::accepts(self.membership(), &holders, &self.silent(now))
+        let mut acceptors = self.peers.acceptors_of(self.record().accepted);
+        acceptors.insert(self.me.disk);
+        quorum::accepts(self.membership(), &acceptors, &self.unreachable_voters(now))
     }
 
-    fn silent(&self, now: Micros) -> Disks {
+    fn unreachable_voters(&self, now: Micros) -> Disks {
         let voters: Vec<StoreMember> = voters_of(self.membership()).cloned().collect();
-        self.peers.silent(now, &voters, self.figures.away_after)
+        self.peers.unreachable(now, &voters, self.figures.away_after)
     }
 
-    /// Founders begin with themselves as voters, once each of them is known.
-    fn found(&mut self) {
+    /// Sets the initial voters on a founder with an empty record, once every founder has answered.
+    fn bootstrap(&mut self) {
         let record = self.record();
         if self.founders.is_empty() || record.accepted > Ballot::ZERO || !self.membership().voters.is_empty()
         {
             return;
         }
-        let at = |addr: &SocketAddr| match self.me.addr == *addr {
+        let member_at = |addr: &SocketAddr| match self.me.addr == *addr {
             true => Some(self.me.clone()),
-            false => self.peers.at(*addr).filter(|peer| peer.heard.is_some()).map(|peer| peer.member.clone()),
+            false => self
+                .peers
+                .by_addr(*addr)
+                .filter(|peer| peer.last_answer.is_some())
+                .map(|peer| peer.member.clone()),
         };
-        let Some(mut voters) = self.founders.iter().map(at).collect::<Option<Vec<StoreMember>>>() else {
+        let Some(mut voters) = self.founders.iter().map(member_at).collect::<Option<Vec<StoreMember>>>()
+        else {
             return;
         };
         voters.sort();
         voters.dedup();
         if voters.contains(&self.me) {
             let membership = Membership { epoch: 0, voters, previous: Vec::new() };
-            self.acceptor.found(State { membership, ..State::default() });
+            self.acceptor.bootstrap(State { membership, ..State::default() });
         }
     }
 
-    fn decide(&mut self, now: Micros, ballot: Ballot, state: State) {
+    /// Takes a proposal that is known to be decided as the current state, unless a newer one is known.
+    fn install_decision(&mut self, now: Micros, ballot: Ballot, state: State) {
         if ballot <= self.decided.ballot {
             return;
         }
@@ -356,98 +370,111 @@
         }
         self.decided = Base { ballot, state };
         self.undecided_since = None;
-        self.note_accepted(now);
+        self.update_undecided_since(now);
     }
 
-    fn promised(&mut self, ballot: Ballot, member: StoreMember, standing: Standing) {
+    fn handle_promise(&mut self, ballot: Ballot, member: StoreMember, standing: Standing) {
         if let Some(round) = self.round.as_mut().filter(|round| round.ballot == ballot) {
             round.promises.insert(member.disk, Promise { member, standing });
         }
     }
 
-    fn accepted(&mut self, now: Micros, ballot: Ballot, from: &StoreMember) {
-        let silent = self.silent(now);
+    /// Counts an acceptance in the current round, and decides the proposal at a quorum.
+    fn handle_acceptance(&mut self, now: Micros, ballot: Ballot, from: &StoreMember) {
+        let unreachable = self.unreachable_voters(now);
         let Some(round) = self.round.as_mut().filter(|round| round.ballot == ballot) else { return };
         let Phase::Accepting(proposal) = &mut round.phase else { return };
         proposal.accepted.insert(from.disk);
-        if quorum::accepts(&proposal.state.membership, &proposal.accepted, &silent) {
+        if quorum::accepts(&proposal.state.membership, &proposal.accepted, &unreachable) {
             let state = proposal.state.clone();
             let outcomes = std::mem::take(&mut proposal.outcomes);
             self.round = None;
-            self.announces = true;
-            self.decide(now, ballot, state);
-            self.resolve(now, outcomes);
+            self.unannounced = true;
+            self.install_decision(now, ballot, state);
+            self.resolve_changes(now, outcomes);
         }
     }
 
-    /// Whether others are to hear at once of what was decided; told once.
+    /// Whether a decision should be announced to the others now; clears the flag.
     pub fn take_announcement(&mut self) -> bool {
-        std::mem::take(&mut self.announces)
+        std::mem::take(&mut self.unannounced)
     }
 
-    fn resolve(&mut self, now: Micros, outcomes: Vec<(u64, Proposed)>) {
+    /// Removes changes from the pending ones and stores their outcomes for the callers.
+    fn resolve_changes(&mut self, now: Micros, outcomes: Vec<(u64, Proposed)>) {
         for (ticket, outcome) in outcomes {
-            self.waiting.retain(|waiting| waiting.ticket != ticket);
+            self.pending.retain(|change| change.ticket != ticket);
             self.outcomes.insert(ticket, (now, outcome));
         }
     }
 
-    fn complete(&self, ballot: Ballot, to: StoreMember, have: &Summary) -> Option<Outgoing> {
+    /// Sends the proposal again with the parts that an acceptor lacks.
+    fn resend_proposal(&self, ballot: Ballot, to: StoreMember, have: &Summary) -> Option<Outgoing> {
         let round = self.round.as_ref().filter(|round| round.ballot == ballot)?;
         let Phase::Accepting(proposal) = &round.phase else { return None };
         let request = PeerRequest::Accept { ballot, transfer: proposal.state.transfer(have) };
         Some(Outgoing { to, request })
     }
 
-    fn refused(&mut self, now: Micros, ballot: Ballot, from: &StoreMember, promised: Ballot) {
+    fn handle_refusal(&mut self, now: Micros, ballot: Ballot, from: &StoreMember, promised: Ballot) {
         self.highest_round = self.highest_round.max(promised.round);
-        let silent = self.silent(now);
+        let unreachable = self.unreachable_voters(now);
         let voters: Vec<StoreMember> = voters_of(self.membership()).cloned().collect();
-        let lost = quorum::lost(&voters, self.peers.speakers());
+        let lost = quorum::lost(&voters, self.peers.responders());
         let Some(round) = self.round.as_mut().filter(|round| round.ballot == ballot) else { return };
         round.refused.insert(from.disk);
-        if round.is_hopeless(&self.acceptor.record().state.membership, &lost, &silent) {
-            self.give_up(now);
+        if round.cannot_succeed(&self.acceptor.record().state.membership, &lost, &unreachable) {
+            self.abandon_round(now);
         }
     }
 
-    fn fetched(&mut self, now: Micros, ballot: Ballot, decided: bool, state: State, disk: &mut impl Disk) {
+    fn handle_fetched(
+        &mut self,
+        now: Micros,
+        ballot: Ballot,
+        decided: bool,
+        state: State,
+        disk: &mut impl Disk,
+    ) {
         if decided && self.acceptor.learn(ballot, state.clone(), disk) {
-            self.decide(now, ballot, state);
+            self.install_decision(now, ballot, state);
         } else if let Some(round) = &mut self.round {
             round.fetched = Some(Base { ballot, state });
         }
     }
 
-    /// Ends a round without a decision. The next one begins after a pause by chance, so that one of several goes first.
-    fn give_up(&mut self, now: Micros) {
+    /// Ends a round without a decision. The next one starts after a random backoff, so that competing proposers
+    /// do not collide again.
+    fn abandon_round(&mut self, now: Micros) {
         if let Some(round) = self.round.take() {
             self.acceptor.release(round.ballot);
         }
-        self.random ^= self.random << 13;
-        self.random ^= self.random >> 7;
-        self.random ^= self.random << 17;
-        self.next_round_at = now + 20 * MILLI + self.random % self.figures.pause_max;
+        self.rng_state ^= self.rng_state << 13;
+        self.rng_state ^= self.rng_state >> 7;
+        self.rng_state ^= self.rng_state << 17;
+        self.next_round_at = now + 20 * MILLI + self.rng_state % self.figures.pause_max;
     }
 
-    /// Asks for a change on behalf of a caller who waits until a moment. None where too many wait.
+    /// Queues a change for a caller that waits until the deadline `until`, and returns its ticket; `None` if the
+    /// queue is full.
     pub fn propose(&mut self, now: Micros, change: Change, until: Micros) -> Option<u64> {
-        if self.waiting.len() >= self.figures.changes_max {
+        if self.pending.len() >= self.figures.changes_max {
             return None;
         }
         let ticket = self.next_ticket;
         self.next_ticket += 1;
-        match self.holds_for_good(now, &change) {
-            Some(outcome) => self.resolve(now, vec![(ticket, outcome)]),
-            None => self.waiting.push(Waiting { ticket, change, until }),
+        match self.settled_outcome(now, &change) {
+            Some(outcome) => self.resolve_changes(now, vec![(ticket, outcome)]),
+            None => self.pending.push(PendingChange { ticket, change, until }),
         }
         Some(ticket)
     }
 
-    /// What becomes of a change that the decided state answers once and for all. It is said only in contact with a majority.
-    fn holds_for_good(&self, now: Micros, change: &Change) -> Option<Proposed> {
-        let lasts = matches!(change, Change::Config(_) | Change::Proxies(_) | Change::TrialSteps(_));
-        if !lasts || !self.is_in_contact(now) {
+    /// The outcome of a change that leaves the decided state as it is and that no later change can affect. `None`
+    /// without contact with a majority.
+    fn settled_outcome(&self, now: Micros, change: &Change) -> Option<Proposed> {
+        let is_final = matches!(change, Change::Config(_) | Change::Proxies(_) | Change::TrialSteps(_));
+        if !is_final || !self.is_in_contact(now) {
             return None;
         }
         let mut state = self.decided.state.clone();
@@ -455,139 +482,143 @@
         (state == self.decided.state).then_some(outcome)
     }
 
-    /// What became of a change; told once.
+    /// Takes the outcome of a change, once it is known.
     pub fn outcome(&mut self, ticket: u64) -> Option<Proposed> {
         self.outcomes.remove(&ticket).map(|(_, outcome)| outcome)
     }
 
-    /// Nobody waits for a change any more.
+    /// Discards a change whose caller no longer waits.
     pub fn withdraw(&mut self, ticket: u64) {
-        self.waiting.retain(|waiting| waiting.ticket != ticket);
+        self.pending.retain(|change| change.ticket != ticket);
         self.outcomes.remove(&ticket);
     }
 
-    /// Whether a round is under way or waited for: time matters.
+    /// Whether a round, a change or a fetch is pending, so that `poll` must run more often.
     pub fn is_busy(&self) -> bool {
-        let waits = self.round.is_some() || !self.waiting.is_empty();
-        waits || self.undecided_since.is_some() || self.behind.is_some()
+        let pending = self.round.is_some() || !self.pending.is_empty();
+        pending || self.undecided_since.is_some() || self.missing_decision.is_some()
     }
 
-    /// Does what is due as time passes.
+    /// Runs timers and starts or continues a round; returns the requests to send.
     pub fn poll(&mut self, now: Micros, disk: &mut impl Disk) -> Vec<Outgoing> {
-        self.waiting.retain(|waiting| now < waiting.until);
+        self.pending.retain(|change| now < change.until);
         let keep = self.figures.forget_after;
         self.outcomes.retain(|_, (at, _)| now < *at + keep);
-        self.peers.watch_contact(now, &self.acceptor.record().state.membership);
+        self.peers.update_contact(now, &self.acceptor.record().state.membership);
         self.peers.forget(now, &self.acceptor.record().state.membership, keep);
-        if self.round.as_ref().is_some_and(|round| self.is_late(now, round)) {
-            self.give_up(now);
+        if self.round.as_ref().is_some_and(|round| self.is_timed_out(now, round)) {
+            self.abandon_round(now);
         }
-        let mut outgoing: Vec<Outgoing> = self.catch_up().into_iter().collect();
-        if self.round.is_none() && now >= self.next_round_at && self.wants_round(now) {
-            outgoing.extend(self.begin(now, disk));
+        let mut outgoing: Vec<Outgoing> = self.fetch_missing_decision().into_iter().collect();
+        if self.round.is_none() && now >= self.next_round_at && self.needs_round(now) {
+            outgoing.extend(self.start_round(now, disk));
         } else {
-            outgoing.extend(self.go_on(now, disk));
+            outgoing.extend(self.advance_round(now, disk));
         }
         outgoing
     }
 
-    fn is_late(&self, now: Micros, round: &Round) -> bool {
+    fn is_timed_out(&self, now: Micros, round: &Round) -> bool {
         let waits_for_zone = match &round.phase {
             Phase::Preparing => false,
             Phase::Accepting(proposal) => {
                 quorum::has_majority(&proposal.state.membership.voters, &proposal.accepted)
             }
         };
-        let within = if waits_for_zone { self.figures.zone_within } else { self.figures.round_within };
-        now >= round.started_at + within
+        let timeout = if waits_for_zone { self.figures.zone_within } else { self.figures.round_within };
+        now >= round.started_at + timeout
     }
 
-    fn wants_round(&self, now: Micros) -> bool {
+    /// Whether there is a reason to start a round: pending changes, an undecided proposal, or a membership change.
+    fn needs_round(&self, now: Micros) -> bool {
         if self.membership().voters.is_empty() {
             return false;
         }
         let undecided = self.undecided_since.is_some_and(|since| now >= since + self.figures.complete_after);
-        let begins = self.record().accepted == Ballot::ZERO;
-        let mine = self.is_first(now);
-        !self.waiting.is_empty()
+        let unbootstrapped = self.record().accepted == Ballot::ZERO;
+        let coordinates = self.is_coordinator(now);
+        !self.pending.is_empty()
             || (undecided && self.votes())
-            || (mine && (begins || !self.membership().previous.is_empty()))
-            || ((mine || self.leaving) && self.next_membership(now, &self.decided.state).is_some())
+            || (coordinates && (unbootstrapped || !self.membership().previous.is_empty()))
+            || ((coordinates || self.leaving) && self.next_membership(now, &self.decided.state).is_some())
     }
 
-    /// Whether this is the first of the voters that are present: it sees to the membership.
-    fn is_first(&self, now: Micros) -> bool {
-        let mut present = self.membership().voters.iter().filter(|voter| self.peers.is_present(now, voter));
-        present.next() == Some(&self.me)
+    /// Whether this replica is the first reachable voter, which proposes membership changes.
+    fn is_coordinator(&self, now: Micros) -> bool {
+        let mut reachable =
+            self.membership().voters.iter().filter(|voter| self.peers.is_reachable(now, voter));
+        reachable.next() == Some(&self.me)
     }
 
     fn next_membership(&self, now: Micros, state: &State) -> Option<Membership> {
         let (plan, me, standing) = (self.figures.plan, &self.me, self.standing());
-        Planner { plan, now, me, standing, peers: &self.peers }.next(&state.membership)
+        Planner { plan, now, me, standing, peers: &self.peers }.next_membership(&state.membership)
     }
 
-    fn others_of(&self, membership: &Membership) -> Vec<StoreMember> {
-        let voters = askable(membership).into_iter();
+    fn other_voters(&self, membership: &Membership) -> Vec<StoreMember> {
+        let voters = distinct_voters(membership).into_iter();
         voters.filter(|voter| voter.addr != self.me.addr).collect()
     }
 
-    fn begin(&mut self, now: Micros, disk: &mut impl Disk) -> Vec<Outgoing> {
+    /// Starts a round with the next higher ballot.
+    fn start_round(&mut self, now: Micros, disk: &mut impl Disk) -> Vec<Outgoing> {
         let ballot = Ballot { round: self.highest_round + 1, proposer: self.me.disk };
         self.highest_round = ballot.round;
         let standing = self.standing();
-        // The ballot is on disk before anybody hears of it, so that none is used twice.
+        // The ballot is durable before it is sent, so that it is never used twice.
         let PeerAnswer::Promised { from, .. } = self.acceptor.prepare(now, ballot, standing, disk) else {
-            self.give_up(now);
+            self.abandon_round(now);
             return Vec::new();
         };
         let mut round = Round::new(ballot, now);
-        round.asked = self.others_of(self.membership());
-        let outgoing = ask(&round.asked, ballot);
+        round.asked = self.other_voters(self.membership());
+        let outgoing = prepare_requests(&round.asked, ballot);
         round.asked.push(self.me.clone());
         self.round = Some(round);
-        self.promised(ballot, from, standing);
-        outgoing.into_iter().chain(self.go_on(now, disk)).collect()
+        self.handle_promise(ballot, from, standing);
+        outgoing.into_iter().chain(self.advance_round(now, disk)).collect()
     }
 
-    fn go_on(&mut self, now: Micros, disk: &mut impl Disk) -> Vec<Outgoing> {
+    /// Continues the current round with the answers received so far.
+    fn advance_round(&mut self, now: Micros, disk: &mut impl Disk) -> Vec<Outgoing> {
         let Some(round) = self.round.as_mut().filter(|round| matches!(round.phase, Phase::Preparing)) else {
-            return self.look_again(now);
+            return self.recheck_acceptance(now);
         };
         let record = self.acceptor.record();
-        let mine = Base { ballot: record.accepted, state: record.state.clone() };
+        let own = Base { ballot: record.accepted, state: record.state.clone() };
         let peers = &self.peers;
-        let lost = |voters: &[StoreMember]| quorum::lost(voters, peers.speakers());
-        match round.step(&mine, lost) {
+        let lost = |voters: &[StoreMember]| quorum::lost(voters, peers.responders());
+        match round.step(&own, lost) {
             Step::Wait => Vec::new(),
-            Step::Ask(members) => ask(&members, round.ballot),
+            Step::Ask(members) => prepare_requests(&members, round.ballot),
             Step::Fetch(to, ballot) => {
-                let request = PeerRequest::Fetch { ballot, have: mine.state.summary() };
+                let request = PeerRequest::Fetch { ballot, have: own.state.summary() };
                 vec![Outgoing { to, request }]
             }
-            Step::Build(base) => self.build(now, base, disk),
+            Step::Build(base) => self.propose_next_state(now, base, disk),
         }
     }
 
-    /// A proposal may be decided by what time has shown: a zone is away.
-    fn look_again(&mut self, now: Micros) -> Vec<Outgoing> {
+    /// Checks the current proposal again: once a zone counts as unreachable, fewer acceptances suffice.
+    fn recheck_acceptance(&mut self, now: Micros) -> Vec<Outgoing> {
         if let Some(ballot) = self.round.as_ref().map(|round| round.ballot) {
             if self.record().accepted == ballot {
                 let me = self.me.clone();
-                self.accepted(now, ballot, &me);
+                self.handle_acceptance(now, ballot, &me);
             }
         }
         Vec::new()
     }
 
-    /// Proposes the state that follows: what was promised, and all that waits.
-    fn build(&mut self, now: Micros, base: Base, disk: &mut impl Disk) -> Vec<Outgoing> {
+    /// Builds the next state from the base state, the pending changes and a membership change, and proposes it.
+    fn propose_next_state(&mut self, now: Micros, base: Base, disk: &mut impl Disk) -> Vec<Outgoing> {
         let Some(round) = &mut self.round else { return Vec::new() };
-        let told = round.promises.values().any(|promise| promise.standing.decided >= base.ballot);
-        let decided = told || base.ballot <= self.decided.ballot;
+        let known_decided = round.promises.values().any(|promise| promise.standing.decided >= base.ballot);
+        let decided = known_decided || base.ballot <= self.decided.ballot;
         let ballot = round.ballot;
         let mut state = base.state.clone();
         let outcomes: Vec<(u64, Proposed)> =
-            self.waiting.iter().map(|waiting| (waiting.ticket, state.apply(&waiting.change))).collect();
+            self.pending.iter().map(|pending| (pending.ticket, state.apply(&pending.change))).collect();
         if decided && !state.membership.previous.is_empty() {
             state.membership.previous = Vec::new();
         } else if let Some(next) = self.next_membership(now, &state) {
@@ -598,14 +629,15 @@
             if base.ballot > self.record().accepted {
                 self.acceptor.learn(base.ballot, base.state.clone(), disk);
             }
-            self.decide(now, base.ballot, base.state);
-            self.resolve(now, outcomes);
+            self.install_decision(now, base.ballot, base.state);
+            self.resolve_changes(now, outcomes);
             return Vec::new();
         }
-        self.offer(now, ballot, base, state, outcomes, disk)
+        self.send_proposal(now, ballot, base, state, outcomes, disk)
     }
 
-    fn offer(
+    /// Accepts a proposal locally and sends it to the other voters.
+    fn send_proposal(
         &mut self,
         now: Micros,
         ballot: Ballot,
@@ -615,11 +647,11 @@
         disk: &mut impl Disk,
     ) -> Vec<Outgoing> {
         let own = self.acceptor.accept(ballot, state.transfer_from(&self.record().state), disk);
-        self.note_accepted(now);
-        let outgoing = self.others_of(&state.membership).into_iter().map(|to| {
-            let known = self.peers.get(&to.name).and_then(|peer| peer.heard);
-            // Whoever has something else says what it lacks.
-            let has_base = known.is_some_and(|heard| heard.standing.accepted == base.ballot);
+        self.update_undecided_since(now);
+        let outgoing = self.other_voters(&state.membership).into_iter().map(|to| {
+            let last_answer = self.peers.get(&to.name).and_then(|peer| peer.last_answer);
+            // A replica with another base than assumed answers `Lacks`.
+            let has_base = last_answer.is_some_and(|answer| answer.standing.accepted == base.ballot);
             let transfer = match has_base {
                 true => state.transfer_from(&base.state),
                 false => state.transfer(&Summary::default()),
@@ -633,54 +665,56 @@
             round.phase = Phase::Accepting(Proposal { state, accepted: Disks::new(), outcomes });
         }
         if let PeerAnswer::Accepted { from, .. } = own {
-            self.accepted(now, ballot, &from);
+            self.handle_acceptance(now, ballot, &from);
         }
         outgoing
     }
 
-    /// Whether a majority has been heard within the lease.
+    /// Whether a majority of the voters confirmed the decided state within the contact lease.
     pub fn is_in_contact(&self, now: Micros) -> bool {
         let as_of = self.current_as_of(now);
         as_of.is_some_and(|moment| now < moment + self.figures.contact_lease)
     }
 
-    /// The latest moment at which nothing newer than what is decided here can have been decided anywhere.
+    /// The latest moment up to which the decided state here includes every decision made anywhere.
     ///
-    /// Invariant *contact*: a majority of the voters was asked since, and none of it had accepted anything newer.
+    /// Invariant *contact*: a majority of the voters was asked at or after it, and none had accepted anything newer.
     pub fn current_as_of(&self, now: Micros) -> Option<Micros> {
         if self.recovering() {
             return None;
         }
         let membership = &self.decided.state.membership;
-        let of_previous = if membership.previous.is_empty() {
+        let previous_as_of = if membership.previous.is_empty() {
             Some(now)
         } else {
-            self.heard_since(now, &membership.previous)
+            self.majority_confirmed_at(now, &membership.previous)
         };
-        Some(self.heard_since(now, &membership.voters)?.min(of_previous?))
+        Some(self.majority_confirmed_at(now, &membership.voters)?.min(previous_as_of?))
     }
 
-    fn heard_since(&self, now: Micros, voters: &[StoreMember]) -> Option<Micros> {
-        let mut times: Vec<Micros> = voters.iter().filter_map(|voter| self.agreed_at(now, voter)).collect();
+    /// The latest moment since which a majority of these voters confirmed the decided state.
+    fn majority_confirmed_at(&self, now: Micros, voters: &[StoreMember]) -> Option<Micros> {
+        let mut times: Vec<Micros> =
+            voters.iter().filter_map(|voter| self.confirmed_at(now, voter)).collect();
         times.sort_unstable_by(|a, b| b.cmp(a));
         times.get(quorum::majority(voters.len()) - 1).copied()
     }
 
-    /// When a voter was asked that had accepted nothing newer than what is decided here.
-    fn agreed_at(&self, now: Micros, voter: &StoreMember) -> Option<Micros> {
+    /// When a voter was last asked, if it had accepted nothing newer than the decided state here.
+    fn confirmed_at(&self, now: Micros, voter: &StoreMember) -> Option<Micros> {
         if *voter == self.me {
             return (self.record().accepted <= self.decided.ballot).then_some(now);
         }
-        let heard = self.peers.get(&voter.name).filter(|peer| peer.member == *voter)?.heard?;
-        (heard.standing.accepted <= self.decided.ballot).then_some(heard.asked_at)
+        let answer = self.peers.get(&voter.name).filter(|peer| peer.member == *voter)?.last_answer?;
+        (answer.standing.accepted <= self.decided.ballot).then_some(answer.asked_at)
     }
 
-    /// Whether so many replicas have been asked since a moment that nothing decided can be missing here.
+    /// Whether the decided state here includes everything that was decided before `since`.
     pub fn is_current_since(&self, now: Micros, since: Micros) -> bool {
         self.current_as_of(now).is_some_and(|moment| moment >= since)
     }
 
-    /// What is in force, to be told to a registry that has some of it.
+    /// The decided state's parts that differ from those that a registry has.
     pub fn news(&mut self, now: Micros, have: &Summary) -> StoreNews {
         let state = &self.decided.state;
         let summary = self.summary();
@@ -693,7 +727,7 @@
     }
 }
 
-fn ask(members: &[StoreMember], ballot: Ballot) -> Vec<Outgoing> {
-    let ask = |to: &StoreMember| Outgoing { to: to.clone(), request: PeerRequest::Prepare { ballot } };
-    members.iter().map(ask).collect()
+fn prepare_requests(members: &[StoreMember], ballot: Ballot) -> Vec<Outgoing> {
+    let request = |to: &StoreMember| Outgoing { to: to.clone(), request: PeerRequest::Prepare { ballot } };
+    members.iter().map(request).collect()
 }
--- a/crates/replication/src/state.rs
+++ b/crates/replication/src/state.rs
@@ -1,4 +1,4 @@
-//! What a store keeps, and how a change turns one state into the next.
+//! The replicated state and the changes that apply to it.
 
 use crate::trials::TrialSet;
 use compact_str::CompactString;
@@ -9,23 +9,23 @@
 use hingestage_rpc::trials::TrialRecord;
 use std::rc::Rc;
 
-/// What a store keeps. Parts that are long are shared between states.
+/// The replicated state. Large parts are shared between copies.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct State {
-    /// The newest configuration.
+    /// The latest configuration.
     pub config: Option<Rc<ConfigDocument>>,
-    /// The newest order about each zone.
+    /// The latest drain order of each zone.
     pub drains: ZoneDrains,
-    /// Proxies that take part in common limits; names are only added.
+    /// Proxies that share rate limits; names are only added.
     pub proxies: Rc<ProxyNames>,
-    /// The newest trial of each tenant.
+    /// The latest trial of each tenant.
     pub trials: Rc<TrialSet>,
-    /// Which stores vote.
+    /// The voters.
     pub membership: Membership,
 }
 
 impl State {
-    /// What it comes to, in short.
+    /// Versions of all parts.
     pub fn summary(&self) -> Summary {
         Summary {
             config: self.config.as_ref().map(|config| config.version),
@@ -36,12 +36,12 @@
         }
     }
 
-    /// Number and digest of the names of proxies.
+    /// Count and digest of the proxy names.
     pub fn names_version(&self) -> (u64, u64) {
         (self.proxies.len() as u64, names_digest(&self.proxies))
     }
 
-    /// This state for one who has what a summary says.
+    /// A transfer of this state to a replica that has the parts in `have`.
     pub fn transfer(&self, have: &Summary) -> Transfer {
         let target = self.summary();
         let mut parts = Vec::new();
@@ -57,7 +57,7 @@
         Transfer { target, membership: self.membership.clone(), parts }
     }
 
-    /// This state for one who is known to have another one.
+    /// A transfer of this state to a replica that has the state `base`, with only the changed trials.
     pub fn transfer_from(&self, base: &State) -> Transfer {
         let mut transfer = self.transfer(&base.summary());
         for part in &mut transfer.parts {
@@ -68,7 +68,7 @@
         transfer
     }
 
-    /// The state that a transfer makes of this one; none where parts are missing or are not what they should be.
+    /// Applies a transfer to this state; `None` if parts are missing or do not match their digests.
     pub fn with(&self, transfer: Transfer) -> Option<State> {
         let mut state =
             State { drains: transfer.target.drains.clone(), membership: transfer.membership, ..self.clone() };
@@ -86,9 +86,9 @@
         (state.summary() == Summary { recovering: false, ..transfer.target }).then_some(state)
     }
 
-    /// Carries a change out, and tells what becomes of it if the state that results is decided.
+    /// Applies a change; returns its outcome if the resulting state is decided.
     ///
-    /// Invariant *one content*: the document under a serial is never exchanged for another one.
+    /// Invariant *one content*: the document of a serial is never replaced by another one.
     pub fn apply(&mut self, change: &Change) -> Proposed {
         match change {
             Change::Config(document) => self.apply_config(document),
@@ -113,7 +113,7 @@
         }
     }
 
-    /// An order that holds already needs no new number.
+    /// Repeating the order in effect does not advance its number.
     fn apply_drain(&mut self, zone: &CompactString, drained: bool) -> Proposed {
         let held = self.drains.get(zone).copied().unwrap_or_default();
         if held.order == 0 || held.drained != drained {
@@ -136,8 +136,8 @@
         if !self.trials.has_room_for(&record.tenant) {
             return Proposed::Full;
         }
-        let record_to_hold = self.trials.record_for_terms(record.clone());
-        self.add_trials(vec![record_to_hold]);
+        let newest = self.trials.record_for_terms(record.clone());
+        self.add_trials(vec![newest]);
         match self.trials.has_terms_of(&record.tenant, &record.position) {
             true => Proposed::Durable,
             false => Proposed::Overtaken,
--- a/crates/replication/src/trials.rs
+++ b/crates/replication/src/trials.rs
@@ -1,4 +1,4 @@
-//! Trials as a replica keeps them, and which of them are durable since when.
+//! The replicated set of trials, and the time since each is known to be durable.
 
 use crate::Micros;
 use compact_str::CompactString;
@@ -9,10 +9,10 @@
 /// Microseconds in a millisecond.
 const MILLI: Micros = 1_000;
 
-/// Number and digest of a set of trials.
+/// Count and digest of a set of trials.
 pub type TrialsVersion = (u64, u64);
 
-/// The newest trial of each tenant.
+/// The latest trial of each tenant.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct TrialSet {
     records: BTreeMap<CompactString, TrialRecord>,
@@ -30,7 +30,7 @@
 }
 
 impl TrialSet {
-    /// All trials, by tenant.
+    /// All trials, ordered by tenant.
     pub fn records(&self) -> impl Iterator<Item = &TrialRecord> {
         self.records.values()
     }
@@ -45,28 +45,28 @@
         self.records.is_empty()
     }
 
-    /// Number and digest: equal for equal sets.
+    /// Count and digest, equal for equal sets.
     pub fn version(&self) -> TrialsVersion {
         (self.records.len() as u64, self.digest)
     }
 
-    /// Whether a record is newer than what is kept of its tenant. How many tenants there are is bounded where terms are
-    /// proposed: replicas that refused each other's records would never agree.
+    /// Whether a record is newer than the tenant's current one. The number of tenants is limited when terms are
+    /// proposed, not here: replicas that refused each other's records would never converge.
     pub fn is_news(&self, record: &TrialRecord) -> bool {
         self.records.get(&record.tenant).is_none_or(|held| record.position > held.position)
     }
 
-    /// Those of some records that are news.
+    /// The records that are newer than the current ones.
     pub fn news_of(&self, records: &[TrialRecord]) -> Vec<TrialRecord> {
         records.iter().filter(|record| self.is_news(record)).cloned().collect()
     }
 
-    /// Whether there is room for a tenant's terms.
+    /// Whether the tenant has a trial already or the set is not full.
     pub fn has_room_for(&self, tenant: &str) -> bool {
         self.records.len() < TRIALS_MAX || self.records.contains_key(tenant)
     }
 
-    /// Takes a record in, where it is news.
+    /// Inserts a record if it is newer; returns whether it was.
     pub fn apply(&mut self, record: TrialRecord) -> bool {
         if !self.is_news(&record) {
             return false;
@@ -78,13 +78,13 @@
         true
     }
 
-    /// The record of new terms; the one that is kept where that is newer, or is the same and further on.
+    /// The record to hold after new terms are proposed: the current one if its position is at least as high.
     pub fn record_for_terms(&self, new: TrialRecord) -> TrialRecord {
         let held = self.records.get(&new.tenant).filter(|held| held.position >= new.position);
         held.cloned().unwrap_or(new)
     }
 
-    /// The records of steps, of those whose terms are kept and not as far.
+    /// Records for those steps that advance the current terms of their tenant.
     pub fn records_for_steps(&self, steps: Vec<TrialStep>) -> Vec<TrialRecord> {
         let record = |step: TrialStep| {
             let held = self.records.get(&step.tenant)?;
@@ -94,7 +94,7 @@
         steps.into_iter().filter_map(record).collect()
     }
 
-    /// Whether the terms that a position names hold for a tenant, and no others in their place.
+    /// Whether the tenant's current terms are those that the position names.
     pub fn has_terms_of(&self, tenant: &str, position: &TrialPosition) -> bool {
         self.get(tenant).is_some_and(|held| held.position.has_terms_of(position))
     }
@@ -105,7 +105,7 @@
     digest(format!("{} {version} {terms} {step}", record.tenant).as_bytes())
 }
 
-/// Trials that are durable, and since when that is known.
+/// The durable trials, with the time at which each was known to be durable.
 #[derive(Clone, Debug, Default)]
 pub struct DurableTrials {
     set: TrialSet,
@@ -113,12 +113,12 @@
 }
 
 impl DurableTrials {
-    /// Number and digest of the set.
+    /// Count and digest of the set.
     pub fn version(&self) -> TrialsVersion {
         self.set.version()
     }
 
-    /// All of a set is durable.
+    /// Adds all records of a durable set.
     pub fn take(&mut self, now: Micros, set: &TrialSet) {
         for record in set.records() {
             if self.set.apply(record.clone()) {
@@ -127,7 +127,7 @@
         }
     }
 
-    /// All of them, each with the time since it was known.
+    /// All trials, each with its age in milliseconds since it was known to be durable.
     pub fn news(&self, now: Micros) -> Vec<TrialNews> {
         let age = |tenant: &CompactString| {
             let known_at = self.known_at.get(tenant).copied().unwrap_or(now);
--- a/crates/replication/tests/common/mod.rs
+++ b/crates/replication/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A small system of replicas on a virtual clock, and what it is asked, for the tests.
+//! A simulated cluster of replicas on a virtual clock.
 #![allow(dead_code)]
 
 use hingestage_replication::{Disk, Figures, Micros, Outgoing, Plan, Record, Replica, State};
@@ -10,20 +10,22 @@
 
 pub const MILLI: Micros = 1_000;
 pub const S: Micros = 1_000_000;
-/// How long a message takes, how often a replica looks what is due, and how often replicas compare how far they are.
+/// One-way delay of a message.
 const DELAY: Micros = 2 * MILLI;
+/// Period at which replicas are polled.
 const POLL_PERIOD: Micros = 20 * MILLI;
+/// Period at which replicas exchange their ballots and members.
 const EXCHANGE_PERIOD: Micros = 300 * MILLI;
-/// How long a caller waits.
-pub const WAIT: Micros = 850 * MILLI;
-/// Replicas that found a system.
+/// Timeout of a caller.
+pub const CALL_TIMEOUT: Micros = 850 * MILLI;
+/// Number of initial voters.
 pub const FOUNDERS: usize = 3;
 
 /// A disk in memory.
 #[derive(Clone, Default)]
 pub struct MemoryDisk {
     pub record: Record,
-    /// Whether it refuses to write.
+    /// Whether writes fail.
     pub full: bool,
 }
 
@@ -42,13 +44,13 @@
     Answer(Micros, PeerAnswer),
 }
 
-struct Wire {
+struct Envelope {
     at: Micros,
     from: usize,
     to: usize,
-    /// Life of the process that an answer is for.
-    life: Option<u32>,
-    /// Life of the sender, and when it asked.
+    /// Incarnation that an answer is addressed to.
+    incarnation: Option<u32>,
+    /// Incarnation of the sender, and when it sent the request.
     sender: (u32, Micros),
     message: Message,
 }
@@ -58,100 +60,105 @@
     pub replica: Replica,
     pub disk: MemoryDisk,
     pub up: bool,
-    life: u32,
-    founds: bool,
+    incarnation: u32,
+    is_founder: bool,
 }
 
-/// Replicas with a network between them.
+/// Replicas connected by a simulated network.
 pub struct Cluster {
     pub now: Micros,
     pub nodes: Vec<Node>,
-    wires: Vec<Wire>,
-    cut: BTreeSet<(usize, usize)>,
-    disks: u64,
+    in_flight: Vec<Envelope>,
+    blocked: BTreeSet<(usize, usize)>,
+    last_disk: u64,
 }
 
 impl Cluster {
-    /// One replica in each zone that is named; the first three found the system. It has begun.
+    /// Starts one replica per listed zone and lets the system bootstrap; the first three are the initial voters.
     pub fn new(zones: &[&str]) -> Cluster {
-        let mut cluster =
-            Cluster { now: 0, nodes: Vec::new(), wires: Vec::new(), cut: BTreeSet::new(), disks: 0 };
+        let mut cluster = Cluster {
+            now: 0,
+            nodes: Vec::new(),
+            in_flight: Vec::new(),
+            blocked: BTreeSet::new(),
+            last_disk: 0,
+        };
         for zone in zones {
             cluster.add(zone, true);
         }
-        cluster.pass(2 * S);
+        cluster.advance(2 * S);
         cluster
     }
 
-    fn add(&mut self, zone: &str, founds: bool) -> usize {
+    fn add(&mut self, zone: &str, is_founder: bool) -> usize {
         let number = self.nodes.len();
-        self.disks += 1;
-        let member = member(number, zone, self.disks);
+        self.last_disk += 1;
+        let member = member(number, zone, self.last_disk);
         let (replica, disk) = (replica(&member, Record::default(), false), MemoryDisk::default());
-        self.nodes.push(Node { member, replica, disk, up: true, life: 0, founds });
-        self.begin(number);
+        self.nodes.push(Node { member, replica, disk, up: true, incarnation: 0, is_founder });
+        self.boot(number);
         number
     }
 
-    /// A replica that was never there comes into a zone.
+    /// Adds a new replica with an empty disk.
     pub fn join(&mut self, zone: &str) -> usize {
         self.add(zone, false)
     }
 
-    fn begin(&mut self, number: usize) {
-        let living: Vec<StoreMember> =
+    fn boot(&mut self, number: usize) {
+        let running: Vec<StoreMember> =
             self.nodes.iter().filter(|node| node.up).map(|node| node.member.clone()).collect();
         let node = &mut self.nodes[number];
         node.up = true;
-        node.life += 1;
-        node.replica = replica(&node.member, node.disk.record.clone(), node.founds);
+        node.incarnation += 1;
+        node.replica = replica(&node.member, node.disk.record.clone(), node.is_founder);
         let founders: Vec<StoreMember> = (0..FOUNDERS).map(|number| member(number, "", 0)).collect();
-        node.replica.told_of(0, if node.founds { &founders } else { &living });
+        node.replica.told_of(0, if node.is_founder { &founders } else { &running });
     }
 
-    /// The clock of a replica's process is the system's: nothing here depends on when it began.
+    /// Starts a replica from its disk. All processes share the virtual clock.
     pub fn start(&mut self, number: usize) {
-        self.begin(number);
+        self.boot(number);
     }
 
     pub fn stop(&mut self, number: usize) {
         self.nodes[number].up = false;
     }
 
-    /// Stops a replica, whose disk is lost: it will be another one.
+    /// Stops a replica and replaces its disk by an empty one, so that it returns as a new member.
     pub fn wipe(&mut self, number: usize) {
         self.stop(number);
-        self.disks += 1;
+        self.last_disk += 1;
         let node = &mut self.nodes[number];
         node.disk = MemoryDisk::default();
-        node.member.disk = self.disks;
-        node.founds = false;
+        node.member.disk = self.last_disk;
+        node.is_founder = false;
     }
 
-    /// Cuts replicas off from all others.
-    pub fn cut(&mut self, numbers: &[usize]) {
+    /// Partitions these replicas from all others.
+    pub fn partition(&mut self, numbers: &[usize]) {
         for one in numbers {
             for other in (0..self.nodes.len()).filter(|other| !numbers.contains(other)) {
-                self.cut.extend([(*one, other), (other, *one)]);
+                self.blocked.extend([(*one, other), (other, *one)]);
             }
         }
     }
 
-    /// Lets nothing through from one replica to another.
-    pub fn cut_one_way(&mut self, from: usize, to: usize) {
-        self.cut.insert((from, to));
+    /// Drops all messages from one replica to another.
+    pub fn block_one_way(&mut self, from: usize, to: usize) {
+        self.blocked.insert((from, to));
     }
 
     pub fn heal(&mut self) {
-        self.cut.clear();
+        self.blocked.clear();
     }
 
-    pub fn is_cut(&self) -> bool {
-        !self.cut.is_empty()
+    pub fn is_partitioned(&self) -> bool {
+        !self.blocked.is_empty()
     }
 
-    /// Lets time pass.
-    pub fn pass(&mut self, span: Micros) {
+    /// Advances the virtual clock.
+    pub fn advance(&mut self, span: Micros) {
         let until = self.now + span;
         while self.now < until {
             self.now += DELAY;
@@ -169,40 +176,54 @@
 
     fn deliver_due(&mut self) {
         let now = self.now;
-        let (due, later): (Vec<Wire>, Vec<Wire>) =
-            std::mem::take(&mut self.wires).into_iter().partition(|wire| wire.at <= now);
-        self.wires = later;
-        due.into_iter().for_each(|wire| self.deliver(wire));
+        let (due, later): (Vec<Envelope>, Vec<Envelope>) =
+            std::mem::take(&mut self.in_flight).into_iter().partition(|envelope| envelope.at <= now);
+        self.in_flight = later;
+        due.into_iter().for_each(|envelope| self.deliver(envelope));
     }
 
-    fn deliver(&mut self, wire: Wire) {
-        let node = &mut self.nodes[wire.to];
-        let stale = wire.life.is_some_and(|life| life != node.life);
-        if !node.up || stale || self.cut.contains(&(wire.from, wire.to)) {
+    fn deliver(&mut self, envelope: Envelope) {
+        let node = &mut self.nodes[envelope.to];
+        let stale = envelope.incarnation.is_some_and(|incarnation| incarnation != node.incarnation);
+        if !node.up || stale || self.blocked.contains(&(envelope.from, envelope.to)) {
             return;
         }
-        match wire.message {
+        match envelope.message {
             Message::Request(request) => {
                 let answer = node.replica.handle(self.now, request, &mut node.disk);
-                let sender = (node.life, 0);
-                let message = Message::Answer(wire.sender.1, answer);
-                let (from, to, life) = (wire.to, wire.from, Some(wire.sender.0));
-                self.wires.push(Wire { at: self.now + DELAY, from, to, life, sender, message });
+                let sender = (node.incarnation, 0);
+                let message = Message::Answer(envelope.sender.1, answer);
+                let (from, to, incarnation) = (envelope.to, envelope.from, Some(envelope.sender.0));
+                self.in_flight.push(Envelope {
+                    at: self.now + DELAY,
+                    from,
+                    to,
+                    incarnation,
+                    sender,
+                    message,
+                });
             }
             Message::Answer(asked_at, answer) => {
                 let outgoing = node.replica.answered(self.now, asked_at, answer, &mut node.disk);
-                self.send(wire.to, outgoing);
+                self.send(envelope.to, outgoing);
             }
         }
-        self.announce(wire.to);
+        self.announce(envelope.to);
     }
 
     fn send(&mut self, from: usize, outgoing: Vec<Outgoing>) {
         for Outgoing { to, request } in outgoing {
             let to = self.nodes.iter().position(|node| node.member.addr == to.addr).expect("a replica");
-            let sender = (self.nodes[from].life, self.now);
+            let sender = (self.nodes[from].incarnation, self.now);
             let message = Message::Request(request);
-            self.wires.push(Wire { at: self.now + DELAY, from, to, life: None, sender, message });
+            self.in_flight.push(Envelope {
+                at: self.now + DELAY,
+                from,
+                to,
+                incarnation: None,
+                sender,
+                message,
+            });
         }
     }
 
@@ -227,43 +248,43 @@
         self.send(number, outgoing);
     }
 
-    /// Asks a replica for a change, and waits as callers do.
+    /// Proposes a change and waits for its outcome until the caller's timeout.
     pub fn propose(&mut self, number: usize, change: Change) -> Option<Proposed> {
-        let ticket = self.begin_proposal(number, change)?;
+        let ticket = self.submit(number, change)?;
         self.await_outcome(number, ticket)
     }
 
-    pub fn begin_proposal(&mut self, number: usize, change: Change) -> Option<u64> {
-        self.nodes[number].replica.propose(self.now, change, self.now + WAIT)
+    pub fn submit(&mut self, number: usize, change: Change) -> Option<u64> {
+        self.nodes[number].replica.propose(self.now, change, self.now + CALL_TIMEOUT)
     }
 
     pub fn await_outcome(&mut self, number: usize, ticket: u64) -> Option<Proposed> {
-        let until = self.now + WAIT;
+        let until = self.now + CALL_TIMEOUT;
         while self.now < until {
             if let Some(outcome) = self.nodes[number].replica.outcome(ticket) {
                 return Some(outcome);
             }
-            self.pass(POLL_PERIOD);
+            self.advance(POLL_PERIOD);
         }
         self.nodes[number].replica.withdraw(ticket);
         None
     }
 
-    /// Reads the configuration at a replica, as callers do.
+    /// Reads the configuration at a replica; `None` if the read times out.
     pub fn read(&mut self, number: usize) -> Option<Option<ConfigVersion>> {
-        let (since, until) = (self.now, self.now + WAIT);
+        let (since, until) = (self.now, self.now + CALL_TIMEOUT);
         self.exchange(number);
         while self.now < until {
             if self.nodes[number].replica.is_current_since(self.now, since) {
-                return Some(self.held(number));
+                return Some(self.decided_config(number));
             }
-            self.pass(POLL_PERIOD);
+            self.advance(POLL_PERIOD);
         }
         None
     }
 
-    /// What a replica knows to be decided.
-    pub fn held(&self, number: usize) -> Option<ConfigVersion> {
+    /// The decided configuration known at a replica.
+    pub fn decided_config(&self, number: usize) -> Option<ConfigVersion> {
         self.nodes[number].replica.state().config.as_ref().map(|config| config.version)
     }
 
@@ -271,23 +292,23 @@
         self.nodes[number].replica.state()
     }
 
-    /// Numbers of the replicas that vote, by what one of them holds.
+    /// The voters according to one replica.
     pub fn voters(&self, number: usize) -> Vec<usize> {
         let voters = &self.nodes[number].replica.membership().voters;
-        let place = |voter: &StoreMember| self.nodes.iter().position(|node| node.member == *voter);
-        voters.iter().filter_map(place).collect()
+        let index_of = |voter: &StoreMember| self.nodes.iter().position(|node| node.member == *voter);
+        voters.iter().filter_map(index_of).collect()
     }
 }
 
-fn replica(member: &StoreMember, record: Record, founds: bool) -> Replica {
+fn replica(member: &StoreMember, record: Record, is_founder: bool) -> Replica {
     let founders = (0..FOUNDERS).map(|number| self::member(number, "", 0).addr);
-    let founders = if founds { founders.collect() } else { Vec::new() };
+    let founders = if is_founder { founders.collect() } else { Vec::new() };
     let plan = Plan { voters_min: FOUNDERS, ..Figures::default().plan };
     let seed = member.disk * 7_919;
     Replica::new(member.clone(), record, founders, Figures { plan, ..Figures::default() }, seed)
 }
 
-/// A replica's machine: `s0`, and so on.
+/// The member on machine `s{number}`.
 pub fn member(number: usize, zone: &str, disk: u64) -> StoreMember {
     let addr = format!("10.0.0.{}:7601", number + 1).parse().expect("an address");
     StoreMember { name: format!("s{number}").into(), zone: zone.into(), addr, disk }
--- a/crates/replication/tests/quorums.rs
+++ b/crates/replication/tests/quorums.rs
@@ -1,4 +1,4 @@
-//! Sets of disks that suffice for something, tried whole for small numbers of voters.
+//! Exhaustive tests of the quorum rules over all subsets of small voter sets.
 
 mod common;
 
@@ -29,37 +29,38 @@
 ];
 
 #[test]
-fn whoever_reads_meets_every_decision() {
+fn read_quorums_intersect_every_decision() {
     for zones in LAYOUTS {
         let membership = settled(zones);
         for decision in subsets(zones.len()).filter(|disks| accepts(&membership, disks, &Disks::new())) {
-            let blind = |disks: &Disks| disks.is_disjoint(&decision);
-            let read =
-                subsets(zones.len()).find(|disks| blind(disks) && reads(&membership, disks, &Disks::new()));
-            assert_eq!(read, None, "{zones:?}: {decision:?}");
+            let misses_decision = |disks: &Disks| disks.is_disjoint(&decision);
+            let read_quorum = subsets(zones.len())
+                .find(|disks| misses_decision(disks) && reads(&membership, disks, &Disks::new()));
+            assert_eq!(read_quorum, None, "{zones:?}: {decision:?}");
         }
     }
 }
 
 #[test]
-fn whoever_reads_without_lost_disks_meets_every_decision_on_one_that_is_left() {
+fn read_quorums_without_lost_disks_find_a_surviving_copy() {
     for zones in LAYOUTS {
         let membership = settled(zones);
         let all = &membership.voters;
-        for gone in subsets(zones.len()).filter(|gone| !decides(all, gone, &Disks::new())) {
+        for lost_disks in subsets(zones.len()).filter(|lost_disks| !decides(all, lost_disks, &Disks::new())) {
             for decision in subsets(zones.len()).filter(|disks| accepts(&membership, disks, &Disks::new())) {
-                let left: Disks = decision.difference(&gone).copied().collect();
-                let blind = |disks: &Disks| disks.is_disjoint(&left) && disks.is_disjoint(&gone);
-                let read =
-                    subsets(zones.len()).find(|disks| blind(disks) && reads(&membership, disks, &gone));
-                assert_eq!(read, None, "{zones:?}: {decision:?} without {gone:?}");
+                let remaining: Disks = decision.difference(&lost_disks).copied().collect();
+                let misses_decision =
+                    |disks: &Disks| disks.is_disjoint(&remaining) && disks.is_disjoint(&lost_disks);
+                let read_quorum = subsets(zones.len())
+                    .find(|disks| misses_decision(disks) && reads(&membership, disks, &lost_disks));
+                assert_eq!(read_quorum, None, "{zones:?}: {decision:?} without {lost_disks:?}");
             }
         }
     }
 }
 
 #[test]
-fn a_decision_outlasts_the_disks_of_any_zone() {
+fn decisions_survive_the_loss_of_a_zone() {
     for zones in LAYOUTS.iter().filter(|zones| zones.len() > 1) {
         let membership = settled(zones);
         for decision in subsets(zones.len()).filter(|disks| accepts(&membership, disks, &Disks::new())) {
@@ -71,7 +72,7 @@
 }
 
 #[test]
-fn a_change_of_voters_needs_both_sets_and_whoever_reads_either_meets_it() {
+fn voter_changes_need_quorums_of_both_sets() {
     let (old, new) = (voters(&["a", "b", "c"]), [&voters(&["a", "b"])[..], &[member(3, "c", 4)]].concat());
     let change = Membership { epoch: 2, voters: new.clone(), previous: old.clone() };
     for decision in subsets(4).filter(|disks| accepts(&change, disks, &Disks::new())) {
@@ -85,26 +86,26 @@
 }
 
 #[test]
-fn machines_that_came_back_with_other_disks_are_lost_and_all_that_are_left_stand_for_them() {
+fn all_survivors_stand_in_for_replaced_disks() {
     let old = voters(&["a", "a", "b"]);
     let renewed = [member(0, "a", 11), member(1, "a", 12)];
-    let gone = lost(&old, renewed.iter());
-    assert_eq!(gone, Disks::from([1, 2]));
-    assert!(survives(&old, &Disks::from([3]), &gone));
-    assert!(!survives(&old, &Disks::from([3]), &Disks::from([1])), "another one is left and not heard");
-    assert!(!survives(&old, &Disks::new(), &gone));
+    let lost_disks = lost(&old, renewed.iter());
+    assert_eq!(lost_disks, Disks::from([1, 2]));
+    assert!(survives(&old, &Disks::from([3]), &lost_disks));
+    assert!(!survives(&old, &Disks::from([3]), &Disks::from([1])), "another survivor was not asked");
+    assert!(!survives(&old, &Disks::new(), &lost_disks));
     let spread = voters(&["a", "b", "c"]);
-    assert!(!survives(&spread, &Disks::from([3]), &gone), "those two could decide by themselves");
+    assert!(!survives(&spread, &Disks::from([3]), &lost_disks), "the lost disks alone are a quorum");
     let change = Membership { epoch: 2, voters: [&renewed[..], &old[2..]].concat(), previous: old };
     assert!(accepts(&change, &Disks::from([3, 11]), &Disks::new()));
-    assert!(!accepts(&change, &Disks::from([11, 12]), &Disks::new()), "none of those that are left");
+    assert!(!accepts(&change, &Disks::from([11, 12]), &Disks::new()), "no survivor has accepted");
 }
 
 #[test]
-fn a_zone_that_is_away_is_not_asked_for_but_a_majority_is() {
+fn unreachable_zone_is_waived_but_a_majority_is_required() {
     let all = voters(&["a", "a", "b"]);
-    let away = Disks::from([3]);
+    let unreachable = Disks::from([3]);
     assert!(!decides(&all, &Disks::from([1, 2]), &Disks::new()));
-    assert!(decides(&all, &Disks::from([1, 2]), &away));
-    assert!(!decides(&all, &Disks::from([1]), &away));
+    assert!(decides(&all, &Disks::from([1, 2]), &unreachable));
+    assert!(!decides(&all, &Disks::from([1]), &unreachable));
 }
--- a/crates/replication/tests/trials.rs
+++ b/crates/replication/tests/trials.rs
@@ -1,4 +1,4 @@
-//! Trials among replicas: which of two terms hold, and what is handed out when.
+//! Replication of trials: conflicting terms, steps, transfers and freshness.
 
 mod common;
 
@@ -23,8 +23,8 @@
     cluster.state(number).trials.get(tenant).map(|record| record.position)
 }
 
-/// Steps that a registry which knows nothing is told, each with its age.
-fn handed_out(cluster: &mut Cluster, number: usize) -> Vec<(u32, u64)> {
+/// Steps published to a registry without any data, each with its age in milliseconds.
+fn published_steps(cluster: &mut Cluster, number: usize) -> Vec<(u32, u64)> {
     let now = cluster.now;
     let news = cluster.nodes[number].replica.news(now, &Summary::default()).trials.unwrap_or_default();
     let stepped = news.into_iter().filter(|news| news.record.position.step > 0);
@@ -32,17 +32,17 @@
 }
 
 #[test]
-fn of_two_operators_under_one_version_the_same_terms_hold_everywhere_and_both_are_told() {
+fn concurrent_terms_under_one_version_converge() {
     let mut cluster = Cluster::new(&["a", "b", "c"]);
     let (extended, ended) = (terms("t", 2, 20), terms("t", 2, 10));
-    let first = cluster.begin_proposal(0, Change::TrialTerms(extended.clone())).expect("room");
-    let second = cluster.begin_proposal(1, Change::TrialTerms(ended.clone())).expect("room");
-    let of_extended = cluster.await_outcome(0, first).expect("nothing is in the way");
-    let of_ended = cluster.await_outcome(1, second).expect("nothing is in the way");
-    cluster.pass(S);
+    let first = cluster.submit(0, Change::TrialTerms(extended.clone())).expect("the queue is not full");
+    let second = cluster.submit(1, Change::TrialTerms(ended.clone())).expect("the queue is not full");
+    let of_extended = cluster.await_outcome(0, first).expect("no fault is present");
+    let of_ended = cluster.await_outcome(1, second).expect("no fault is present");
+    cluster.advance(S);
     let held = position(&cluster, 0, "t").expect("terms");
     assert!((1..3).all(|number| position(&cluster, number, "t") == Some(held)));
-    assert_eq!(held, extended.position, "terms with the higher digest follow, whichever came first");
+    assert_eq!(held, extended.position, "the higher digest wins, whichever came first");
     assert_eq!(of_extended, Proposed::Durable);
     assert!(matches!(of_ended, Proposed::Durable | Proposed::Overtaken));
     let again = cluster.propose(2, Change::TrialTerms(ended));
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn the_same_terms_sent_twice_begin_no_trial_anew() {
+fn repeated_terms_do_not_restart_a_trial() {
     let mut cluster = Cluster::new(&["a", "b", "c"]);
     let record = terms("t", 1, 10);
     assert_eq!(cluster.propose(0, Change::TrialTerms(record.clone())), DONE);
@@ -60,61 +60,61 @@
 }
 
 #[test]
-fn steps_only_go_on_and_only_of_the_terms_that_hold() {
+fn steps_advance_only_for_current_terms() {
     let mut cluster = Cluster::new(&["a", "b", "c"]);
     let (old, new) = (terms("t", 1, 10), terms("t", 2, 5));
     assert_eq!(cluster.propose(0, Change::TrialTerms(old.clone())), DONE);
     assert_eq!(cluster.propose(0, step(&old, 3)), DONE);
-    // One whose clock is behind, and whose duty has gone to another.
+    // A step proposed late by a registry with a slow clock.
     assert_eq!(cluster.propose(1, step(&old, 1)), DONE);
-    cluster.pass(S);
+    cluster.advance(S);
     assert_eq!(position(&cluster, 1, "t").map(|position| position.step), Some(3));
     assert_eq!(cluster.propose(0, Change::TrialTerms(new.clone())), DONE);
     assert_eq!(cluster.propose(1, step(&old, 4)), DONE);
-    cluster.pass(S);
+    cluster.advance(S);
     assert_eq!(position(&cluster, 1, "t"), Some(new.position));
 }
 
 #[test]
-fn a_step_whose_announcer_died_half_way_is_taken_up_and_nobody_hears_of_it_before_it_is_decided() {
+fn undecided_step_is_not_published_until_completed() {
     let mut cluster = Cluster::new(&["a", "b", "c"]);
     let record = terms("t", 1, 10);
     assert_eq!(cluster.propose(1, Change::TrialTerms(record.clone())), DONE);
-    // The store on the announcer's machine has the step, and is gone with it.
-    cluster.cut(&[0]);
+    // Only the store on the proposer's machine accepts the step, and both stop.
+    cluster.partition(&[0]);
     assert_eq!(cluster.propose(0, step(&record, 1)), None);
-    assert!(handed_out(&mut cluster, 0).is_empty());
+    assert!(published_steps(&mut cluster, 0).is_empty());
     cluster.stop(0);
-    assert!(handed_out(&mut cluster, 1).is_empty());
+    assert!(published_steps(&mut cluster, 1).is_empty());
     assert_eq!(cluster.propose(1, step(&record, 1)), DONE);
-    assert_eq!(handed_out(&mut cluster, 1).len(), 1);
-    // It comes back with the same step: nothing changes.
+    assert_eq!(published_steps(&mut cluster, 1).len(), 1);
+    // The store restarts with the same step accepted.
     cluster.heal();
     cluster.start(0);
-    cluster.pass(2 * S);
+    cluster.advance(2 * S);
     assert_eq!(cluster.state(0).trials, cluster.state(1).trials);
-    let (step, age) = handed_out(&mut cluster, 1)[0];
+    let (step, age) = published_steps(&mut cluster, 1)[0];
     assert!(step == 1 && age >= 2_000, "known to be durable for {age} ms");
 }
 
 #[test]
-fn news_is_not_fresh_while_a_step_is_undecided_on_a_majority() {
+fn freshness_stops_while_a_step_is_undecided() {
     let mut cluster = Cluster::new(&["a", "b", "c"]);
     let record = terms("t", 1, 10);
     assert_eq!(cluster.propose(1, Change::TrialTerms(record.clone())), DONE);
-    cluster.pass(S);
+    cluster.advance(S);
     let before = cluster.now;
-    cluster.cut(&[0]);
+    cluster.partition(&[0]);
     assert_eq!(cluster.propose(0, step(&record, 1)), None);
-    cluster.pass(S);
+    cluster.advance(S);
     assert!(cluster.nodes[0].replica.current_as_of(cluster.now) <= Some(before + 4 * MILLI));
     cluster.heal();
-    cluster.pass(2 * S);
+    cluster.advance(2 * S);
     assert!(cluster.nodes[0].replica.is_in_contact(cluster.now));
 }
 
 #[test]
-fn trials_of_more_tenants_than_there_is_room_for_are_refused_and_nothing_else_is() {
+fn only_trials_beyond_the_tenant_limit_are_refused() {
     let mut cluster = Cluster::new(&["a", "b", "c"]);
     let names = (0..TRIALS_MAX).map(|number| format!("t{number}"));
     let mut state = cluster.state(0).clone();
@@ -127,7 +127,7 @@
 }
 
 #[test]
-fn only_what_has_changed_is_handed_over_and_everything_where_that_is_not_known() {
+fn transfers_hold_changed_trials_or_all_for_an_unknown_base() {
     let mut before = State::default();
     for number in 0..30 {
         before.apply(&Change::TrialTerms(terms(&format!("t-{number}"), 1, 1)));
@@ -144,14 +144,14 @@
     let changes = after.transfer_from(&before);
     assert_eq!(lengths(&changes), [1]);
     assert_eq!(before.with(changes.clone()), Some(after.clone()));
-    assert_eq!(State::default().with(changes), None, "they lead nowhere from another state");
+    assert_eq!(State::default().with(changes), None, "changes do not apply to another base");
     let whole = after.transfer(&Summary::default());
     assert_eq!(lengths(&whole), [30]);
     assert_eq!(State::default().with(whole), Some(after));
 }
 
 #[test]
-fn a_wiped_replica_does_not_speak_before_it_has_the_trials_of_the_others() {
+fn wiped_replica_answers_no_reads_before_it_has_recovered() {
     let mut cluster = Cluster::new(&["a", "b", "c"]);
     let record = terms("t", 1, 10);
     assert_eq!(cluster.propose(1, Change::TrialTerms(record.clone())), DONE);
@@ -160,7 +160,7 @@
     cluster.start(0);
     assert!(cluster.nodes[0].replica.recovering());
     assert_eq!(cluster.nodes[0].replica.current_as_of(cluster.now), None);
-    cluster.pass(2 * S);
+    cluster.advance(2 * S);
     assert!(!cluster.nodes[0].replica.recovering());
     assert_eq!(position(&cluster, 0, "t").map(|position| position.step), Some(2));
 }
--- a/crates/trial/src/book.rs
+++ b/crates/trial/src/book.rs
@@ -1,4 +1,4 @@
-//! The trials that one proxy knows.
+//! The trials known to one proxy, and the step that applies to each tenant.
 
 use crate::terms::{Level, Terms};
 use crate::timeline::{InEffect, Spans, Timeline};
@@ -10,10 +10,10 @@
 
 /// Microseconds in a millisecond.
 const MILLI: Micros = 1_000;
-/// The shortest wait that is told, microseconds.
-const WAIT_LEAST: Micros = 20 * MILLI;
+/// Shortest retry delay, in microseconds.
+const RETRY_DELAY_MIN: Micros = 20 * MILLI;
 
-/// Terms with the version and digest that they are known by.
+/// Parsed terms with their version and digest.
 #[derive(Debug)]
 struct KnownTerms {
     position: TrialPosition,
@@ -23,33 +23,33 @@
 #[derive(Debug, Default)]
 struct Trial {
     timeline: Timeline,
-    /// The terms that the timeline names, the newest last.
+    /// Terms of the positions in the timeline, newest last.
     terms: Vec<KnownTerms>,
 }
 
-/// What holds for a tenant.
+/// The step in effect for a tenant.
 #[derive(Clone, Debug)]
 pub struct Standing {
-    /// The step that is in effect.
+    /// Position of the step.
     pub position: TrialPosition,
-    /// What it leaves of the quota.
+    /// The part of the quota that it leaves.
     pub level: Level,
-    /// The terms.
+    /// The terms it belongs to.
     pub terms: Rc<Terms>,
 }
 
-/// By what a tenant's request is judged.
+/// What applies to a tenant's request.
 #[derive(Clone, Debug)]
 pub enum Judgement {
-    /// By its quota alone.
+    /// The quota alone; no trial is in effect.
     NoTrial,
-    /// By a step of its trial.
+    /// A step of the trial.
     Trial(Standing),
-    /// This proxy can't tell for so long, microseconds: the request goes elsewhere, or comes again.
+    /// This proxy cannot tell for this many microseconds: the request goes to another proxy or is retried.
     Unknown(Micros),
 }
 
-/// The trials that one proxy knows.
+/// The trials known to one proxy.
 #[derive(Debug, Default)]
 pub struct TrialBook {
     spans: Spans,
@@ -58,16 +58,16 @@
 }
 
 impl TrialBook {
-    /// Nothing is known.
+    /// Creates a book without trials.
     pub fn new(spans: Spans) -> TrialBook {
         TrialBook { spans, ..TrialBook::default() }
     }
 
-    /// Takes in what a registry told of trials; `told_at` is when the answer came.
-    pub fn take(&mut self, told_at: Micros, news: Vec<TrialNews>) {
+    /// Applies trial records from a registry's answer that arrived at `received_at`.
+    pub fn take(&mut self, received_at: Micros, news: Vec<TrialNews>) {
         for TrialNews { record, age } in news {
-            let known_by = signed(told_at).saturating_sub(signed(age.saturating_mul(MILLI)));
-            self.take_record(told_at, record, known_by);
+            let known_by = signed(received_at).saturating_sub(signed(age.saturating_mul(MILLI)));
+            self.take_record(received_at, record, known_by);
         }
     }
 
@@ -75,7 +75,7 @@
         let known = self.trials.get(&record.tenant);
         if !known.is_some_and(|trial| trial.knows_terms_of(&record.position)) {
             let full = known.is_none() && self.trials.len() >= TRIALS_MAX;
-            // Registries hand out only what they checked; another build of them might have checked less.
+            // Registries validate terms, but one of another version might accept terms that this one does not.
             let Some(terms) = Terms::parse(&record.terms).ok().filter(|_| !full) else { return };
             let trial = self.trials.entry(record.tenant.clone()).or_default();
             trial.terms.push(KnownTerms { position: record.position, terms: Rc::new(terms) });
@@ -85,38 +85,38 @@
         trial.timeline.learn(now, record.position, self.freshness, known_by, &self.spans);
     }
 
-    /// Takes in how recent the news is: asked for at `asked_at`, `age` milliseconds old when it was told. Due after
-    /// [`TrialBook::take`] with the news of the same answer.
+    /// Records that an answer to a request sent at `asked_at` had data `age` milliseconds old. Call it after
+    /// [`TrialBook::take`] with the records of the same answer.
     pub fn take_freshness(&mut self, asked_at: Micros, age: Option<u64>) {
         if let Some(age) = age {
             self.freshness.note(asked_at, age * MILLI);
         }
     }
 
-    /// By what a tenant's request is judged that begins now.
+    /// What applies to a tenant's request that starts now.
     pub fn judge(&mut self, now: Micros, tenant: &str) -> Judgement {
         let Some(trial) = self.trials.get_mut(tenant) else { return Judgement::NoTrial };
         if now >= self.freshness.lease_until(self.spans.lease) {
-            return Judgement::Unknown(WAIT_LEAST);
+            return Judgement::Unknown(RETRY_DELAY_MIN);
         }
         match trial.timeline.at(now, &self.spans) {
             InEffect::Untouched => Judgement::NoTrial,
-            InEffect::Unknown(until) => Judgement::Unknown((until - now).max(WAIT_LEAST)),
+            InEffect::Unknown(until) => Judgement::Unknown((until - now).max(RETRY_DELAY_MIN)),
             InEffect::Position(position) => trial.standing(position),
         }
     }
 
-    /// How much longer trial tenants are judged without further news.
+    /// Time left until trial tenants can no longer be evaluated without a new answer.
     pub fn lease_left(&self, now: Micros) -> Micros {
         self.freshness.lease_until(self.spans.lease).saturating_sub(now)
     }
 
-    /// The highest step known of a tenant's trial, in effect or not.
+    /// The highest known position of a tenant's trial, in effect or not.
     pub fn newest(&self, tenant: &str) -> Option<TrialPosition> {
         self.trials.get(tenant)?.timeline.newest()
     }
 
-    /// Tenants with terms.
+    /// Number of tenants with terms.
     pub fn len(&self) -> usize {
         self.trials.len()
     }
@@ -133,7 +133,7 @@
     }
 
     fn standing(&mut self, position: TrialPosition) -> Judgement {
-        // Terms before those in effect are named no more.
+        // Terms older than those in effect are no longer needed.
         let in_effect = self.terms.iter().position(|known| known.position.has_terms_of(&position));
         self.terms.drain(..in_effect.unwrap_or_default());
         let Some(known) = self.terms.first() else { return Judgement::NoTrial };
--- a/crates/trial/src/lib.rs
+++ b/crates/trial/src/lib.rs
@@ -1,8 +1,8 @@
-//! Trial tenants that expire: slowed step by step, alike at every proxy.
+//! Expiring trial tenants: the quota is reduced in steps that take effect at the same time at every proxy.
 //!
-//! [`Terms`] are what the operator sets. One registry decides when the next step is due ([`due_step`]) and the stores
-//! make it durable. A [`TrialBook`] at each proxy says by which step a request is judged: see [`Timeline`] for the
-//! argument that all proxies change over together. `docs/trials.md` has the proof and the ways weighed.
+//! The operator sets [`Terms`]. One registry decides when the next step is due ([`due_step`]) and the stores make it
+//! durable. A [`TrialBook`] at each proxy determines the step that applies to a request; [`Timeline`] explains why
+//! all proxies switch together. `docs/trials.md` has the proof and the alternatives.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/crates/trial/src/timeline.rs
+++ b/crates/trial/src/timeline.rs
@@ -1,38 +1,38 @@
-//! By which step one tenant is judged at one proxy.
+//! Determines the step in effect for one tenant at one proxy.
 //!
-//! A step is *announced*: it becomes durable at some moment `T`, and takes effect `delay` later. No two clocks agree on
-//! `T`, so each proxy bounds it on its own steady clock:
+//! A step is *announced* when it becomes durable at some moment `T`, and takes effect `delay` later. Clocks differ,
+//! so each proxy bounds `T` on its own monotonic clock:
 //!
-//! - `T` is not after the moment at which somebody knew the step to be durable: that moment is passed on as an age, and
-//!   ages only shrink on their way (`known_by`);
-//! - `T` is not before the moment up to which this proxy knew all that was durable when it had not heard of the step
-//!   (`not_before`, from its [`Freshness`]).
+//! - Upper bound `known_by`: some process knew the step to be durable by then. The bound is passed on as an age,
+//!   and ages are only underestimated on the way.
+//! - Lower bound `not_before`: up to this moment the proxy had everything durable, without the step (from its
+//!   [`Freshness`]).
 //!
-//! A request is judged by a step from `known_by + delay` on, which is never before `T + delay`. By the step before it is
-//! judged until then where both bounds are less than `uncertainty` apart, else until `not_before + delay`; and always
-//! only with news that is less than `lease` old. So where `lease` is at most `delay`, no request that begins later
-//! than `T + delay + uncertainty` is judged by the step before at any proxy, and none that begins before `T + delay`
-//! by the new one: two requests that begin more than `uncertainty` apart are never judged in the wrong order.
+//! The new step applies from `known_by + delay`, which is never before `T + delay`. The previous step applies until
+//! then if the bounds are at most `uncertainty` apart, else until `not_before + delay`. Either applies only while the
+//! proxy's data is less than `lease` old. Hence, if `lease` is at most `delay`, the previous step applies to no request
+//! that starts after `T + delay + uncertainty`, and the new step to none that starts before `T + delay`: requests
+//! that start more than `uncertainty` apart never see the steps in the wrong order.
 
 use hingestage_replication::{signed, Freshness, Micros};
 use hingestage_rpc::trials::TrialPosition;
 
-/// Steps that are announced and not in effect, at the most. Where there are more, the tenant waits for the last.
+/// Maximum number of announced steps not in effect yet. Beyond it, requests wait until all of them are in effect.
 const ANNOUNCED_MAX: usize = 32;
 
-/// Spans by which steps take effect, microseconds.
+/// Times that determine when steps take effect, in microseconds.
 #[derive(Clone, Copy, Debug)]
 pub struct Spans {
-    /// Age of news up to which a trial tenant is judged at all.
+    /// Age of the data up to which a proxy evaluates trial tenants.
     pub lease: Micros,
-    /// Time between the moment at which a step is durable and its effect; not below `lease`.
+    /// Time from a step's durability to its effect; at least `lease`.
     pub delay: Micros,
-    /// How far apart the bounds of a step's moment may be for the step before to be used up to the later one.
+    /// Largest distance of a step's bounds at which the previous step applies until the new one does.
     pub uncertainty: Micros,
 }
 
 impl Spans {
-    /// As the proxies go by.
+    /// The values used by the proxies.
     pub const DEFAULT: Spans = Spans { lease: 4_500_000, delay: 4_500_000, uncertainty: 2_500_000 };
 }
 
@@ -42,38 +42,39 @@
     }
 }
 
-/// A step that is known.
+/// A known step that is not in effect yet.
 #[derive(Clone, Copy, Debug)]
 struct Announced {
     position: TrialPosition,
-    /// Bounds of the moment at which it became durable, on this process's clock; they may lie before its start.
+    /// Bounds of the moment at which it became durable, on this process's clock; negative before the process's start.
     not_before: Option<i64>,
     known_by: i64,
 }
 
-/// What a tenant is judged by at some moment.
+/// The step in effect at some moment.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum InEffect {
     /// No terms are in effect yet.
     Untouched,
-    /// A step.
+    /// The step at this position.
     Position(TrialPosition),
-    /// It can't be told before this moment.
+    /// It cannot be determined before this moment.
     Unknown(Micros),
 }
 
-/// The steps of one tenant, as one proxy knows them.
+/// The steps of one tenant, as known to one proxy.
 #[derive(Clone, Debug, Default)]
 pub struct Timeline {
     in_effect: Option<TrialPosition>,
-    /// By position, which is also the order in which they take effect or are overtaken.
+    /// Sorted by position, which is the order in which they take effect or are superseded.
     announced: Vec<Announced>,
-    /// Nothing is known before this moment: too many steps were announced at once.
+    /// The step in effect is unknown before this moment, because too many steps were announced at once.
     unknown_until: i64,
 }
 
 impl Timeline {
-    /// Takes in that a step was durable by a moment. `freshness` is how far this proxy knew everything before it heard.
+    /// Learns that a step was durable by the moment `known_by`. `freshness` is this proxy's freshness before it learnt
+    /// of the step.
     pub fn learn(
         &mut self,
         now: Micros,
@@ -82,7 +83,7 @@
         known_by: i64,
         spans: &Spans,
     ) {
-        self.settle(now, spans);
+        self.activate_due(now, spans);
         if Some(position) <= self.in_effect {
             return;
         }
@@ -99,16 +100,16 @@
         self.announced.sort_unstable_by_key(|known| known.position);
     }
 
-    /// The highest step that is known.
+    /// The highest known position.
     pub fn newest(&self) -> Option<TrialPosition> {
         self.announced.last().map(|known| known.position).max(self.in_effect)
     }
 
-    /// What the tenant is judged by now.
+    /// The step in effect now.
     pub fn at(&mut self, now: Micros, spans: &Spans) -> InEffect {
-        self.settle(now, spans);
-        let doubts = self.announced.iter().filter(|known| known.is_doubtful(now, spans));
-        let known_at = doubts.map(|known| known.takes_effect_at(spans)).min();
+        self.activate_due(now, spans);
+        let ambiguous = self.announced.iter().filter(|known| known.is_ambiguous(now, spans));
+        let known_at = ambiguous.map(|known| known.takes_effect_at(spans)).min();
         if let Some(until) =
             known_at.into_iter().chain([self.unknown_until]).find(|until| signed(now) < *until)
         {
@@ -117,8 +118,8 @@
         self.in_effect.map_or(InEffect::Untouched, InEffect::Position)
     }
 
-    /// Steps whose time has come take effect, and those that they overtake are forgotten.
-    fn settle(&mut self, now: Micros, spans: &Spans) {
+    /// Puts due steps into effect and drops those that they supersede.
+    fn activate_due(&mut self, now: Micros, spans: &Spans) {
         let due = self.announced.iter().filter(|known| signed(now) >= known.takes_effect_at(spans));
         self.in_effect = due.map(|known| known.position).max().max(self.in_effect);
         let in_effect = self.in_effect;
@@ -131,8 +132,8 @@
         self.known_by.saturating_add(signed(spans.delay))
     }
 
-    /// Whether the step may be in effect elsewhere and isn't here, for longer than is allowed.
-    fn is_doubtful(&self, now: Micros, spans: &Spans) -> bool {
+    /// Whether the step may be in effect at another proxy already, for longer than `uncertainty` allows.
+    fn is_ambiguous(&self, now: Micros, spans: &Spans) -> bool {
         let Some(not_before) = self.not_before else { return true };
         let far = not_before.saturating_add(signed(spans.uncertainty)) < self.known_by;
         far && signed(now) >= not_before.saturating_add(signed(spans.delay))
--- a/crates/trial/tests/terms.rs
+++ b/crates/trial/tests/terms.rs
@@ -1,4 +1,4 @@
-//! Terms of a trial: what is read, what is refused, which step is due.
+//! Parsing and validation of terms, and due steps.
 
 use hingestage_trial::{Phase, RequestClass, Terms};
 use std::time::Duration;
@@ -12,7 +12,7 @@
     "grace": "10s",
     "after_end": 0.05
 }"#;
-/// The end, milliseconds since 1970.
+/// The end of the trial in Unix milliseconds.
 const END: u64 = 1_798_718_400_000;
 const HOUR: u64 = 3_600_000;
 
@@ -21,14 +21,14 @@
 }
 
 #[test]
-fn terms_are_read() {
+fn valid_terms_are_parsed() {
     let terms = terms();
     assert_eq!((terms.version, terms.end, terms.grace), (3, Some(END), Duration::from_secs(10)));
     assert_eq!(terms.last_step(), 4);
 }
 
 #[test]
-fn steps_are_due_one_after_the_other() {
+fn steps_are_due_in_order() {
     let terms = terms();
     let due = [
         (END - 49 * HOUR, 0),
@@ -40,13 +40,13 @@
         (END + 10_000, 4),
         (u64::MAX, 4),
     ];
-    for (time_of_day, step) in due {
-        assert_eq!(terms.step_due(time_of_day), step, "{time_of_day}");
+    for (unix_millis, step) in due {
+        assert_eq!(terms.step_due(unix_millis), step, "{unix_millis}");
     }
 }
 
 #[test]
-fn each_step_leaves_its_share() {
+fn levels_follow_the_steps() {
     let terms = terms();
     let levels = [
         (Phase::Full, 1.0, 1.0),
@@ -63,23 +63,23 @@
 }
 
 #[test]
-fn without_an_end_there_is_no_step() {
+fn terms_without_an_end_have_no_steps() {
     let paid = Terms::parse(br#"{"version": 4}"#).unwrap();
     assert_eq!((paid.last_step(), paid.step_due(u64::MAX)), (0, 0));
     assert_eq!(paid.level(2).phase, Phase::Full);
 }
 
 #[test]
-fn classes_are_routes_or_kinds() {
+fn classes_match_route_names_and_kinds() {
     let terms = terms();
     assert_eq!(terms.class_of("fee-payment", "mutating"), RequestClass::RefusedLast);
     assert_eq!(terms.class_of("depot-report", "idempotent"), RequestClass::Deferred);
     assert_eq!(terms.class_of("stock-lookup", "idempotent"), RequestClass::Ordinary);
 }
 
-/// Terms with one field replaced, and what the refusal must name.
+/// Guards against errors that do not name the invalid field.
 #[test]
-fn what_is_wrong_is_refused_by_its_field() {
+fn invalid_terms_are_refused_with_the_field_name() {
     let cases = [
         (r#""version": 3"#, r#""version": 0"#, "version"),
         (r#""version": 3"#, r#""versoin": 3"#, "versoin"),
@@ -98,5 +98,5 @@
     }
     let long = format!("{}{}", TERMS, " ".repeat(5_000));
     assert!(Terms::parse(long.as_bytes()).is_err());
-    assert!(Terms::parse(&TERMS.as_bytes()[..60]).is_err(), "cut short");
+    assert!(Terms::parse(&TERMS.as_bytes()[..60]).is_err(), "truncated");
 }
