--- a/crates/capacity/src/replication.rs
+++ b/crates/capacity/src/replication.rs
@@ -4,7 +4,7 @@
 use crate::measure::{median, seconds_each, Report};
 use crate::servers::{Machine, Process, TemporaryDir, STORE};
 use eyre::Result;
-use hingestage_replication::{Figures, Record, Replica, State, TrialSet};
+use hingestage_replication::{Record, Replica, ReplicaConfig, State, TrialSet};
 use hingestage_rpc::encoded;
 use hingestage_rpc::messages::{Membership, PeerAnswer, StoreAnswer, StoreMember, StoreRequest, ZoneDrain};
 use std::hint::black_box;
@@ -62,7 +62,7 @@
 }
 
 fn exchange_bytes(replica: &Replica) -> u64 {
-    let request = StoreRequest::Peer(replica.exchange());
+    let request = StoreRequest::Peer(replica.exchange_request());
     let (from, standing, known) = (replica.me().clone(), replica.standing(), replica.members());
     let answer = StoreAnswer::Peer(PeerAnswer::Exchanged { from, standing, known });
     (encoded(&request).len() + encoded(&answer).len()) as u64
@@ -80,5 +80,5 @@
         trials: Rc::new(TrialSet::default()),
         membership: Membership { epoch: 1, voters, previous: Vec::new() },
     };
-    Replica::new(me, Record { state, ..Record::default() }, Vec::new(), Figures::default(), 1)
+    Replica::new(me, Record { state, ..Record::default() }, Vec::new(), ReplicaConfig::default(), 1)
 }
--- a/crates/config-store/src/files.rs
+++ b/crates/config-store/src/files.rs
@@ -312,7 +312,7 @@
 /// File names of a state's parts.
 fn part_names(state: &State) -> Vec<String> {
     let config = state.config.as_ref().map(|config| config_name(config.version));
-    let proxies = (!state.proxies.is_empty()).then(|| version_name(PROXIES_PREFIX, state.names_version()));
+    let proxies = (!state.proxies.is_empty()).then(|| version_name(PROXIES_PREFIX, state.proxies_version()));
     let trials = (!state.trials.is_empty()).then(|| version_name(TRIALS_PREFIX, state.trials.version()));
     config.into_iter().chain(proxies).chain(trials).collect()
 }
--- a/crates/config-store/src/server.rs
+++ b/crates/config-store/src/server.rs
@@ -6,7 +6,9 @@
 use eyre::{eyre, Context, Result};
 use hingestage_node::settings::InnerPort;
 use hingestage_node::{incarnation, Settings, SettingsFile, Signals};
-use hingestage_replication::{digest, Figures, Micros, Outgoing, Plan, Record, Replica, TrialSet};
+use hingestage_replication::{
+    digest, Micros, OutgoingRequest, Record, Replica, ReplicaConfig, TrialSet, VoterPolicy,
+};
 use hingestage_rpc::messages::{
     Ballot, Change, PeerAnswer, PeerRequest, Proposed, ReadState, StoreAnswer, StoreMember, StoreRequest,
     Summary,
@@ -129,10 +131,12 @@
     );
     let founders = if founder { seed_stores(settings) } else { Vec::new() };
     let tolerated = settings.tolerate.machines;
-    let plan =
-        Plan { voters_min: (2 * tolerated + 1).max(seed_stores(settings).len()), ..Figures::default().plan };
+    let voter_policy = VoterPolicy {
+        voters_min: (2 * tolerated + 1).max(seed_stores(settings).len()),
+        ..ReplicaConfig::default().voter_policy
+    };
     let seed = incarnation() ^ me.disk;
-    Ok(Replica::new(me, record, founders, Figures { plan, ..Figures::default() }, seed))
+    Ok(Replica::new(me, record, founders, ReplicaConfig { voter_policy, ..ReplicaConfig::default() }, seed))
 }
 
 /// Initializes the data directory for a new store.
@@ -220,7 +224,7 @@
 
     /// Exchanges ballots and known members with a replica.
     async fn exchange(self: &Rc<Self>, peer: &Peer) {
-        let request = self.replica.borrow().exchange();
+        let request = self.replica.borrow().exchange_request();
         self.ask(peer, request).await;
     }
 
@@ -232,7 +236,7 @@
             let known = self.replica.borrow().members().len();
             let outgoing = {
                 let (mut replica, mut files) = (self.replica.borrow_mut(), self.files.borrow_mut());
-                replica.answered(self.now(), asked_at, answer, &mut *files)
+                replica.handle_answer(self.now(), asked_at, answer, &mut *files)
             };
             self.send(outgoing);
             self.publish_changes();
@@ -243,8 +247,8 @@
     }
 
     /// Sends requests concurrently.
-    fn send(self: &Rc<Self>, outgoing: Vec<Outgoing>) {
-        for Outgoing { to, request } in outgoing {
+    fn send(self: &Rc<Self>, outgoing: Vec<OutgoingRequest>) {
+        for OutgoingRequest { to, request } in outgoing {
             let known = self.connections.borrow().get(&to.name).cloned();
             let connection = known.filter(|connection| connection.proposals.addr() == to.addr);
             let store = self.clone();
@@ -271,7 +275,7 @@
         loop {
             let requested = self.poll_now.notified();
             self.poll();
-            let busy = self.replica.borrow().is_busy();
+            let busy = self.replica.borrow().has_pending_work();
             let period = if busy { BUSY_PERIOD } else { IDLE_PERIOD };
             let _ = tokio::time::timeout(period, requested).await;
         }
@@ -295,7 +299,7 @@
             return;
         }
         let records: Vec<_> = trials.records().cloned().collect();
-        if let Err(error) = self.audit.note(&before.news_of(&records)) {
+        if let Err(error) = self.audit.note(&before.newer_records(&records)) {
             // The audit log is informational: the trials themselves are stored with the record.
             log::error!("audit: {error}");
         }
@@ -303,8 +307,8 @@
 
     /// Hands the vote over to a standby store, if there is one.
     async fn hand_over_vote(self: &Rc<Self>) {
-        self.replica.borrow_mut().leave();
-        while !self.replica.borrow().has_left(self.now()) {
+        self.replica.borrow_mut().begin_handover();
+        while !self.replica.borrow().is_handover_complete(self.now()) {
             self.poll_now.notify_waiters();
             tokio::time::sleep(BUSY_PERIOD).await;
         }
@@ -312,7 +316,7 @@
 
     async fn propose(self: Rc<Self>, change: Change, wait: Duration) -> StoreAnswer {
         let until = self.now() + wait.as_micros() as Micros;
-        if self.replica.borrow().recovering() {
+        if self.replica.borrow().is_recovering() {
             return StoreAnswer::Proposed(Proposed::Pending);
         }
         let ticket = self.replica.borrow_mut().propose(self.now(), change, until);
@@ -321,7 +325,7 @@
         self.poll_now.notify_waiters();
         loop {
             let changed = self.changed.notified();
-            if let Some(outcome) = self.replica.borrow_mut().outcome(ticket) {
+            if let Some(outcome) = self.replica.borrow_mut().take_outcome(ticket) {
                 return StoreAnswer::Proposed(outcome);
             }
             if self.now() >= until || !self.wait_until(changed, until).await {
@@ -341,7 +345,7 @@
         let until = self.now() + wait.as_micros() as Micros;
         loop {
             let changed = self.changed.notified();
-            let news = self.replica.borrow_mut().news(self.now(), &have);
+            let news = self.replica.borrow_mut().updates_for(self.now(), &have);
             let has_changes = news.config.is_some()
                 || news.proxies.is_some()
                 || news.trials.is_some()
@@ -379,7 +383,7 @@
         StoreStatus {
             member: replica.me().clone(),
             members: replica.members(),
-            recovering: replica.recovering(),
+            recovering: replica.is_recovering(),
             held: replica.record().state.config.as_ref().map(|config| config.version),
             in_force: state.config.as_ref().map(|config| config.version),
             durable: state.config.is_some() && standing.accepted == standing.decided,
@@ -395,12 +399,12 @@
         let known = self.replica.borrow().members().len();
         let answer = {
             let (mut replica, mut files) = (self.replica.borrow_mut(), self.files.borrow_mut());
-            replica.handle(self.now(), request, &mut *files)
+            replica.handle_request(self.now(), request, &mut *files)
         };
         if matches!(answer, PeerAnswer::Failed) {
             log::error!("another store's request failed here");
         }
-        if self.replica.borrow().is_busy() {
+        if self.replica.borrow().has_pending_work() {
             self.poll_now.notify_waiters();
         }
         self.publish_changes();
--- a/crates/control-sim/src/core_node.rs
+++ b/crates/control-sim/src/core_node.rs
@@ -12,7 +12,9 @@
 use hingestage_registry::duty::{self, Duty};
 use hingestage_registry::trials::TrialLog;
 use hingestage_registry::watch::InForce;
-use hingestage_replication::{Disk as ReplicaDisk, Figures, Outgoing, Plan, Record, Replica};
+use hingestage_replication::{
+    Disk as ReplicaDisk, OutgoingRequest, Record, Replica, ReplicaConfig, VoterPolicy,
+};
 use hingestage_rpc::messages::{
     Change, ConfigVersion, Have, ProcessId, Proposed, ProxyStatus, RegistryMember, StoreMember, Watched,
 };
@@ -174,11 +176,11 @@
         let record = self.disk.record.clone();
         let seed = (life << 8) | (self.number as u64 + 1);
         self.replica = Replica::new(self.member.clone(), record, founders, figures(), seed);
-        self.replica.told_of(0, seeds);
+        self.replica.add_known_members(0, seeds);
         if self.disk.founder {
             let founders: Vec<StoreMember> =
                 (0..FOUNDERS).map(|number| store_member(number, "", 0)).collect();
-            self.replica.told_of(0, &founders);
+            self.replica.add_known_members(0, &founders);
         }
         self.in_force = in_force(self.process.life, self.defect);
         let me = registry_member(&self.member, self.process.life);
@@ -207,16 +209,16 @@
 
     /// It is told to end.
     pub fn leave(&mut self) {
-        self.replica.leave();
+        self.replica.begin_handover();
     }
 
     pub fn has_left(&self, now: Micros) -> bool {
-        self.replica.has_left(self.process.clock(now))
+        self.replica.is_handover_complete(self.process.clock(now))
     }
 
-    fn ask(&self, now: Micros, outgoing: Vec<Outgoing>) -> Vec<Envelope> {
+    fn ask(&self, now: Micros, outgoing: Vec<OutgoingRequest>) -> Vec<Envelope> {
         let asked_at = self.process.clock(now);
-        let envelope = |Outgoing { to, request }: Outgoing| {
+        let envelope = |OutgoingRequest { to, request }: OutgoingRequest| {
             self.envelope(node_at(to.addr), None, Message::Store { asked_at, request })
         };
         outgoing.into_iter().map(envelope).collect()
@@ -237,13 +239,13 @@
     /// Asks all other stores that are known how far they are.
     fn exchange(&self, now: Micros) -> Vec<Envelope> {
         let members = self.replica.members().into_iter().filter(|member| member.name != self.member.name);
-        let request = self.replica.exchange();
-        self.ask(now, members.map(|to| Outgoing { to, request: request.clone() }).collect())
+        let request = self.replica.exchange_request();
+        self.ask(now, members.map(|to| OutgoingRequest { to, request: request.clone() }).collect())
     }
 
     /// A caller hands an order over; none where nobody can take it.
     pub fn propose(&mut self, now: Micros, number: u64, change: Change) -> Vec<Envelope> {
-        if self.replica.recovering() {
+        if self.replica.is_recovering() {
             return Vec::new();
         }
         let clock = self.process.clock(now);
@@ -257,7 +259,7 @@
     pub fn outcomes(&mut self, now: Micros) -> Vec<(u64, Proposed)> {
         let mut outcomes = Vec::new();
         for order in std::mem::take(&mut self.orders) {
-            match self.replica.outcome(order.ticket) {
+            match self.replica.take_outcome(order.ticket) {
                 Some(outcome) => outcomes.push((order.number, outcome)),
                 None if now < order.until => self.orders.push(order),
                 None => self.replica.withdraw(order.ticket),
@@ -291,7 +293,7 @@
         self.ticks += 1;
         self.disk.sync(now);
         let mut sent = self.poll(now);
-        let news = self.replica.news(clock, &self.in_force.summary);
+        let news = self.replica.updates_for(clock, &self.in_force.summary);
         self.in_force.take(clock, clock, news);
         self.directory.tidy(clock);
         self.duty.tidy(clock);
@@ -374,14 +376,14 @@
         let answer = match envelope.message {
             Message::Store { asked_at, request } => {
                 let mut writer = Writer { disk: &mut self.disk, now, defect: self.defect };
-                let answer = self.replica.handle(clock, request, &mut writer);
+                let answer = self.replica.handle_request(clock, request, &mut writer);
                 let mut sent = self.poll(now);
                 sent.push(self.envelope(from, Some(life), Message::StoreAnswer { asked_at, answer }));
                 return sent;
             }
             Message::StoreAnswer { asked_at, answer } => {
                 let mut writer = Writer { disk: &mut self.disk, now, defect: self.defect };
-                let outgoing = self.replica.answered(clock, asked_at, answer, &mut writer);
+                let outgoing = self.replica.handle_answer(clock, asked_at, answer, &mut writer);
                 let mut sent = self.ask(now, outgoing);
                 sent.extend(self.poll(now));
                 return sent;
@@ -489,9 +491,9 @@
     StoreMember { name: core_name(number), zone: zone.into(), addr, disk }
 }
 
-fn figures() -> Figures {
-    let plan = Plan { voters_min: FOUNDERS, ..Figures::default().plan };
-    Figures { plan, ..Figures::default() }
+fn figures() -> ReplicaConfig {
+    let voter_policy = VoterPolicy { voters_min: FOUNDERS, ..ReplicaConfig::default().voter_policy };
+    ReplicaConfig { voter_policy, ..ReplicaConfig::default() }
 }
 
 fn registry_member(store: &StoreMember, life: u32) -> RegistryMember {
--- a/crates/control-sim/src/judge.rs
+++ b/crates/control-sim/src/judge.rs
@@ -250,7 +250,7 @@
         if held < newest {
             return Err(format!("{name} has {held:?}; {newest:?} was acknowledged"));
         }
-        if core.replica.recovering() {
+        if core.replica.is_recovering() {
             return Err(format!("{name} never speaks again"));
         }
         for (zone, orders) in &self.drains {
--- a/crates/proxy/src/view.rs
+++ b/crates/proxy/src/view.rs
@@ -186,7 +186,7 @@
         self.trials.take_freshness(asked_at, age);
         let up_to_date = self.config_version() >= config;
         if let Some(age) = age.filter(|_| up_to_date) {
-            self.freshness.note(asked_at, age * MILLI);
+            self.freshness.observe(asked_at, age * MILLI);
         }
     }
 
@@ -246,7 +246,7 @@
     /// Until when keys may be believed without further news; none where they always may.
     pub fn keys_hold_until(&self) -> Option<Micros> {
         let lease = self.spans.key_lease?;
-        Some(self.freshness.lease_until(lease))
+        Some(self.freshness.lease_expires_at(lease))
     }
 
     /// The latest moment at which nothing newer than what is in force here can have been acknowledged.
@@ -267,7 +267,7 @@
     /// This proxy's part of what all share.
     pub fn part(&self) -> Part {
         let holds = self.settled && self.members > 0;
-        let valid_until = if holds { self.freshness.lease_until(self.spans.part_lease) } else { 0 };
+        let valid_until = if holds { self.freshness.lease_expires_at(self.spans.part_lease) } else { 0 };
         Part { gateways: self.members.max(1), valid_until }
     }
 
--- a/crates/registry/src/watch.rs
+++ b/crates/registry/src/watch.rs
@@ -49,7 +49,7 @@
         }
         let trials_changed = news.trials.is_some_and(|trials| self.trials.take(now, trials));
         if let Some(age) = news.fresh_age {
-            self.freshness.note(asked_at, age * MILLI);
+            self.freshness.observe(asked_at, age * MILLI);
         }
         self.summary = news.summary;
         self.summary.config = self.configs.newest().map(|config| config.version);
--- a/crates/replication/src/acceptor.rs
+++ b/crates/replication/src/acceptor.rs
@@ -96,7 +96,7 @@
         if ballot == self.record.accepted {
             return PeerAnswer::Accepted { from: self.me.clone(), ballot };
         }
-        let Some(state) = self.record.state.with(transfer) else {
+        let Some(state) = self.record.state.with_transfer(transfer) else {
             return PeerAnswer::Lacks { from: self.me.clone(), ballot, have: self.record.state.summary() };
         };
         self.store(Record { promised: ballot, accepted: ballot, state }, disk)
--- a/crates/replication/src/freshness.rs
+++ b/crates/replication/src/freshness.rs
@@ -13,7 +13,7 @@
 
 impl Freshness {
     /// Records an answer to a request sent at `asked_at` whose data was `age` old. The moment never moves back.
-    pub fn note(&mut self, asked_at: Micros, age: Micros) {
+    pub fn observe(&mut self, asked_at: Micros, age: Micros) {
         let moment = signed(asked_at).saturating_sub(signed(age));
         self.moment = self.moment.max(Some(moment));
     }
@@ -31,7 +31,7 @@
 
     /// When a lease counted from the moment expires; zero without any data, or if it expired before the process
     /// started.
-    pub fn lease_until(&self, lease: Micros) -> Micros {
+    pub fn lease_expires_at(&self, lease: Micros) -> Micros {
         let until = self.moment.map_or(0, |moment| moment.saturating_add(signed(lease)));
         u64::try_from(until).unwrap_or_default()
     }
--- a/crates/replication/src/lib.rs
+++ b/crates/replication/src/lib.rs
@@ -20,8 +20,8 @@
 pub use acceptor::{Disk, Record};
 pub use freshness::{signed, Freshness};
 pub use hingestage_rpc::digest;
-pub use planner::Plan;
-pub use replica::{Figures, Outgoing, Replica};
+pub use planner::VoterPolicy;
+pub use replica::{OutgoingRequest, Replica, ReplicaConfig};
 pub use state::State;
 pub use trials::{DurableTrials, TrialSet, TrialsVersion};
 
--- a/crates/replication/src/peers.rs
+++ b/crates/replication/src/peers.rs
@@ -1,6 +1,6 @@
 //! Table of the other replicas: addresses, latest answers and reachability.
 
-use crate::quorum::{self, Disks};
+use crate::quorum::{self, DiskSet};
 use crate::Micros;
 use compact_str::CompactString;
 use hingestage_rpc::messages::{Ballot, Membership, Standing, StoreMember};
@@ -122,14 +122,14 @@
     /// Updates since when a majority of the voters has been reachable.
     pub fn update_contact(&mut self, now: Micros, membership: &Membership) {
         let reachable = membership.voters.iter().filter(|voter| self.is_reachable(now, voter));
-        let reachable: Disks = reachable.map(|voter| voter.disk).collect();
+        let reachable: DiskSet = reachable.map(|voter| voter.disk).collect();
         let contact = quorum::has_majority(&membership.voters, &reachable) && !membership.voters.is_empty();
         self.in_contact_since = contact.then(|| self.in_contact_since.unwrap_or(now));
     }
 
     /// Voters that have not answered for `after` while a majority was reachable all that time. After a pause of this
     /// process or a partition no voter counts as unreachable until that time has passed again.
-    pub fn unreachable(&self, now: Micros, voters: &[StoreMember], after: Micros) -> Disks {
+    pub fn unreachable(&self, now: Micros, voters: &[StoreMember], after: Micros) -> DiskSet {
         let in_contact = self.in_contact_since.is_some_and(|since| now >= since + after);
         let is_unreachable = |voter: &&StoreMember| {
             let peer = self.peers.get(&voter.name).filter(|peer| peer.member == **voter);
@@ -140,7 +140,7 @@
     }
 
     /// Disks of peers that report this ballot as their last accepted proposal.
-    pub fn acceptors_of(&self, ballot: Ballot) -> Disks {
+    pub fn acceptors_of(&self, ballot: Ballot) -> DiskSet {
         let holds = |peer: &&Peer| peer.last_answer.is_some_and(|answer| answer.standing.accepted == ballot);
         self.peers.values().filter(holds).map(|peer| peer.member.disk).collect()
     }
--- a/crates/replication/src/planner.rs
+++ b/crates/replication/src/planner.rs
@@ -4,13 +4,13 @@
 //! after which the old one's vote does not count. The voter set never shrinks below the configured minimum.
 
 use crate::peers::{Peer, Peers};
-use crate::quorum::{zones, Disks};
+use crate::quorum::{count_zones, DiskSet};
 use crate::Micros;
 use hingestage_rpc::messages::{Membership, Standing, StoreMember};
 
 /// Timeouts and sizes for choosing voters.
 #[derive(Clone, Copy, Debug)]
-pub struct Plan {
+pub struct VoterPolicy {
     /// A voter unreachable for this long is replaced by a standby store, if there is one.
     pub replace_after: Micros,
     /// A voter unreachable for this long is removed if there are more than `voters_min`.
@@ -21,7 +21,7 @@
 
 /// Computes membership changes from what one replica knows of the others.
 pub(crate) struct Planner<'a> {
-    pub plan: Plan,
+    pub policy: VoterPolicy,
     pub now: Micros,
     pub me: &'a StoreMember,
     pub standing: Standing,
@@ -56,10 +56,10 @@
 
     /// Replaces a voter that is shutting down by a standby store, or removes it if it is not needed.
     fn without_leaving(&self, voters: &[StoreMember]) -> Option<Vec<StoreMember>> {
-        let leaving: Disks =
+        let leaving: DiskSet =
             voters.iter().filter(|voter| self.is_leaving(voter)).map(|voter| voter.disk).collect();
         let first = voters.iter().find(|voter| leaving.contains(&voter.disk))?;
-        let spare = voters.len() > self.plan.voters_min;
+        let spare = voters.len() > self.policy.voters_min;
         self.replace_one(voters, &leaving).or_else(|| spare.then(|| without(voters, first)))
     }
 
@@ -73,11 +73,11 @@
 
     /// Replaces an unreachable voter by a standby store.
     fn without_unreachable(&self, voters: &[StoreMember]) -> Option<Vec<StoreMember>> {
-        self.replace_one(voters, &self.peers.unreachable(self.now, voters, self.plan.replace_after))
+        self.replace_one(voters, &self.peers.unreachable(self.now, voters, self.policy.replace_after))
     }
 
     /// Replaces one of the `outgoing` voters by a standby store, preferably one of the same zone.
-    fn replace_one(&self, voters: &[StoreMember], outgoing: &Disks) -> Option<Vec<StoreMember>> {
+    fn replace_one(&self, voters: &[StoreMember], outgoing: &DiskSet) -> Option<Vec<StoreMember>> {
         let candidates = self.standbys(voters);
         let outgoing = voters.iter().filter(|voter| outgoing.contains(&voter.disk));
         let mut pairs: Vec<(&StoreMember, &StoreMember)> =
@@ -90,7 +90,7 @@
     fn enlarged(&self, voters: &[StoreMember]) -> Option<Vec<StoreMember>> {
         let mut candidates = self.standbys(voters);
         let wanted =
-            if voters.len().is_multiple_of(2) || voters.len() < self.plan.voters_min { 1 } else { 2 };
+            if voters.len().is_multiple_of(2) || voters.len() < self.policy.voters_min { 1 } else { 2 };
         if candidates.len() < wanted {
             return None;
         }
@@ -100,9 +100,9 @@
 
     /// Removes a voter that was unreachable for long, if there are more than needed.
     fn reduced(&self, voters: &[StoreMember]) -> Option<Vec<StoreMember>> {
-        let unreachable = self.peers.unreachable(self.now, voters, self.plan.remove_after);
+        let unreachable = self.peers.unreachable(self.now, voters, self.policy.remove_after);
         let first = voters.iter().find(|voter| unreachable.contains(&voter.disk))?;
-        let spare = voters.len() > self.plan.voters_min;
+        let spare = voters.len() > self.policy.voters_min;
         spare.then(|| without(voters, first))
     }
 
@@ -123,7 +123,7 @@
 fn replaced(voters: &[StoreMember], old: &StoreMember, new: &StoreMember) -> Option<Vec<StoreMember>> {
     let next: Vec<StoreMember> =
         voters.iter().map(|voter| if voter == old { new.clone() } else { voter.clone() }).collect();
-    let enough = zones(&next, |_| true) >= zones(voters, |_| true).min(2);
+    let enough = count_zones(&next, |_| true) >= count_zones(voters, |_| true).min(2);
     enough.then_some(next)
 }
 
--- a/crates/replication/src/proposer.rs
+++ b/crates/replication/src/proposer.rs
@@ -3,7 +3,7 @@
 //! Invariant *highest first*: a round builds on the proposal with the highest ballot that its read quorum has
 //! accepted, so that its proposal includes everything decided before.
 
-use crate::quorum::{self, Disks};
+use crate::quorum::{self, DiskSet};
 use crate::state::State;
 use crate::Micros;
 use hingestage_rpc::messages::{Ballot, Membership, Proposed, Standing, StoreMember};
@@ -36,7 +36,7 @@
 #[derive(Clone, Debug)]
 pub(crate) struct Proposal {
     pub state: State,
-    pub accepted: Disks,
+    pub accepted: DiskSet,
     /// Outcomes of the included changes by ticket, valid once the state is decided.
     pub outcomes: Vec<(u64, Proposed)>,
 }
@@ -49,7 +49,7 @@
     pub phase: Phase,
     pub promises: BTreeMap<u64, Promise>,
     /// Acceptors that have refused in this phase.
-    pub refused: Disks,
+    pub refused: DiskSet,
     /// Stores that were sent a `Prepare`.
     pub asked: Vec<StoreMember>,
     /// State of the highest accepted proposal, if it was fetched.
@@ -78,7 +78,7 @@
             started_at: now,
             phase: Phase::Preparing,
             promises: BTreeMap::new(),
-            refused: Disks::new(),
+            refused: DiskSet::new(),
             asked: Vec::new(),
             fetched: None,
             fetching: None,
@@ -87,7 +87,7 @@
 
     /// The next step after the promises received so far. `own` is what this store has accepted; `lost` returns the
     /// lost disks among some voters.
-    pub fn step(&mut self, own: &Base, lost: impl Fn(&[StoreMember]) -> Disks) -> Step {
+    pub fn step(&mut self, own: &Base, lost: impl Fn(&[StoreMember]) -> DiskSet) -> Step {
         let Some(highest) = self.promises.values().max_by_key(|promise| promise.standing.accepted) else {
             return Step::Wait;
         };
@@ -97,11 +97,11 @@
             return self.fetch(highest.member.clone(), ballot);
         };
         let decided = self.promises.values().any(|promise| promise.standing.decided >= ballot);
-        let disks: Disks = self.promises.keys().copied().collect();
+        let disks: DiskSet = self.promises.keys().copied().collect();
         let reads = |membership: &Membership| {
             let mut all_lost = lost(&membership.voters);
             all_lost.extend(lost(&membership.previous));
-            quorum::reads(membership, &disks, &all_lost)
+            quorum::is_read_quorum(membership, &disks, &all_lost)
         };
         if reads(&base.state.membership) && (decided || reads(&own.state.membership)) {
             return Step::Build(base.clone());
@@ -126,17 +126,17 @@
 
     /// Whether the acceptors that have not refused no longer form the quorum of this phase. `own` is the membership
     /// that this store has accepted.
-    pub fn cannot_succeed(&self, own: &Membership, lost: &Disks, unreachable: &Disks) -> bool {
+    pub fn cannot_succeed(&self, own: &Membership, lost: &DiskSet, unreachable: &DiskSet) -> bool {
         let membership = match &self.phase {
             Phase::Preparing => own,
             Phase::Accepting(proposal) => &proposal.state.membership,
         };
         let voters = voters_of(membership).map(|voter| voter.disk);
-        let remaining: Disks =
+        let remaining: DiskSet =
             voters.filter(|disk| !self.refused.contains(disk) && !lost.contains(disk)).collect();
         match &self.phase {
-            Phase::Preparing => !quorum::reads(membership, &remaining, lost),
-            Phase::Accepting(_) => !quorum::accepts(membership, &remaining, unreachable),
+            Phase::Preparing => !quorum::is_read_quorum(membership, &remaining, lost),
+            Phase::Accepting(_) => !quorum::is_accept_quorum(membership, &remaining, unreachable),
         }
     }
 }
--- a/crates/replication/src/replica.rs
+++ b/crates/replication/src/replica.rs
@@ -5,9 +5,9 @@
 
 use crate::acceptor::{Acceptor, Disk, Record};
 use crate::peers::Peers;
-use crate::planner::{Plan, Planner};
+use crate::planner::{Planner, VoterPolicy};
 use crate::proposer::{distinct_voters, voters_of, Base, Phase, Promise, Proposal, Round, Step};
-use crate::quorum::{self, Disks};
+use crate::quorum::{self, DiskSet};
 use crate::state::State;
 use crate::trials::DurableTrials;
 use crate::Micros;
@@ -22,49 +22,53 @@
 
 /// Timeouts and limits of a replica.
 #[derive(Clone, Copy, Debug)]
-pub struct Figures {
+pub struct ReplicaConfig {
     /// A replica that has not answered for this long is considered unreachable.
-    pub away_after: Micros,
+    pub unreachable_after: Micros,
     /// How long contact with a majority stays valid without asking it again.
     pub contact_lease: Micros,
     /// Voters that accepted a proposal start a round to complete it after it was undecided for this long.
-    pub complete_after: Micros,
+    pub completion_delay: Micros,
     /// Timeout of a round.
-    pub round_within: Micros,
+    pub round_timeout: Micros,
     /// Timeout of a round that has a majority and waits for a second zone.
-    pub zone_within: Micros,
+    pub zone_timeout: Micros,
     /// Upper bound of the random backoff after an abandoned round.
-    pub pause_max: Micros,
+    pub backoff_max: Micros,
     /// How long to keep non-voting replicas that do not answer, and outcomes that no caller takes.
     pub forget_after: Micros,
     /// Maximum number of other replicas tracked.
     pub peers_max: usize,
     /// Maximum number of pending changes.
-    pub changes_max: usize,
+    pub pending_changes_max: usize,
     /// Policy for choosing the voters.
-    pub plan: Plan,
+    pub voter_policy: VoterPolicy,
 }
 
-impl Default for Figures {
+impl Default for ReplicaConfig {
     fn default() -> Self {
-        Figures {
-            away_after: 2_000 * MILLI,
+        ReplicaConfig {
+            unreachable_after: 2_000 * MILLI,
             contact_lease: 2_500 * MILLI,
-            complete_after: 400 * MILLI,
-            round_within: 700 * MILLI,
-            zone_within: 3_000 * MILLI,
-            pause_max: 200 * MILLI,
+            completion_delay: 400 * MILLI,
+            round_timeout: 700 * MILLI,
+            zone_timeout: 3_000 * MILLI,
+            backoff_max: 200 * MILLI,
             forget_after: 30_000 * MILLI,
             peers_max: 64,
-            changes_max: 64,
-            plan: Plan { replace_after: 2_000 * MILLI, remove_after: 6_000 * MILLI, voters_min: 1 },
+            pending_changes_max: 64,
+            voter_policy: VoterPolicy {
+                replace_after: 2_000 * MILLI,
+                remove_after: 6_000 * MILLI,
+                voters_min: 1,
+            },
         }
     }
 }
 
 /// A request to another replica.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Outgoing {
+pub struct OutgoingRequest {
     /// The replica to send to.
     pub to: StoreMember,
     /// The request.
@@ -84,7 +88,7 @@
 #[derive(Clone, Debug)]
 pub struct Replica {
     me: StoreMember,
-    figures: Figures,
+    config: ReplicaConfig,
     /// Addresses of the initial voters; empty unless this replica bootstraps the system.
     founders: Vec<SocketAddr>,
     acceptor: Acceptor,
@@ -118,16 +122,16 @@
         me: StoreMember,
         record: Record,
         founders: Vec<SocketAddr>,
-        figures: Figures,
+        config: ReplicaConfig,
         seed: u64,
     ) -> Self {
         let undecided = record.accepted > Ballot::ZERO;
         let mut replica = Replica {
-            peers: Peers::new(me.clone(), figures.away_after, figures.peers_max),
+            peers: Peers::new(me.clone(), config.unreachable_after, config.peers_max),
             highest_round: record.promised.round,
             acceptor: Acceptor::new(me.clone(), record),
             me,
-            figures,
+            config,
             founders,
             decided: Base { ballot: Ballot::ZERO, state: State::default() },
             trials: DurableTrials::default(),
@@ -179,43 +183,43 @@
     }
 
     /// Whether no decision is known here yet, so that reads cannot be answered.
-    pub fn recovering(&self) -> bool {
+    pub fn is_recovering(&self) -> bool {
         self.decided.ballot == Ballot::ZERO
     }
 
     /// Versions of the decided state's parts.
     pub fn summary(&self) -> Summary {
-        Summary { recovering: self.recovering(), ..self.decided.state.summary() }
+        Summary { recovering: self.is_recovering(), ..self.decided.state.summary() }
     }
 
     /// Adds replicas reported by others; returns whether any was new.
-    pub fn told_of(&mut self, now: Micros, members: &[StoreMember]) -> bool {
+    pub fn add_known_members(&mut self, now: Micros, members: &[StoreMember]) -> bool {
         self.peers.add_members(now, members)
     }
 
     /// The periodic request that exchanges ballots and known members with another replica.
-    pub fn exchange(&self) -> PeerRequest {
+    pub fn exchange_request(&self) -> PeerRequest {
         PeerRequest::Exchange { from: self.me.clone(), standing: self.standing(), known: self.members() }
     }
 
     /// Starts handing the vote over to a standby replica, before the process stops.
-    pub fn leave(&mut self) {
+    pub fn begin_handover(&mut self) {
         self.leaving = true;
     }
 
     /// Whether the handover is complete, or no membership change is left that could complete it.
-    pub fn has_left(&self, now: Micros) -> bool {
+    pub fn is_handover_complete(&self, now: Micros) -> bool {
         let settled = self.membership().previous.is_empty();
-        !self.votes() || (settled && self.next_membership(now, &self.decided.state).is_none())
+        !self.is_voter() || (settled && self.next_membership(now, &self.decided.state).is_none())
     }
 
     /// Whether this replica is a voter of the current or the previous voter set.
-    pub fn votes(&self) -> bool {
+    pub fn is_voter(&self) -> bool {
         voters_of(self.membership()).any(|voter| *voter == self.me)
     }
 
     /// Handles a request of another replica.
-    pub fn handle(&mut self, now: Micros, request: PeerRequest, disk: &mut impl Disk) -> PeerAnswer {
+    pub fn handle_request(&mut self, now: Micros, request: PeerRequest, disk: &mut impl Disk) -> PeerAnswer {
         match request {
             PeerRequest::Exchange { from, standing, known } => {
                 self.peers.add_members(now, &known);
@@ -259,13 +263,13 @@
     }
 
     /// Handles an answer to a request that was sent at `asked_at`; returns the requests to send next.
-    pub fn answered(
+    pub fn handle_answer(
         &mut self,
         now: Micros,
         asked_at: Micros,
         answer: PeerAnswer,
         disk: &mut impl Disk,
-    ) -> Vec<Outgoing> {
+    ) -> Vec<OutgoingRequest> {
         let mut outgoing = Vec::new();
         match answer {
             PeerAnswer::Exchanged { from, standing, known } => {
@@ -281,7 +285,7 @@
                 self.handle_refusal(now, ballot, &from, promised)
             }
             PeerAnswer::Fetched { ballot, decided, transfer } => {
-                if let Some(state) = self.record().state.with(transfer) {
+                if let Some(state) = self.record().state.with_transfer(transfer) {
                     self.handle_fetched(now, ballot, decided, state, disk);
                 }
             }
@@ -314,23 +318,23 @@
     }
 
     /// Requests the decision that is missing here.
-    fn fetch_missing_decision(&mut self) -> Option<Outgoing> {
+    fn fetch_missing_decision(&mut self) -> Option<OutgoingRequest> {
         let (to, ballot) = self.missing_decision.take()?;
         let have = self.record().state.summary();
         (ballot > self.record().accepted)
-            .then_some(Outgoing { to, request: PeerRequest::Fetch { ballot, have } })
+            .then_some(OutgoingRequest { to, request: PeerRequest::Fetch { ballot, have } })
     }
 
     /// Whether a quorum reports the proposal accepted here.
     fn is_decided(&self, now: Micros) -> bool {
         let mut acceptors = self.peers.acceptors_of(self.record().accepted);
         acceptors.insert(self.me.disk);
-        quorum::accepts(self.membership(), &acceptors, &self.unreachable_voters(now))
+        quorum::is_accept_quorum(self.membership(), &acceptors, &self.unreachable_voters(now))
     }
 
-    fn unreachable_voters(&self, now: Micros) -> Disks {
+    fn unreachable_voters(&self, now: Micros) -> DiskSet {
         let voters: Vec<StoreMember> = voters_of(self.membership()).cloned().collect();
-        self.peers.unreachable(now, &voters, self.figures.away_after)
+        self.peers.unreachable(now, &voters, self.config.unreachable_after)
     }
 
     /// Sets the initial voters on a founder with an empty record, once every founder has answered.
@@ -366,7 +370,7 @@
             return;
         }
         if state.trials.version() != self.trials.version() {
-            self.trials.take(now, &state.trials);
+            self.trials.update(now, &state.trials);
         }
         self.decided = Base { ballot, state };
         self.undecided_since = None;
@@ -385,7 +389,7 @@
         let Some(round) = self.round.as_mut().filter(|round| round.ballot == ballot) else { return };
         let Phase::Accepting(proposal) = &mut round.phase else { return };
         proposal.accepted.insert(from.disk);
-        if quorum::accepts(&proposal.state.membership, &proposal.accepted, &unreachable) {
+        if quorum::is_accept_quorum(&proposal.state.membership, &proposal.accepted, &unreachable) {
             let state = proposal.state.clone();
             let outcomes = std::mem::take(&mut proposal.outcomes);
             self.round = None;
@@ -409,18 +413,18 @@
     }
 
     /// Sends the proposal again with the parts that an acceptor lacks.
-    fn resend_proposal(&self, ballot: Ballot, to: StoreMember, have: &Summary) -> Option<Outgoing> {
+    fn resend_proposal(&self, ballot: Ballot, to: StoreMember, have: &Summary) -> Option<OutgoingRequest> {
         let round = self.round.as_ref().filter(|round| round.ballot == ballot)?;
         let Phase::Accepting(proposal) = &round.phase else { return None };
         let request = PeerRequest::Accept { ballot, transfer: proposal.state.transfer(have) };
-        Some(Outgoing { to, request })
+        Some(OutgoingRequest { to, request })
     }
 
     fn handle_refusal(&mut self, now: Micros, ballot: Ballot, from: &StoreMember, promised: Ballot) {
         self.highest_round = self.highest_round.max(promised.round);
         let unreachable = self.unreachable_voters(now);
         let voters: Vec<StoreMember> = voters_of(self.membership()).cloned().collect();
-        let lost = quorum::lost(&voters, self.peers.responders());
+        let lost = quorum::lost_disks(&voters, self.peers.responders());
         let Some(round) = self.round.as_mut().filter(|round| round.ballot == ballot) else { return };
         round.refused.insert(from.disk);
         if round.cannot_succeed(&self.acceptor.record().state.membership, &lost, &unreachable) {
@@ -452,13 +456,13 @@
         self.rng_state ^= self.rng_state << 13;
         self.rng_state ^= self.rng_state >> 7;
         self.rng_state ^= self.rng_state << 17;
-        self.next_round_at = now + 20 * MILLI + self.rng_state % self.figures.pause_max;
+        self.next_round_at = now + 20 * MILLI + self.rng_state % self.config.backoff_max;
     }
 
     /// Queues a change for a caller that waits until the deadline `until`, and returns its ticket; `None` if the
     /// queue is full.
     pub fn propose(&mut self, now: Micros, change: Change, until: Micros) -> Option<u64> {
-        if self.pending.len() >= self.figures.changes_max {
+        if self.pending.len() >= self.config.pending_changes_max {
             return None;
         }
         let ticket = self.next_ticket;
@@ -474,7 +478,7 @@
     /// without contact with a majority.
     fn settled_outcome(&self, now: Micros, change: &Change) -> Option<Proposed> {
         let is_final = matches!(change, Change::Config(_) | Change::Proxies(_) | Change::TrialSteps(_));
-        if !is_final || !self.is_in_contact(now) {
+        if !is_final || !self.has_recent_majority(now) {
             return None;
         }
         let mut state = self.decided.state.clone();
@@ -483,7 +487,7 @@
     }
 
     /// Takes the outcome of a change, once it is known.
-    pub fn outcome(&mut self, ticket: u64) -> Option<Proposed> {
+    pub fn take_outcome(&mut self, ticket: u64) -> Option<Proposed> {
         self.outcomes.remove(&ticket).map(|(_, outcome)| outcome)
     }
 
@@ -494,22 +498,22 @@
     }
 
     /// Whether a round, a change or a fetch is pending, so that `poll` must run more often.
-    pub fn is_busy(&self) -> bool {
+    pub fn has_pending_work(&self) -> bool {
         let pending = self.round.is_some() || !self.pending.is_empty();
         pending || self.undecided_since.is_some() || self.missing_decision.is_some()
     }
 
     /// Runs timers and starts or continues a round; returns the requests to send.
-    pub fn poll(&mut self, now: Micros, disk: &mut impl Disk) -> Vec<Outgoing> {
+    pub fn poll(&mut self, now: Micros, disk: &mut impl Disk) -> Vec<OutgoingRequest> {
         self.pending.retain(|change| now < change.until);
-        let keep = self.figures.forget_after;
+        let keep = self.config.forget_after;
         self.outcomes.retain(|_, (at, _)| now < *at + keep);
         self.peers.update_contact(now, &self.acceptor.record().state.membership);
         self.peers.forget(now, &self.acceptor.record().state.membership, keep);
         if self.round.as_ref().is_some_and(|round| self.is_timed_out(now, round)) {
             self.abandon_round(now);
         }
-        let mut outgoing: Vec<Outgoing> = self.fetch_missing_decision().into_iter().collect();
+        let mut outgoing: Vec<OutgoingRequest> = self.fetch_missing_decision().into_iter().collect();
         if self.round.is_none() && now >= self.next_round_at && self.needs_round(now) {
             outgoing.extend(self.start_round(now, disk));
         } else {
@@ -525,7 +529,7 @@
                 quorum::has_majority(&proposal.state.membership.voters, &proposal.accepted)
             }
         };
-        let timeout = if waits_for_zone { self.figures.zone_within } else { self.figures.round_within };
+        let timeout = if waits_for_zone { self.config.zone_timeout } else { self.config.round_timeout };
         now >= round.started_at + timeout
     }
 
@@ -534,11 +538,11 @@
         if self.membership().voters.is_empty() {
             return false;
         }
-        let undecided = self.undecided_since.is_some_and(|since| now >= since + self.figures.complete_after);
+        let undecided = self.undecided_since.is_some_and(|since| now >= since + self.config.completion_delay);
         let unbootstrapped = self.record().accepted == Ballot::ZERO;
         let coordinates = self.is_coordinator(now);
         !self.pending.is_empty()
-            || (undecided && self.votes())
+            || (undecided && self.is_voter())
             || (coordinates && (unbootstrapped || !self.membership().previous.is_empty()))
             || ((coordinates || self.leaving) && self.next_membership(now, &self.decided.state).is_some())
     }
@@ -551,8 +555,8 @@
     }
 
     fn next_membership(&self, now: Micros, state: &State) -> Option<Membership> {
-        let (plan, me, standing) = (self.figures.plan, &self.me, self.standing());
-        Planner { plan, now, me, standing, peers: &self.peers }.next_membership(&state.membership)
+        let (policy, me, standing) = (self.config.voter_policy, &self.me, self.standing());
+        Planner { policy, now, me, standing, peers: &self.peers }.next_membership(&state.membership)
     }
 
     fn other_voters(&self, membership: &Membership) -> Vec<StoreMember> {
@@ -561,7 +565,7 @@
     }
 
     /// Starts a round with the next higher ballot.
-    fn start_round(&mut self, now: Micros, disk: &mut impl Disk) -> Vec<Outgoing> {
+    fn start_round(&mut self, now: Micros, disk: &mut impl Disk) -> Vec<OutgoingRequest> {
         let ballot = Ballot { round: self.highest_round + 1, proposer: self.me.disk };
         self.highest_round = ballot.round;
         let standing = self.standing();
@@ -580,27 +584,27 @@
     }
 
     /// Continues the current round with the answers received so far.
-    fn advance_round(&mut self, now: Micros, disk: &mut impl Disk) -> Vec<Outgoing> {
+    fn advance_round(&mut self, now: Micros, disk: &mut impl Disk) -> Vec<OutgoingRequest> {
         let Some(round) = self.round.as_mut().filter(|round| matches!(round.phase, Phase::Preparing)) else {
             return self.recheck_acceptance(now);
         };
         let record = self.acceptor.record();
         let own = Base { ballot: record.accepted, state: record.state.clone() };
         let peers = &self.peers;
-        let lost = |voters: &[StoreMember]| quorum::lost(voters, peers.responders());
+        let lost = |voters: &[StoreMember]| quorum::lost_disks(voters, peers.responders());
         match round.step(&own, lost) {
             Step::Wait => Vec::new(),
             Step::Ask(members) => prepare_requests(&members, round.ballot),
             Step::Fetch(to, ballot) => {
                 let request = PeerRequest::Fetch { ballot, have: own.state.summary() };
-                vec![Outgoing { to, request }]
+                vec![OutgoingRequest { to, request }]
             }
             Step::Build(base) => self.propose_next_state(now, base, disk),
         }
     }
 
     /// Checks the current proposal again: once a zone counts as unreachable, fewer acceptances suffice.
-    fn recheck_acceptance(&mut self, now: Micros) -> Vec<Outgoing> {
+    fn recheck_acceptance(&mut self, now: Micros) -> Vec<OutgoingRequest> {
         if let Some(ballot) = self.round.as_ref().map(|round| round.ballot) {
             if self.record().accepted == ballot {
                 let me = self.me.clone();
@@ -611,7 +615,7 @@
     }
 
     /// Builds the next state from the base state, the pending changes and a membership change, and proposes it.
-    fn propose_next_state(&mut self, now: Micros, base: Base, disk: &mut impl Disk) -> Vec<Outgoing> {
+    fn propose_next_state(&mut self, now: Micros, base: Base, disk: &mut impl Disk) -> Vec<OutgoingRequest> {
         let Some(round) = &mut self.round else { return Vec::new() };
         let known_decided = round.promises.values().any(|promise| promise.standing.decided >= base.ballot);
         let decided = known_decided || base.ballot <= self.decided.ballot;
@@ -645,7 +649,7 @@
         state: State,
         outcomes: Vec<(u64, Proposed)>,
         disk: &mut impl Disk,
-    ) -> Vec<Outgoing> {
+    ) -> Vec<OutgoingRequest> {
         let own = self.acceptor.accept(ballot, state.transfer_from(&self.record().state), disk);
         self.update_undecided_since(now);
         let outgoing = self.other_voters(&state.membership).into_iter().map(|to| {
@@ -657,12 +661,12 @@
                 false => state.transfer(&Summary::default()),
             };
             let request = PeerRequest::Accept { ballot, transfer };
-            Outgoing { to, request }
+            OutgoingRequest { to, request }
         });
         let outgoing = outgoing.collect();
         if let Some(round) = &mut self.round {
             round.refused.clear();
-            round.phase = Phase::Accepting(Proposal { state, accepted: Disks::new(), outcomes });
+            round.phase = Phase::Accepting(Proposal { state, accepted: DiskSet::new(), outcomes });
         }
         if let PeerAnswer::Accepted { from, .. } = own {
             self.handle_acceptance(now, ballot, &from);
@@ -671,16 +675,16 @@
     }
 
     /// Whether a majority of the voters confirmed the decided state within the contact lease.
-    pub fn is_in_contact(&self, now: Micros) -> bool {
+    pub fn has_recent_majority(&self, now: Micros) -> bool {
         let as_of = self.current_as_of(now);
-        as_of.is_some_and(|moment| now < moment + self.figures.contact_lease)
+        as_of.is_some_and(|moment| now < moment + self.config.contact_lease)
     }
 
     /// The latest moment up to which the decided state here includes every decision made anywhere.
     ///
     /// Invariant *contact*: a majority of the voters was asked at or after it, and none had accepted anything newer.
     pub fn current_as_of(&self, now: Micros) -> Option<Micros> {
-        if self.recovering() {
+        if self.is_recovering() {
             return None;
         }
         let membership = &self.decided.state.membership;
@@ -697,7 +701,7 @@
         let mut times: Vec<Micros> =
             voters.iter().filter_map(|voter| self.confirmed_at(now, voter)).collect();
         times.sort_unstable_by(|a, b| b.cmp(a));
-        times.get(quorum::majority(voters.len()) - 1).copied()
+        times.get(quorum::majority_size(voters.len()) - 1).copied()
     }
 
     /// When a voter was last asked, if it had accepted nothing newer than the decided state here.
@@ -715,19 +719,20 @@
     }
 
     /// The decided state's parts that differ from those that a registry has.
-    pub fn news(&mut self, now: Micros, have: &Summary) -> StoreNews {
+    pub fn updates_for(&mut self, now: Micros, have: &Summary) -> StoreNews {
         let state = &self.decided.state;
         let summary = self.summary();
         let newer = state.config.as_ref().filter(|config| Some(config.version) != have.config);
         let config = newer.map(|config| config.as_ref().clone());
         let proxies = (summary.proxies != have.proxies).then(|| state.proxies.as_ref().clone());
-        let trials = (summary.trials != have.trials).then(|| self.trials.news(now));
+        let trials = (summary.trials != have.trials).then(|| self.trials.records_with_age(now));
         let fresh_age = self.current_as_of(now).map(|at| now.saturating_sub(at) / MILLI + 1);
         StoreNews { summary, config, proxies, trials, fresh_age }
     }
 }
 
-fn prepare_requests(members: &[StoreMember], ballot: Ballot) -> Vec<Outgoing> {
-    let request = |to: &StoreMember| Outgoing { to: to.clone(), request: PeerRequest::Prepare { ballot } };
+fn prepare_requests(members: &[StoreMember], ballot: Ballot) -> Vec<OutgoingRequest> {
+    let request =
+        |to: &StoreMember| OutgoingRequest { to: to.clone(), request: PeerRequest::Prepare { ballot } };
     members.iter().map(request).collect()
 }
--- a/crates/replication/src/state.rs
+++ b/crates/replication/src/state.rs
@@ -30,14 +30,14 @@
         Summary {
             config: self.config.as_ref().map(|config| config.version),
             drains: self.drains.clone(),
-            proxies: self.names_version(),
+            proxies: self.proxies_version(),
             trials: self.trials.version(),
             recovering: false,
         }
     }
 
     /// Count and digest of the proxy names.
-    pub fn names_version(&self) -> (u64, u64) {
+    pub fn proxies_version(&self) -> (u64, u64) {
         (self.proxies.len() as u64, names_digest(&self.proxies))
     }
 
@@ -62,14 +62,14 @@
         let mut transfer = self.transfer(&base.summary());
         for part in &mut transfer.parts {
             if let Part::Trials(records) = part {
-                *part = Part::TrialChanges(base.trials.news_of(records));
+                *part = Part::TrialChanges(base.trials.newer_records(records));
             }
         }
         transfer
     }
 
     /// Applies a transfer to this state; `None` if parts are missing or do not match their digests.
-    pub fn with(&self, transfer: Transfer) -> Option<State> {
+    pub fn with_transfer(&self, transfer: Transfer) -> Option<State> {
         let mut state =
             State { drains: transfer.target.drains.clone(), membership: transfer.membership, ..self.clone() };
         for part in transfer.parts {
@@ -145,7 +145,7 @@
     }
 
     fn add_trials(&mut self, records: Vec<TrialRecord>) -> Proposed {
-        if records.iter().any(|record| self.trials.is_news(record)) {
+        if records.iter().any(|record| self.trials.is_newer(record)) {
             let trials = Rc::make_mut(&mut self.trials);
             for record in records {
                 trials.apply(record);
--- a/crates/replication/src/trials.rs
+++ b/crates/replication/src/trials.rs
@@ -52,13 +52,13 @@
 
     /// Whether a record is newer than the tenant's current one. The number of tenants is limited when terms are
     /// proposed, not here: replicas that refused each other's records would never converge.
-    pub fn is_news(&self, record: &TrialRecord) -> bool {
+    pub fn is_newer(&self, record: &TrialRecord) -> bool {
         self.records.get(&record.tenant).is_none_or(|held| record.position > held.position)
     }
 
     /// The records that are newer than the current ones.
-    pub fn news_of(&self, records: &[TrialRecord]) -> Vec<TrialRecord> {
-        records.iter().filter(|record| self.is_news(record)).cloned().collect()
+    pub fn newer_records(&self, records: &[TrialRecord]) -> Vec<TrialRecord> {
+        records.iter().filter(|record| self.is_newer(record)).cloned().collect()
     }
 
     /// Whether the tenant has a trial already or the set is not full.
@@ -68,7 +68,7 @@
 
     /// Inserts a record if it is newer; returns whether it was.
     pub fn apply(&mut self, record: TrialRecord) -> bool {
-        if !self.is_news(&record) {
+        if !self.is_newer(&record) {
             return false;
         }
         self.digest ^= digest_of(&record);
@@ -119,7 +119,7 @@
     }
 
     /// Adds all records of a durable set.
-    pub fn take(&mut self, now: Micros, set: &TrialSet) {
+    pub fn update(&mut self, now: Micros, set: &TrialSet) {
         for record in set.records() {
             if self.set.apply(record.clone()) {
                 self.known_at.insert(record.tenant.clone(), now);
@@ -128,7 +128,7 @@
     }
 
     /// All trials, each with its age in milliseconds since it was known to be durable.
-    pub fn news(&self, now: Micros) -> Vec<TrialNews> {
+    pub fn records_with_age(&self, now: Micros) -> Vec<TrialNews> {
         let age = |tenant: &CompactString| {
             let known_at = self.known_at.get(tenant).copied().unwrap_or(now);
             now.saturating_sub(known_at) / MILLI
--- a/crates/replication/tests/agreement.rs
+++ b/crates/replication/tests/agreement.rs
@@ -50,7 +50,7 @@
     assert_eq!(cluster.propose(2, config(7, "alone")), None);
     cluster.advance(20 * S);
     let now = cluster.now;
-    let news = cluster.nodes[2].replica.news(now, &Summary::default());
+    let news = cluster.nodes[2].replica.updates_for(now, &Summary::default());
     assert_eq!(news.config.map(|config| config.version.serial), Some(3), "decided before the cut");
     assert!(news.fresh_age > Some(19_000), "its age is reported");
     assert_eq!(cluster.propose(0, config(5, "")), DONE);
@@ -66,7 +66,7 @@
     cluster.partition(&[0]);
     for second in 0..20 {
         let now = cluster.now;
-        assert!(second < 4 || !cluster.nodes[0].replica.is_in_contact(now));
+        assert!(second < 4 || !cluster.nodes[0].replica.has_recent_majority(now));
         assert_eq!(cluster.read(0), None);
         assert_eq!(cluster.propose(0, config(90 + second, "")), None, "no outcome without a majority");
     }
@@ -130,8 +130,8 @@
     let successor = cluster.join("a");
     cluster.advance(S);
     assert!(!cluster.voters(0).contains(&successor), "an unneeded member stays on standby");
-    cluster.nodes[0].replica.leave();
-    while !cluster.nodes[0].replica.has_left(cluster.now) {
+    cluster.nodes[0].replica.begin_handover();
+    while !cluster.nodes[0].replica.is_handover_complete(cluster.now) {
         cluster.advance(20 * MILLI);
     }
     cluster.stop(0);
@@ -316,5 +316,5 @@
     cluster.advance(3 * S);
     let later = cluster.nodes[0].replica.current_as_of(cluster.now).expect("earlier contact");
     assert!(later <= now + 4 * MILLI);
-    assert!(!cluster.nodes[0].replica.is_in_contact(cluster.now));
+    assert!(!cluster.nodes[0].replica.has_recent_majority(cluster.now));
 }
--- a/crates/replication/tests/common/mod.rs
+++ b/crates/replication/tests/common/mod.rs
@@ -1,7 +1,9 @@
 //! A simulated cluster of replicas on a virtual clock.
 #![allow(dead_code)]
 
-use hingestage_replication::{Disk, Figures, Micros, Outgoing, Plan, Record, Replica, State};
+use hingestage_replication::{
+    Disk, Micros, OutgoingRequest, Record, Replica, ReplicaConfig, State, VoterPolicy,
+};
 use hingestage_rpc::messages::{
     Change, ConfigDocument, ConfigVersion, PeerAnswer, PeerRequest, Proposed, StoreMember,
 };
@@ -113,7 +115,7 @@
         node.incarnation += 1;
         node.replica = replica(&node.member, node.disk.record.clone(), node.is_founder);
         let founders: Vec<StoreMember> = (0..FOUNDERS).map(|number| member(number, "", 0)).collect();
-        node.replica.told_of(0, if node.is_founder { &founders } else { &running });
+        node.replica.add_known_members(0, if node.is_founder { &founders } else { &running });
     }
 
     /// Starts a replica from its disk. All processes share the virtual clock.
@@ -190,7 +192,7 @@
         }
         match envelope.message {
             Message::Request(request) => {
-                let answer = node.replica.handle(self.now, request, &mut node.disk);
+                let answer = node.replica.handle_request(self.now, request, &mut node.disk);
                 let sender = (node.incarnation, 0);
                 let message = Message::Answer(envelope.sender.1, answer);
                 let (from, to, incarnation) = (envelope.to, envelope.from, Some(envelope.sender.0));
@@ -204,15 +206,15 @@
                 });
             }
             Message::Answer(asked_at, answer) => {
-                let outgoing = node.replica.answered(self.now, asked_at, answer, &mut node.disk);
+                let outgoing = node.replica.handle_answer(self.now, asked_at, answer, &mut node.disk);
                 self.send(envelope.to, outgoing);
             }
         }
         self.announce(envelope.to);
     }
 
-    fn send(&mut self, from: usize, outgoing: Vec<Outgoing>) {
-        for Outgoing { to, request } in outgoing {
+    fn send(&mut self, from: usize, outgoing: Vec<OutgoingRequest>) {
+        for OutgoingRequest { to, request } in outgoing {
             let to = self.nodes.iter().position(|node| node.member.addr == to.addr).expect("a replica");
             let sender = (self.nodes[from].incarnation, self.now);
             let message = Message::Request(request);
@@ -243,8 +245,8 @@
     fn exchange(&mut self, number: usize) {
         let node = &self.nodes[number];
         let members = node.replica.members().into_iter().filter(|member| member.addr != node.member.addr);
-        let request = node.replica.exchange();
-        let outgoing = members.map(|to| Outgoing { to, request: request.clone() }).collect();
+        let request = node.replica.exchange_request();
+        let outgoing = members.map(|to| OutgoingRequest { to, request: request.clone() }).collect();
         self.send(number, outgoing);
     }
 
@@ -261,7 +263,7 @@
     pub fn await_outcome(&mut self, number: usize, ticket: u64) -> Option<Proposed> {
         let until = self.now + CALL_TIMEOUT;
         while self.now < until {
-            if let Some(outcome) = self.nodes[number].replica.outcome(ticket) {
+            if let Some(outcome) = self.nodes[number].replica.take_outcome(ticket) {
                 return Some(outcome);
             }
             self.advance(POLL_PERIOD);
@@ -303,9 +305,15 @@
 fn replica(member: &StoreMember, record: Record, is_founder: bool) -> Replica {
     let founders = (0..FOUNDERS).map(|number| self::member(number, "", 0).addr);
     let founders = if is_founder { founders.collect() } else { Vec::new() };
-    let plan = Plan { voters_min: FOUNDERS, ..Figures::default().plan };
+    let voter_policy = VoterPolicy { voters_min: FOUNDERS, ..ReplicaConfig::default().voter_policy };
     let seed = member.disk * 7_919;
-    Replica::new(member.clone(), record, founders, Figures { plan, ..Figures::default() }, seed)
+    Replica::new(
+        member.clone(),
+        record,
+        founders,
+        ReplicaConfig { voter_policy, ..ReplicaConfig::default() },
+        seed,
+    )
 }
 
 /// The member on machine `s{number}`.
--- a/crates/replication/tests/trials.rs
+++ b/crates/replication/tests/trials.rs
@@ -26,7 +26,7 @@
 /// Steps published to a registry without any data, each with its age in milliseconds.
 fn published_steps(cluster: &mut Cluster, number: usize) -> Vec<(u32, u64)> {
     let now = cluster.now;
-    let news = cluster.nodes[number].replica.news(now, &Summary::default()).trials.unwrap_or_default();
+    let news = cluster.nodes[number].replica.updates_for(now, &Summary::default()).trials.unwrap_or_default();
     let stepped = news.into_iter().filter(|news| news.record.position.step > 0);
     stepped.map(|news| (news.record.position.step, news.age)).collect()
 }
@@ -110,7 +110,7 @@
     assert!(cluster.nodes[0].replica.current_as_of(cluster.now) <= Some(before + 4 * MILLI));
     cluster.heal();
     cluster.advance(2 * S);
-    assert!(cluster.nodes[0].replica.is_in_contact(cluster.now));
+    assert!(cluster.nodes[0].replica.has_recent_majority(cluster.now));
 }
 
 #[test]
@@ -143,11 +143,11 @@
     };
     let changes = after.transfer_from(&before);
     assert_eq!(lengths(&changes), [1]);
-    assert_eq!(before.with(changes.clone()), Some(after.clone()));
-    assert_eq!(State::default().with(changes), None, "changes do not apply to another base");
+    assert_eq!(before.with_transfer(changes.clone()), Some(after.clone()));
+    assert_eq!(State::default().with_transfer(changes), None, "changes do not apply to another base");
     let whole = after.transfer(&Summary::default());
     assert_eq!(lengths(&whole), [30]);
-    assert_eq!(State::default().with(whole), Some(after));
+    assert_eq!(State::default().with_transfer(whole), Some(after));
 }
 
 #[test]
@@ -158,9 +158,9 @@
     assert_eq!(cluster.propose(1, step(&record, 2)), DONE);
     cluster.wipe(0);
     cluster.start(0);
-    assert!(cluster.nodes[0].replica.recovering());
+    assert!(cluster.nodes[0].replica.is_recovering());
     assert_eq!(cluster.nodes[0].replica.current_as_of(cluster.now), None);
     cluster.advance(2 * S);
-    assert!(!cluster.nodes[0].replica.recovering());
+    assert!(!cluster.nodes[0].replica.is_recovering());
     assert_eq!(position(&cluster, 0, "t").map(|position| position.step), Some(2));
 }
--- a/crates/small-worlds/src/agreement.rs
+++ b/crates/small-worlds/src/agreement.rs
@@ -2,7 +2,9 @@
 //! processes and disks in any order.
 
 use crate::search::SmallWorld;
-use hingestage_replication::{Disk, Figures, Micros, Outgoing, Plan, Record, Replica, State};
+use hingestage_replication::{
+    Disk, Micros, OutgoingRequest, Record, Replica, ReplicaConfig, State, VoterPolicy,
+};
 use hingestage_rpc::messages::{
     Ballot, Change, ConfigDocument, ConfigVersion, Membership, PeerAnswer, PeerRequest, Proposed, StoreMember,
 };
@@ -154,20 +156,20 @@
     fn meet(&mut self) {
         for from in 0..self.nodes.len() {
             for to in (0..self.nodes.len()).filter(|to| *to != from) {
-                let request = self.nodes[from].replica.exchange();
+                let request = self.nodes[from].replica.exchange_request();
                 let asked = &mut self.nodes[to];
-                let answer = asked.replica.handle(self.now, request, &mut asked.disk);
+                let answer = asked.replica.handle_request(self.now, request, &mut asked.disk);
                 let asker = &mut self.nodes[from];
-                let outgoing = asker.replica.answered(self.now, self.now, answer, &mut asker.disk);
+                let outgoing = asker.replica.handle_answer(self.now, self.now, answer, &mut asker.disk);
                 self.send(from, outgoing);
             }
         }
         self.wires.clear();
     }
 
-    fn send(&mut self, from: usize, outgoing: Vec<Outgoing>) {
+    fn send(&mut self, from: usize, outgoing: Vec<OutgoingRequest>) {
         let (life, asked_at) = (self.nodes[from].life, self.now);
-        for Outgoing { to, request } in outgoing {
+        for OutgoingRequest { to, request } in outgoing {
             let to = self.nodes.iter().position(|node| node.member.addr == to.addr);
             let message = Message::Request(request);
             self.wires.extend(to.map(|to| Wire { from, to, life, asked_at, message }));
@@ -194,12 +196,12 @@
         let node = &mut self.nodes[wire.to];
         match wire.message {
             Message::Request(request) => {
-                let answer = node.replica.handle(self.now, request, &mut node.disk);
+                let answer = node.replica.handle_request(self.now, request, &mut node.disk);
                 let message = Message::Answer(answer);
                 self.wires.push(Wire { from: wire.to, to: wire.from, message, ..wire });
             }
             Message::Answer(answer) if wire.life == node.life => {
-                let outgoing = node.replica.answered(self.now, wire.asked_at, answer, &mut node.disk);
+                let outgoing = node.replica.handle_answer(self.now, wire.asked_at, answer, &mut node.disk);
                 self.send(wire.to, outgoing);
             }
             Message::Answer(_) => {}
@@ -234,7 +236,7 @@
 
     fn note_outcomes(&mut self) -> Result<(), String> {
         for (number, ticket, version) in std::mem::take(&mut self.orders) {
-            match self.nodes[number].replica.outcome(ticket) {
+            match self.nodes[number].replica.take_outcome(ticket) {
                 None => self.orders.push((number, ticket, version)),
                 Some(Proposed::Durable) => self.acknowledge(version)?,
                 Some(_) if self.acknowledged == Some(version) => {
@@ -320,8 +322,14 @@
 }
 
 fn replica(member: &StoreMember, record: Record) -> Replica {
-    let plan = Plan { voters_min: REPLICAS, ..Figures::default().plan };
-    Replica::new(member.clone(), record, Vec::new(), Figures { plan, ..Figures::default() }, member.disk)
+    let voter_policy = VoterPolicy { voters_min: REPLICAS, ..ReplicaConfig::default().voter_policy };
+    Replica::new(
+        member.clone(),
+        record,
+        Vec::new(),
+        ReplicaConfig { voter_policy, ..ReplicaConfig::default() },
+        member.disk,
+    )
 }
 
 fn member(number: usize, disk: u64) -> StoreMember {
--- a/crates/trial/src/book.rs
+++ b/crates/trial/src/book.rs
@@ -89,14 +89,14 @@
     /// [`TrialBook::take`] with the records of the same answer.
     pub fn take_freshness(&mut self, asked_at: Micros, age: Option<u64>) {
         if let Some(age) = age {
-            self.freshness.note(asked_at, age * MILLI);
+            self.freshness.observe(asked_at, age * MILLI);
         }
     }
 
     /// What applies to a tenant's request that starts now.
     pub fn judge(&mut self, now: Micros, tenant: &str) -> Judgement {
         let Some(trial) = self.trials.get_mut(tenant) else { return Judgement::NoTrial };
-        if now >= self.freshness.lease_until(self.spans.lease) {
+        if now >= self.freshness.lease_expires_at(self.spans.lease) {
             return Judgement::Unknown(RETRY_DELAY_MIN);
         }
         match trial.timeline.at(now, &self.spans) {
@@ -108,7 +108,7 @@
 
     /// Time left until trial tenants can no longer be evaluated without a new answer.
     pub fn lease_left(&self, now: Micros) -> Micros {
-        self.freshness.lease_until(self.spans.lease).saturating_sub(now)
+        self.freshness.lease_expires_at(self.spans.lease).saturating_sub(now)
     }
 
     /// The highest known position of a tenant's trial, in effect or not.
