--- a/crates/capacity/src/trials.rs
+++ b/crates/capacity/src/trials.rs
@@ -6,7 +6,7 @@
 use hingestage_registry::trials::TrialLog;
 use hingestage_rpc::encoded;
 use hingestage_rpc::trials::{TrialNews, TrialPosition, TrialRecord};
-use hingestage_trial::TrialBook;
+use hingestage_trial::TrialTracker;
 use std::hint::black_box;
 
 /// Terms as an operator writes them.
@@ -34,16 +34,16 @@
         (0..count).map(|number| TrialNews { record: record(number, step), age: 60_000 }).collect()
     };
     let before = resident();
-    let mut book = TrialBook::default();
-    book.take(NOW, news(0));
-    book.take_freshness(NOW, Some(0));
+    let mut book = TrialTracker::default();
+    book.apply_updates(NOW, news(0));
+    book.observe_freshness(NOW, Some(0));
     report.bytes("memory of a proxy's book", resident().saturating_sub(before));
     // Half of the requests are of tenants with trials.
     let names: Vec<CompactString> = (0..2_000).map(|number| name(number * count.max(1) / 1_000)).collect();
     let mut place = 0;
     let judge = || {
         place = (place + 7) % names.len();
-        black_box(book.judge(NOW, &names[place]));
+        black_box(book.decide(NOW, &names[place]));
     };
     report.seconds("TrialBook::judge", seconds_each(JUDGED, judge));
     let one = encoded(&vec![TrialNews { record: record(1, 1), age: 0 }]);
--- a/crates/capacity/src/workers.rs
+++ b/crates/capacity/src/workers.rs
@@ -16,7 +16,7 @@
     cold_margin: 300_000,
     key_lease: None,
     part_lease: 11_000_000,
-    trials: hingestage_trial::Spans::DEFAULT,
+    trials: hingestage_trial::TrialTiming::DEFAULT,
 };
 /// Workers handled in one run, about.
 const HANDLED: usize = 20_000;
--- a/crates/control-sim/src/proxy_node.rs
+++ b/crates/control-sim/src/proxy_node.rs
@@ -10,7 +10,7 @@
 use hingestage_rpc::messages::{Have, ProcessId, ProxyStatus, Watched};
 use hingestage_rpc::trials::{TrialPosition, TrialRevision};
 use hingestage_rpc::workers::ServiceHave;
-use hingestage_trial::Judgement;
+use hingestage_trial::TrialDecision;
 
 /// Ticks between watches, questions to homes, and questions about what homes are late with.
 const WATCH_TICKS: u64 = 4;
@@ -31,7 +31,7 @@
     trials: TRIAL_SPANS,
 };
 /// How steps of trials take effect.
-pub(crate) const TRIAL_SPANS: hingestage_trial::Spans = hingestage_trial::Spans::DEFAULT;
+pub(crate) const TRIAL_SPANS: hingestage_trial::TrialTiming = hingestage_trial::TrialTiming::DEFAULT;
 
 /// A proxy.
 pub(crate) struct ProxyNode {
@@ -93,13 +93,13 @@
             return None;
         }
         match self.view.judge_trial(clock, tenant) {
-            Judgement::NoTrial => Some(TrialPosition::default()),
-            Judgement::Unknown(_) => None,
-            Judgement::Trial(standing) if self.defect == Some(Defect::StepByOwnClock) => {
+            TrialDecision::NoTrial => Some(TrialPosition::default()),
+            TrialDecision::Unknown(_) => None,
+            TrialDecision::Trial(standing) if self.defect == Some(Defect::StepByOwnClock) => {
                 let step = standing.terms.step_due(self.process.time_of_day(now));
                 Some(TrialPosition { step, ..standing.position })
             }
-            Judgement::Trial(standing) => Some(standing.position),
+            TrialDecision::Trial(standing) => Some(standing.position),
         }
     }
 
--- a/crates/proxy/src/admission.rs
+++ b/crates/proxy/src/admission.rs
@@ -8,7 +8,7 @@
 use hingestage_replication::Micros;
 use hingestage_rpc::status::RequestOutcome;
 use hingestage_rpc::trials::TrialView;
-use hingestage_trial::{Judgement, Phase, RequestClass, Standing};
+use hingestage_trial::{ActiveStep, Phase, RequestClass, TrialDecision};
 use hyper::StatusCode;
 use std::cell::Cell;
 use std::rc::Rc;
@@ -171,18 +171,18 @@
         let quota = self.quota_of(tenant, part);
         let open_cap = open_cap(tenant, routed.route.timeout);
         match self.view.borrow_mut().judge_trial(self.now(), &tenant.name) {
-            Judgement::NoTrial => {
+            TrialDecision::NoTrial => {
                 let limits = TenantLimits { open_cap, ..quota };
                 Ok(Limits { limits, class: None, slowed: false })
             }
-            Judgement::Unknown(wait) => {
+            TrialDecision::Unknown(wait) => {
                 let message = "the tenant's trial can't be judged for now";
                 let unknown =
                     Refusal::new(StatusCode::SERVICE_UNAVAILABLE, message, RequestOutcome::TrialUnknown);
                 let refusal = unknown.after(RETRY_ELSEWHERE.max(Duration::from_micros(wait)));
                 Err(Judged { class: Some(RequestClass::Ordinary), refusal: Some(refusal) })
             }
-            Judgement::Trial(standing) => {
+            TrialDecision::Trial(standing) => {
                 let class = standing.terms.class_of(&routed.route.name, routed.route.kind.as_str());
                 let slowed = standing.level.phase != Phase::Full;
                 match under_trial(&standing, quota, class, leaves_reserve) {
@@ -200,11 +200,11 @@
     pub(crate) fn trial_view(&self, tenant: &str) -> Option<TrialView> {
         let now = self.now();
         let mut view = self.view.borrow_mut();
-        let newest = view.trials().newest(tenant)?;
+        let newest = view.trials().newest_position(tenant)?;
         let lease_left = view.trials().lease_left(now) / MILLI;
         let in_effect = match view.judge_trial(now, tenant) {
-            Judgement::Trial(standing) => Some(standing.position),
-            Judgement::NoTrial | Judgement::Unknown(_) => None,
+            TrialDecision::Trial(standing) => Some(standing.position),
+            TrialDecision::NoTrial | TrialDecision::Unknown(_) => None,
         };
         Some(TrialView { in_effect, newest: Some(newest), lease_left, counts: self.trial_counts.of(tenant) })
     }
@@ -213,9 +213,9 @@
     pub(crate) fn lendable(&self, tenant: &Tenant, part: Part) -> Option<TenantLimits> {
         let quota = self.quota_of(tenant, part);
         match self.view.borrow_mut().judge_trial(self.now(), &tenant.name) {
-            Judgement::NoTrial => Some(quota),
-            Judgement::Unknown(_) => None,
-            Judgement::Trial(standing) => under_trial(&standing, quota, RequestClass::RefusedLast, false),
+            TrialDecision::NoTrial => Some(quota),
+            TrialDecision::Unknown(_) => None,
+            TrialDecision::Trial(standing) => under_trial(&standing, quota, RequestClass::RefusedLast, false),
         }
     }
 
@@ -240,7 +240,7 @@
 /// What a step leaves of a quota to requests of a class; none where it leaves nothing. All classes draw on one bucket,
 /// of the share of those that are refused last, and the others leave a reserve in it.
 fn under_trial(
-    standing: &Standing,
+    standing: &ActiveStep,
     quota: TenantLimits,
     class: RequestClass,
     leaves_reserve: bool,
--- a/crates/proxy/src/server.rs
+++ b/crates/proxy/src/server.rs
@@ -204,7 +204,7 @@
             cold_margin: micros(COLD_MARGIN),
             key_lease,
             part_lease: micros(PART_LEASE),
-            trials: hingestage_trial::Spans::default(),
+            trials: hingestage_trial::TrialTiming::default(),
         };
         let started = Instant::now();
         let incarnation = incarnation();
--- a/crates/proxy/src/view.rs
+++ b/crates/proxy/src/view.rs
@@ -8,7 +8,7 @@
 use hingestage_rpc::messages::{ConfigDocument, ConfigVersion, Have, ProxyStatus, ZoneDrains};
 use hingestage_rpc::trials::{TrialNews, TrialRevision};
 use hingestage_rpc::workers::{WorkerRecord, WorkersVersion};
-use hingestage_trial::{Judgement, TrialBook};
+use hingestage_trial::{TrialDecision, TrialTracker};
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
@@ -28,7 +28,7 @@
     /// Age of news from the registries up to which a part of a common limit may be used.
     pub part_lease: Micros,
     /// Spans by which steps of trials take effect.
-    pub trials: hingestage_trial::Spans,
+    pub trials: hingestage_trial::TrialTiming,
 }
 
 /// A configuration in force.
@@ -66,7 +66,7 @@
     members: u32,
     settled: bool,
     peers: Vec<ProxyStatus>,
-    trials: TrialBook,
+    trials: TrialTracker,
 }
 
 impl View {
@@ -82,7 +82,7 @@
             members: 0,
             settled: false,
             peers: Vec::new(),
-            trials: TrialBook::new(spans.trials),
+            trials: TrialTracker::new(spans.trials),
         }
     }
 
@@ -167,23 +167,23 @@
 
     /// Takes in what a registry told of trials; `told_at` is when its answer came.
     pub fn take_trials(&mut self, told_at: Micros, news: Vec<TrialNews>) {
-        self.trials.take(told_at, news);
+        self.trials.apply_updates(told_at, news);
     }
 
     /// By what a request of a tenant is judged that begins now.
-    pub fn judge_trial(&mut self, now: Micros, tenant: &str) -> Judgement {
-        self.trials.judge(now, tenant)
+    pub fn judge_trial(&mut self, now: Micros, tenant: &str) -> TrialDecision {
+        self.trials.decide(now, tenant)
     }
 
     /// The trials that are known.
-    pub fn trials(&self) -> &TrialBook {
+    pub fn trials(&self) -> &TrialTracker {
         &self.trials
     }
 
     /// Takes in how recent the news is: asked for at `asked_at`, and `age` old when it was answered. It counts
     /// only where what it speaks of is in force here; trials of the same answer are taken in before.
     pub fn take_freshness(&mut self, asked_at: Micros, age: Option<u64>, config: Option<ConfigVersion>) {
-        self.trials.take_freshness(asked_at, age);
+        self.trials.observe_freshness(asked_at, age);
         let up_to_date = self.config_version() >= config;
         if let Some(age) = age.filter(|_| up_to_date) {
             self.freshness.observe(asked_at, age * MILLI);
--- a/crates/proxy/tests/view.rs
+++ b/crates/proxy/tests/view.rs
@@ -12,7 +12,7 @@
     cold_margin: S / 2,
     key_lease: Some(4 * S),
     part_lease: 11 * S,
-    trials: hingestage_trial::Spans::DEFAULT,
+    trials: hingestage_trial::TrialTiming::DEFAULT,
 };
 
 fn document(serial: u64, backend: &str) -> ConfigDocument {
--- a/crates/trial/src/terms.rs
+++ b/crates/trial/src/terms.rs
@@ -85,7 +85,7 @@
 
 /// The quota that a step leaves.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Level {
+pub struct QuotaLevel {
     /// Phase of the step.
     pub phase: Phase,
     /// Fraction of the quota for all requests.
@@ -129,13 +129,13 @@
     }
 
     /// The quota that a step leaves. Numbers beyond the last step count as the last.
-    pub fn level(&self, step: u32) -> Level {
+    pub fn level(&self, step: u32) -> QuotaLevel {
         let number = step.min(self.last_step()) as usize;
         if number == 0 {
-            return Level { phase: Phase::Full, share: 1.0, share_of_last: 1.0 };
+            return QuotaLevel { phase: Phase::Full, share: 1.0, share_of_last: 1.0 };
         }
         if let Some(step) = self.steps.get(number - 1) {
-            return Level {
+            return QuotaLevel {
                 phase: Phase::Slowed(number as u32),
                 share: step.share,
                 share_of_last: step.share,
@@ -143,9 +143,9 @@
         }
         let last_share = self.steps.last().map_or(1.0, |step| step.share).max(self.after_end);
         if number == self.steps.len() + 1 {
-            return Level { phase: Phase::Grace, share: self.after_end, share_of_last: last_share };
+            return QuotaLevel { phase: Phase::Grace, share: self.after_end, share_of_last: last_share };
         }
-        Level { phase: Phase::Ended, share: self.after_end, share_of_last: self.after_end }
+        QuotaLevel { phase: Phase::Ended, share: self.after_end, share_of_last: self.after_end }
     }
 
     /// Number of the step that is due at a Unix time in milliseconds.
--- a/crates/trial/src/timeline.rs
+++ b/crates/trial/src/timeline.rs
@@ -22,7 +22,7 @@
 
 /// Times that determine when steps take effect, in microseconds.
 #[derive(Clone, Copy, Debug)]
-pub struct Spans {
+pub struct TrialTiming {
     /// Age of the data up to which a proxy evaluates trial tenants.
     pub lease: Micros,
     /// Time from a step's durability to its effect; at least `lease`.
@@ -31,14 +31,15 @@
     pub uncertainty: Micros,
 }
 
-impl Spans {
+impl TrialTiming {
     /// The values used by the proxies.
-    pub const DEFAULT: Spans = Spans { lease: 4_500_000, delay: 4_500_000, uncertainty: 2_500_000 };
+    pub const DEFAULT: TrialTiming =
+        TrialTiming { lease: 4_500_000, delay: 4_500_000, uncertainty: 2_500_000 };
 }
 
-impl Default for Spans {
+impl Default for TrialTiming {
     fn default() -> Self {
-        Spans::DEFAULT
+        TrialTiming::DEFAULT
     }
 }
 
@@ -53,9 +54,9 @@
 
 /// The step in effect at some moment.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum InEffect {
+pub enum StepInEffect {
     /// No terms are in effect yet.
-    Untouched,
+    NoTerms,
     /// The step at this position.
     Position(TrialPosition),
     /// It cannot be determined before this moment.
@@ -81,9 +82,9 @@
         position: TrialPosition,
         freshness: Freshness,
         known_by: i64,
-        spans: &Spans,
+        timing: &TrialTiming,
     ) {
-        self.activate_due(now, spans);
+        self.activate_due(now, timing);
         if Some(position) <= self.in_effect {
             return;
         }
@@ -93,7 +94,7 @@
         }
         if self.announced.len() >= ANNOUNCED_MAX {
             let until = self.announced.iter().map(|known| known.known_by).max().unwrap_or_default();
-            self.unknown_until = until.max(known_by) + signed(spans.delay);
+            self.unknown_until = until.max(known_by) + signed(timing.delay);
             self.announced.clear();
         }
         self.announced.push(Announced { position, not_before: freshness.moment(), known_by });
@@ -101,26 +102,26 @@
     }
 
     /// The highest known position.
-    pub fn newest(&self) -> Option<TrialPosition> {
+    pub fn newest_position(&self) -> Option<TrialPosition> {
         self.announced.last().map(|known| known.position).max(self.in_effect)
     }
 
     /// The step in effect now.
-    pub fn at(&mut self, now: Micros, spans: &Spans) -> InEffect {
-        self.activate_due(now, spans);
-        let ambiguous = self.announced.iter().filter(|known| known.is_ambiguous(now, spans));
-        let known_at = ambiguous.map(|known| known.takes_effect_at(spans)).min();
+    pub fn step_in_effect(&mut self, now: Micros, timing: &TrialTiming) -> StepInEffect {
+        self.activate_due(now, timing);
+        let ambiguous = self.announced.iter().filter(|known| known.is_ambiguous(now, timing));
+        let known_at = ambiguous.map(|known| known.takes_effect_at(timing)).min();
         if let Some(until) =
             known_at.into_iter().chain([self.unknown_until]).find(|until| signed(now) < *until)
         {
-            return InEffect::Unknown(until.unsigned_abs());
+            return StepInEffect::Unknown(until.unsigned_abs());
         }
-        self.in_effect.map_or(InEffect::Untouched, InEffect::Position)
+        self.in_effect.map_or(StepInEffect::NoTerms, StepInEffect::Position)
     }
 
     /// Puts due steps into effect and drops those that they supersede.
-    fn activate_due(&mut self, now: Micros, spans: &Spans) {
-        let due = self.announced.iter().filter(|known| signed(now) >= known.takes_effect_at(spans));
+    fn activate_due(&mut self, now: Micros, timing: &TrialTiming) {
+        let due = self.announced.iter().filter(|known| signed(now) >= known.takes_effect_at(timing));
         self.in_effect = due.map(|known| known.position).max().max(self.in_effect);
         let in_effect = self.in_effect;
         self.announced.retain(|known| Some(known.position) > in_effect);
@@ -128,14 +129,14 @@
 }
 
 impl Announced {
-    fn takes_effect_at(&self, spans: &Spans) -> i64 {
-        self.known_by.saturating_add(signed(spans.delay))
+    fn takes_effect_at(&self, timing: &TrialTiming) -> i64 {
+        self.known_by.saturating_add(signed(timing.delay))
     }
 
     /// Whether the step may be in effect at another proxy already, for longer than `uncertainty` allows.
-    fn is_ambiguous(&self, now: Micros, spans: &Spans) -> bool {
+    fn is_ambiguous(&self, now: Micros, timing: &TrialTiming) -> bool {
         let Some(not_before) = self.not_before else { return true };
-        let far = not_before.saturating_add(signed(spans.uncertainty)) < self.known_by;
-        far && signed(now) >= not_before.saturating_add(signed(spans.delay))
+        let far = not_before.saturating_add(signed(timing.uncertainty)) < self.known_by;
+        far && signed(now) >= not_before.saturating_add(signed(timing.delay))
     }
 }
--- a/crates/trial/src/book.rs
+++ b/crates/trial/src/tracker.rs
@@ -1,7 +1,7 @@
 //! The trials known to one proxy, and the step that applies to each tenant.
 
-use crate::terms::{Level, Terms};
-use crate::timeline::{InEffect, Spans, Timeline};
+use crate::terms::{QuotaLevel, Terms};
+use crate::timeline::{StepInEffect, Timeline, TrialTiming};
 use compact_str::CompactString;
 use hingestage_replication::{signed, Freshness, Micros};
 use hingestage_rpc::trials::{TrialNews, TrialPosition, TrialRecord, TRIALS_MAX};
@@ -20,6 +20,7 @@
     terms: Rc<Terms>,
 }
 
+/// The trial of one tenant.
 #[derive(Debug, Default)]
 struct Trial {
     timeline: Timeline,
@@ -29,49 +30,49 @@
 
 /// The step in effect for a tenant.
 #[derive(Clone, Debug)]
-pub struct Standing {
+pub struct ActiveStep {
     /// Position of the step.
     pub position: TrialPosition,
     /// The part of the quota that it leaves.
-    pub level: Level,
+    pub level: QuotaLevel,
     /// The terms it belongs to.
     pub terms: Rc<Terms>,
 }
 
 /// What applies to a tenant's request.
 #[derive(Clone, Debug)]
-pub enum Judgement {
+pub enum TrialDecision {
     /// The quota alone; no trial is in effect.
     NoTrial,
     /// A step of the trial.
-    Trial(Standing),
+    Trial(ActiveStep),
     /// This proxy cannot tell for this many microseconds: the request goes to another proxy or is retried.
     Unknown(Micros),
 }
 
 /// The trials known to one proxy.
 #[derive(Debug, Default)]
-pub struct TrialBook {
-    spans: Spans,
+pub struct TrialTracker {
+    timing: TrialTiming,
     trials: BTreeMap<CompactString, Trial>,
     freshness: Freshness,
 }
 
-impl TrialBook {
-    /// Creates a book without trials.
-    pub fn new(spans: Spans) -> TrialBook {
-        TrialBook { spans, ..TrialBook::default() }
+impl TrialTracker {
+    /// Creates a tracker without trials.
+    pub fn new(timing: TrialTiming) -> TrialTracker {
+        TrialTracker { timing, ..TrialTracker::default() }
     }
 
     /// Applies trial records from a registry's answer that arrived at `received_at`.
-    pub fn take(&mut self, received_at: Micros, news: Vec<TrialNews>) {
+    pub fn apply_updates(&mut self, received_at: Micros, news: Vec<TrialNews>) {
         for TrialNews { record, age } in news {
             let known_by = signed(received_at).saturating_sub(signed(age.saturating_mul(MILLI)));
-            self.take_record(received_at, record, known_by);
+            self.apply_record(received_at, record, known_by);
         }
     }
 
-    fn take_record(&mut self, now: Micros, record: TrialRecord, known_by: i64) {
+    fn apply_record(&mut self, now: Micros, record: TrialRecord, known_by: i64) {
         let known = self.trials.get(&record.tenant);
         if !known.is_some_and(|trial| trial.knows_terms_of(&record.position)) {
             let full = known.is_none() && self.trials.len() >= TRIALS_MAX;
@@ -82,38 +83,38 @@
             trial.terms.sort_unstable_by_key(|known| known.position);
         }
         let Some(trial) = self.trials.get_mut(&record.tenant) else { return };
-        trial.timeline.learn(now, record.position, self.freshness, known_by, &self.spans);
+        trial.timeline.learn(now, record.position, self.freshness, known_by, &self.timing);
     }
 
     /// Records that an answer to a request sent at `asked_at` had data `age` milliseconds old. Call it after
-    /// [`TrialBook::take`] with the records of the same answer.
-    pub fn take_freshness(&mut self, asked_at: Micros, age: Option<u64>) {
+    /// [`TrialTracker::apply_updates`] with the records of the same answer.
+    pub fn observe_freshness(&mut self, asked_at: Micros, age: Option<u64>) {
         if let Some(age) = age {
             self.freshness.observe(asked_at, age * MILLI);
         }
     }
 
     /// What applies to a tenant's request that starts now.
-    pub fn judge(&mut self, now: Micros, tenant: &str) -> Judgement {
-        let Some(trial) = self.trials.get_mut(tenant) else { return Judgement::NoTrial };
-        if now >= self.freshness.lease_expires_at(self.spans.lease) {
-            return Judgement::Unknown(RETRY_DELAY_MIN);
+    pub fn decide(&mut self, now: Micros, tenant: &str) -> TrialDecision {
+        let Some(trial) = self.trials.get_mut(tenant) else { return TrialDecision::NoTrial };
+        if now >= self.freshness.lease_expires_at(self.timing.lease) {
+            return TrialDecision::Unknown(RETRY_DELAY_MIN);
         }
-        match trial.timeline.at(now, &self.spans) {
-            InEffect::Untouched => Judgement::NoTrial,
-            InEffect::Unknown(until) => Judgement::Unknown((until - now).max(RETRY_DELAY_MIN)),
-            InEffect::Position(position) => trial.standing(position),
+        match trial.timeline.step_in_effect(now, &self.timing) {
+            StepInEffect::NoTerms => TrialDecision::NoTrial,
+            StepInEffect::Unknown(until) => TrialDecision::Unknown((until - now).max(RETRY_DELAY_MIN)),
+            StepInEffect::Position(position) => trial.decision_at(position),
         }
     }
 
     /// Time left until trial tenants can no longer be evaluated without a new answer.
     pub fn lease_left(&self, now: Micros) -> Micros {
-        self.freshness.lease_expires_at(self.spans.lease).saturating_sub(now)
+        self.freshness.lease_expires_at(self.timing.lease).saturating_sub(now)
     }
 
     /// The highest known position of a tenant's trial, in effect or not.
-    pub fn newest(&self, tenant: &str) -> Option<TrialPosition> {
-        self.trials.get(tenant)?.timeline.newest()
+    pub fn newest_position(&self, tenant: &str) -> Option<TrialPosition> {
+        self.trials.get(tenant)?.timeline.newest_position()
     }
 
     /// Number of tenants with terms.
@@ -132,12 +133,12 @@
         self.terms.iter().any(|known| known.position.has_terms_of(position))
     }
 
-    fn standing(&mut self, position: TrialPosition) -> Judgement {
+    fn decision_at(&mut self, position: TrialPosition) -> TrialDecision {
         // Terms older than those in effect are no longer needed.
         let in_effect = self.terms.iter().position(|known| known.position.has_terms_of(&position));
         self.terms.drain(..in_effect.unwrap_or_default());
-        let Some(known) = self.terms.first() else { return Judgement::NoTrial };
+        let Some(known) = self.terms.first() else { return TrialDecision::NoTrial };
         let level = known.terms.level(position.step);
-        Judgement::Trial(Standing { position, level, terms: known.terms.clone() })
+        TrialDecision::Trial(ActiveStep { position, level, terms: known.terms.clone() })
     }
 }
