--- a/crates/capacity/src/configuration.rs
+++ b/crates/capacity/src/configuration.rs
@@ -4,7 +4,7 @@
 use crate::measure::{resident, seconds_each, thread_cpu, Report, RUNS};
 use crate::servers::TemporaryDir;
 use eyre::Result;
-use hingestage_config_store::files::Files;
+use hingestage_config_store::data_dir::DataDir;
 use hingestage_configuration::{Configuration, KeyTable, RouteTable};
 use hingestage_registry::transfers::Transfers;
 use hingestage_replication::{Disk, Record, State};
@@ -93,8 +93,8 @@
 
 fn measure_file(report: &Report, document: ConfigDocument) -> Result<()> {
     let dir = TemporaryDir::new("files")?;
-    let mut files = Files::open(dir.path())?;
-    files.begin(&fixtures::store_member(0), false)?;
+    let mut files = DataDir::open(dir.path())?;
+    files.initialize(&fixtures::store_member(0), false)?;
     let mut round = 0;
     let mut next = || {
         round += 1;
--- a/crates/config-store/src/audit.rs
+++ b/crates/config-store/src/audit.rs
@@ -19,15 +19,15 @@
 const CACHE_BYTES: usize = 1 << 20;
 
 /// The audit log.
-pub struct Audit {
+pub struct AuditLog {
     path: PathBuf,
     database: OnceCell<Database>,
 }
 
-impl Audit {
+impl AuditLog {
     /// Creates an audit log in a directory. Nothing is read or written yet.
-    pub fn new(dir: &Path) -> Audit {
-        Audit { path: dir.join(FILE_NAME), database: OnceCell::new() }
+    pub fn new(dir: &Path) -> AuditLog {
+        AuditLog { path: dir.join(FILE_NAME), database: OnceCell::new() }
     }
 
     fn database(&self) -> Result<&Database> {
@@ -43,7 +43,7 @@
     ///
     /// # Errors
     /// The database cannot be opened or written.
-    pub fn note(&self, records: &[TrialRecord]) -> Result<()> {
+    pub fn append(&self, records: &[TrialRecord]) -> Result<()> {
         if records.is_empty() {
             return Ok(());
         }
@@ -69,7 +69,7 @@
     ///
     /// # Errors
     /// The database cannot be opened or read.
-    pub fn of(&self, tenant: &str) -> Result<Vec<AuditEntry>> {
+    pub fn entries_for(&self, tenant: &str) -> Result<Vec<AuditEntry>> {
         if !self.path.exists() {
             return Ok(Vec::new());
         }
--- a/crates/config-store/src/files.rs
+++ b/crates/config-store/src/data_dir.rs
@@ -54,7 +54,7 @@
     /// No store has run here.
     Empty,
     /// A complete record.
-    Whole {
+    Intact {
         /// The store that owns the directory.
         me: StoreMember,
         /// Whether the store is one of the initial voters.
@@ -68,7 +68,7 @@
 
 /// Error of a data directory.
 #[derive(Debug)]
-pub enum FilesError {
+pub enum DataDirError {
     /// An I/O error.
     Io(io::Error),
     /// The directory has the first, unsupported format.
@@ -77,65 +77,65 @@
     Foreign(StoreMember),
 }
 
-impl fmt::Display for FilesError {
+impl fmt::Display for DataDirError {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            FilesError::Io(error) => write!(f, "{error}"),
-            FilesError::FirstFormat => {
+            DataDirError::Io(error) => write!(f, "{error}"),
+            DataDirError::FirstFormat => {
                 write!(
                     f,
                     "holds {FIRST_FORMAT_FILE}, of a version before agreement: start with an empty directory"
                 )
             }
-            FilesError::Foreign(owner) => write!(f, "is the directory of {}", owner.name),
+            DataDirError::Foreign(owner) => write!(f, "is the directory of {}", owner.name),
         }
     }
 }
 
-impl std::error::Error for FilesError {}
+impl std::error::Error for DataDirError {}
 
-impl From<io::Error> for FilesError {
+impl From<io::Error> for DataDirError {
     fn from(error: io::Error) -> Self {
-        FilesError::Io(error)
+        DataDirError::Io(error)
     }
 }
 
 /// A store's data directory.
 #[derive(Debug)]
-pub struct Files {
+pub struct DataDir {
     dir: PathBuf,
     me: Option<(StoreMember, bool)>,
     /// Digests of the parts known to be on disk, by file name.
     written: BTreeMap<String, u64>,
 }
 
-impl Files {
+impl DataDir {
     /// Opens a data directory, creating it if missing.
     ///
     /// # Errors
     /// The directory cannot be created.
-    pub fn open(dir: &Path) -> io::Result<Files> {
+    pub fn open(dir: &Path) -> io::Result<DataDir> {
         fs::create_dir_all(dir)?;
-        Ok(Files { dir: dir.to_path_buf(), me: None, written: BTreeMap::new() })
+        Ok(DataDir { dir: dir.to_path_buf(), me: None, written: BTreeMap::new() })
     }
 
     /// Loads the record of the store on machine `node`. A damaged manifest is renamed and kept.
     ///
     /// # Errors
     /// The directory cannot be read, belongs to another machine, or has the first format.
-    pub fn load(&mut self, node: &str) -> Result<Loaded, FilesError> {
+    pub fn load(&mut self, node: &str) -> Result<Loaded, DataDirError> {
         let names = self.file_names()?;
         if !names.contains(MANIFEST) {
             return classify_without_manifest(&names);
         }
         match self.read_record() {
-            Ok((manifest, _)) if manifest.me.name != node => Err(FilesError::Foreign(manifest.me)),
+            Ok((manifest, _)) if manifest.me.name != node => Err(DataDirError::Foreign(manifest.me)),
             Ok((manifest, record)) => {
                 let (me, founder) = (manifest.me, manifest.founder);
                 self.me = Some((me.clone(), founder));
                 self.written = manifest.parts;
                 self.remove_leftovers(&names);
-                Ok(Loaded::Whole { me, founder, record: Box::new(record) })
+                Ok(Loaded::Intact { me, founder, record: Box::new(record) })
             }
             Err(why) => {
                 fs::rename(self.dir.join(MANIFEST), self.dir.join(format!("{MANIFEST}{DAMAGED_SUFFIX}")))?;
@@ -149,7 +149,7 @@
     ///
     /// # Errors
     /// The write fails.
-    pub fn begin(&mut self, me: &StoreMember, founder: bool) -> io::Result<()> {
+    pub fn initialize(&mut self, me: &StoreMember, founder: bool) -> io::Result<()> {
         self.me = Some((me.clone(), founder));
         self.write(&Record::default())
     }
@@ -281,7 +281,7 @@
     }
 }
 
-impl Disk for Files {
+impl Disk for DataDir {
     fn write(&mut self, record: &Record) -> io::Result<()> {
         self.write_parts(&record.state)?;
         self.write_manifest(record)?;
@@ -291,9 +291,9 @@
 }
 
 /// Classifies a directory without a manifest.
-fn classify_without_manifest(names: &BTreeSet<String>) -> Result<Loaded, FilesError> {
+fn classify_without_manifest(names: &BTreeSet<String>) -> Result<Loaded, DataDirError> {
     if names.contains(FIRST_FORMAT_FILE) {
-        return Err(FilesError::FirstFormat);
+        return Err(DataDirError::FirstFormat);
     }
     match names.iter().any(|name| is_part(name)) {
         true => Ok(Loaded::Damaged(format!("{MANIFEST} is missing"))),
--- a/crates/config-store/src/lib.rs
+++ b/crates/config-store/src/lib.rs
@@ -3,5 +3,5 @@
 #![warn(missing_docs)]
 
 pub mod audit;
-pub mod files;
+pub mod data_dir;
 pub mod server;
--- a/crates/config-store/src/server.rs
+++ b/crates/config-store/src/server.rs
@@ -1,7 +1,7 @@
 //! The store's server: connects the replica to the network, the disk and its clients.
 
-use crate::audit::Audit;
-use crate::files::{Files, Loaded};
+use crate::audit::AuditLog;
+use crate::data_dir::{DataDir, Loaded};
 use compact_str::CompactString;
 use eyre::{eyre, Context, Result};
 use hingestage_node::settings::InnerPort;
@@ -53,8 +53,8 @@
 pub struct Store {
     settings: Rc<Settings>,
     replica: RefCell<Replica>,
-    files: RefCell<Files>,
-    audit: Audit,
+    data_dir: RefCell<DataDir>,
+    audit: AuditLog,
     /// The trials that the audit log already covers.
     audited_trials: RefCell<Rc<TrialSet>>,
     audited_ballot: Cell<Ballot>,
@@ -75,15 +75,15 @@
 pub async fn serve(settings: Rc<Settings>) -> Result<()> {
     let mut signals = Signals::listen()?;
     let dir = settings.data_dir.as_ref().ok_or_else(|| eyre!("settings: `data_dir` is missing"))?;
-    let mut files = Files::open(dir).wrap_err_with(|| format!("{}", dir.display()))?;
-    let replica = load(&settings, &mut files).wrap_err_with(|| format!("{}", dir.display()))?;
+    let mut data_dir = DataDir::open(dir).wrap_err_with(|| format!("{}", dir.display()))?;
+    let replica = load(&settings, &mut data_dir).wrap_err_with(|| format!("{}", dir.display()))?;
     let addr = replica.me().addr;
     let audited = replica.record().state.trials.clone();
     let store = Rc::new(Store {
         settings: settings.clone(),
         replica: RefCell::new(replica),
-        files: RefCell::new(files),
-        audit: Audit::new(dir),
+        data_dir: RefCell::new(data_dir),
+        audit: AuditLog::new(dir),
         audited_trials: RefCell::new(audited),
         audited_ballot: Cell::default(),
         started: Instant::now(),
@@ -104,19 +104,19 @@
 }
 
 /// Loads the replica from disk, or creates a new one.
-fn load(settings: &Settings, files: &mut Files) -> Result<Replica> {
+fn load(settings: &Settings, data_dir: &mut DataDir) -> Result<Replica> {
     let addr = settings.inner(InnerPort::ConfigStore);
-    let loaded = files.load(&settings.node)?;
+    let loaded = data_dir.load(&settings.node)?;
     let (me, founder, record) = match loaded {
-        Loaded::Whole { me, founder, record } => {
+        Loaded::Intact { me, founder, record } => {
             (StoreMember { addr, zone: settings.zone.as_str().into(), ..me }, founder, *record)
         }
         Loaded::Empty => {
-            (initialize(settings, files, settings.bootstrap)?, settings.bootstrap, Record::default())
+            (initialize(settings, data_dir, settings.bootstrap)?, settings.bootstrap, Record::default())
         }
         Loaded::Damaged(why) => {
             log::error!("the disk is damaged ({why}): its contents count as lost");
-            (initialize(settings, files, false)?, false, Record::default())
+            (initialize(settings, data_dir, false)?, false, Record::default())
         }
     };
     if record.accepted == Ballot::ZERO && !founder {
@@ -140,12 +140,12 @@
 }
 
 /// Initializes the data directory for a new store.
-fn initialize(settings: &Settings, files: &mut Files, founder: bool) -> Result<StoreMember> {
+fn initialize(settings: &Settings, data_dir: &mut DataDir, founder: bool) -> Result<StoreMember> {
     let addr = settings.inner(InnerPort::ConfigStore);
     let disk = incarnation() ^ digest(settings.node.as_bytes());
     let (name, zone) = (settings.node.as_str().into(), settings.zone.as_str().into());
     let me = StoreMember { name, zone, addr, disk };
-    files.begin(&me, founder)?;
+    data_dir.initialize(&me, founder)?;
     Ok(me)
 }
 
@@ -235,8 +235,8 @@
         if let Ok(StoreAnswer::Peer(answer)) = answer {
             let known = self.replica.borrow().members().len();
             let outgoing = {
-                let (mut replica, mut files) = (self.replica.borrow_mut(), self.files.borrow_mut());
-                replica.handle_answer(self.now(), asked_at, answer, &mut *files)
+                let (mut replica, mut data_dir) = (self.replica.borrow_mut(), self.data_dir.borrow_mut());
+                replica.handle_answer(self.now(), asked_at, answer, &mut *data_dir)
             };
             self.send(outgoing);
             self.publish_changes();
@@ -263,8 +263,8 @@
 
     fn poll(self: &Rc<Self>) {
         let outgoing = {
-            let (mut replica, mut files) = (self.replica.borrow_mut(), self.files.borrow_mut());
-            replica.poll(self.now(), &mut *files)
+            let (mut replica, mut data_dir) = (self.replica.borrow_mut(), self.data_dir.borrow_mut());
+            replica.poll(self.now(), &mut *data_dir)
         };
         self.send(outgoing);
         self.publish_changes();
@@ -299,7 +299,7 @@
             return;
         }
         let records: Vec<_> = trials.records().cloned().collect();
-        if let Err(error) = self.audit.note(&before.newer_records(&records)) {
+        if let Err(error) = self.audit.append(&before.newer_records(&records)) {
             // The audit log is informational: the trials themselves are stored with the record.
             log::error!("audit: {error}");
         }
@@ -398,8 +398,8 @@
     fn answer_peer(self: &Rc<Self>, request: PeerRequest) -> PeerAnswer {
         let known = self.replica.borrow().members().len();
         let answer = {
-            let (mut replica, mut files) = (self.replica.borrow_mut(), self.files.borrow_mut());
-            replica.handle_request(self.now(), request, &mut *files)
+            let (mut replica, mut data_dir) = (self.replica.borrow_mut(), self.data_dir.borrow_mut());
+            replica.handle_request(self.now(), request, &mut *data_dir)
         };
         if matches!(answer, PeerAnswer::Failed) {
             log::error!("another store's request failed here");
@@ -426,7 +426,7 @@
             StoreRequest::Watch { have, wait } => self.watch(have, Duration::from_millis(wait)).await,
             StoreRequest::Read { wait } => self.read(Duration::from_millis(wait)).await,
             StoreRequest::TrialAudit { tenant } => {
-                StoreAnswer::TrialAudit(self.audit.of(&tenant).unwrap_or_else(|error| {
+                StoreAnswer::TrialAudit(self.audit.entries_for(&tenant).unwrap_or_else(|error| {
                     log::error!("audit: {error}");
                     Vec::new()
                 }))
--- a/crates/config-store/tests/audit.rs
+++ b/crates/config-store/tests/audit.rs
@@ -1,6 +1,6 @@
 //! Persistence of the audit log, and handling of a damaged database.
 
-use hingestage_config_store::audit::Audit;
+use hingestage_config_store::audit::AuditLog;
 use hingestage_rpc::trials::{TrialPosition, TrialRecord};
 use std::path::PathBuf;
 
@@ -19,23 +19,23 @@
 #[test]
 fn steps_survive_a_restart() {
     let dir = directory("audit");
-    let audit = Audit::new(&dir);
-    assert_eq!(audit.of("a").unwrap(), []);
+    let audit = AuditLog::new(&dir);
+    assert_eq!(audit.entries_for("a").unwrap(), []);
     assert_eq!(std::fs::read_dir(&dir).unwrap().count(), 0, "without trials there is no database");
-    audit.note(&[record("a", 0), record("b", 0)]).unwrap();
-    audit.note(&[record("a", 1)]).unwrap();
+    audit.append(&[record("a", 0), record("b", 0)]).unwrap();
+    audit.append(&[record("a", 1)]).unwrap();
     drop(audit);
-    let audit = Audit::new(&dir);
-    audit.note(&[record("a", 2)]).unwrap();
-    let steps: Vec<u32> = audit.of("a").unwrap().iter().map(|entry| entry.position.step).collect();
+    let audit = AuditLog::new(&dir);
+    audit.append(&[record("a", 2)]).unwrap();
+    let steps: Vec<u32> = audit.entries_for("a").unwrap().iter().map(|entry| entry.position.step).collect();
     assert_eq!(steps, [0, 1, 2]);
-    assert!(audit.of("a").unwrap().iter().all(|entry| entry.at > 0));
+    assert!(audit.entries_for("a").unwrap().iter().all(|entry| entry.at > 0));
 }
 
 #[test]
 fn damaged_database_is_an_error_and_does_not_panic() {
     let dir = directory("audit-damaged");
     std::fs::write(dir.join("trial-audit.redb"), b"not a database").unwrap();
-    assert!(Audit::new(&dir).note(&[record("a", 0)]).is_err());
-    assert!(Audit::new(&dir).of("a").is_err());
+    assert!(AuditLog::new(&dir).append(&[record("a", 0)]).is_err());
+    assert!(AuditLog::new(&dir).entries_for("a").is_err());
 }
--- a/crates/config-store/tests/files.rs
+++ b/crates/config-store/tests/data_dir.rs
@@ -1,6 +1,6 @@
 //! Durability of the data directory: power loss at any step of a write, and damaged, empty or foreign directories.
 
-use hingestage_config_store::files::{Files, FilesError, Loaded};
+use hingestage_config_store::data_dir::{DataDir, DataDirError, Loaded};
 use hingestage_replication::{Disk, Record, State};
 use hingestage_rpc::messages::{
     Ballot, Change, ConfigDocument, ConfigVersion, Membership, Proposed, StoreMember,
@@ -90,20 +90,20 @@
 }
 
 /// Initializes a directory and writes these records in order.
-fn initialized(dir: &Path, records: &[Record]) -> Files {
-    let mut files = Files::open(dir).expect("the directory");
-    assert_eq!(files.load("s0").expect("the directory"), Loaded::Empty);
-    files.begin(&member("s0"), true).expect("the disk");
-    records.iter().for_each(|record| files.write(record).expect("the disk"));
-    files
+fn initialized(dir: &Path, records: &[Record]) -> DataDir {
+    let mut data_dir = DataDir::open(dir).expect("the directory");
+    assert_eq!(data_dir.load("s0").expect("the directory"), Loaded::Empty);
+    data_dir.initialize(&member("s0"), true).expect("the disk");
+    records.iter().for_each(|record| data_dir.write(record).expect("the disk"));
+    data_dir
 }
 
 fn load(dir: &Path) -> Loaded {
-    Files::open(dir).expect("the directory").load("s0").expect("a directory of this store")
+    DataDir::open(dir).expect("the directory").load("s0").expect("a directory of this store")
 }
 
 fn intact(record: &Record) -> Loaded {
-    Loaded::Whole { me: member("s0"), founder: true, record: Box::new(record.clone()) }
+    Loaded::Intact { me: member("s0"), founder: true, record: Box::new(record.clone()) }
 }
 
 fn is_damaged(dir: &Path) -> bool {
@@ -116,10 +116,10 @@
     drop(initialized(&dir.0, &[]));
     assert_eq!(load(&dir.0), intact(&Record::default()), "an initialized directory is not an empty disk");
     let last = record(2, &changes(4));
-    let mut files = Files::open(&dir.0).expect("the directory");
-    files.load("s0").expect("the directory");
+    let mut data_dir = DataDir::open(&dir.0).expect("the directory");
+    data_dir.load("s0").expect("the directory");
     for record in [record(1, &changes(3)), last.clone()] {
-        files.write(&record).expect("the disk");
+        data_dir.write(&record).expect("the disk");
     }
     assert_eq!(load(&dir.0), intact(&last));
 }
@@ -142,9 +142,9 @@
     let dir = Dir::new();
     drop(initialized(&dir.0, std::slice::from_ref(&old)));
     let before = dir.contents();
-    let mut files = Files::open(&dir.0).expect("the directory");
-    files.load("s0").expect("the directory");
-    files.write(&new).expect("the disk");
+    let mut data_dir = DataDir::open(&dir.0).expect("the directory");
+    data_dir.load("s0").expect("the directory");
+    data_dir.write(&new).expect("the disk");
     let after = dir.contents();
     let added: Vec<&String> = after.keys().filter(|name| !before.contains_key(*name)).collect();
     let removed: Vec<&String> = before.keys().filter(|name| !after.contains_key(*name)).collect();
@@ -163,9 +163,9 @@
         }
         dir.put(&contents);
         assert_eq!(load(&dir.0), intact(&old), "{choice}");
-        let mut files = Files::open(&dir.0).expect("the directory");
-        files.load("s0").expect("the directory");
-        files.write(&new).expect("the disk");
+        let mut data_dir = DataDir::open(&dir.0).expect("the directory");
+        data_dir.load("s0").expect("the directory");
+        data_dir.write(&new).expect("the disk");
         assert_eq!(load(&dir.0), intact(&new), "{choice}: leftover files are harmless");
     }
     for choice in 0..2u32.pow(3) {
@@ -222,24 +222,24 @@
     let dir = Dir::new();
     drop(initialized(&dir.0, &[record(2, &changes(4))]));
     fs::write(dir.0.join(MANIFEST), b"").expect("a file");
-    let mut files = Files::open(&dir.0).expect("the directory");
-    assert!(matches!(files.load("s0"), Ok(Loaded::Damaged(_))));
+    let mut data_dir = DataDir::open(&dir.0).expect("the directory");
+    assert!(matches!(data_dir.load("s0"), Ok(Loaded::Damaged(_))));
     let me = StoreMember { disk: 78, ..member("s0") };
-    files.begin(&me, false).expect("the disk");
+    data_dir.initialize(&me, false).expect("the disk");
     let next = record(3, &changes(4));
-    files.write(&next).expect("the disk");
-    assert_eq!(load(&dir.0), Loaded::Whole { me, founder: false, record: Box::new(next) });
+    data_dir.write(&next).expect("the disk");
+    assert_eq!(load(&dir.0), Loaded::Intact { me, founder: false, record: Box::new(next) });
 }
 
 #[test]
 fn foreign_directory_and_old_format_are_refused() {
     let dir = Dir::new();
     drop(initialized(&dir.0, &[]));
-    let mut files = Files::open(&dir.0).expect("the directory");
-    assert!(matches!(files.load("s1"), Err(FilesError::Foreign(owner)) if owner == member("s0")));
+    let mut data_dir = DataDir::open(&dir.0).expect("the directory");
+    assert!(matches!(data_dir.load("s1"), Err(DataDirError::Foreign(owner)) if owner == member("s0")));
     let dir = Dir::new();
     fs::write(dir.0.join("members.json"), b"[]").expect("a file");
-    let refused = Files::open(&dir.0).expect("the directory").load("s0").expect_err("an old format");
+    let refused = DataDir::open(&dir.0).expect("the directory").load("s0").expect_err("an old format");
     assert!(refused.to_string().contains("members.json"), "{refused}");
 }
 
@@ -256,14 +256,14 @@
 fn failed_write_leaves_the_old_record() {
     let dir = Dir::new();
     let old = record(1, &changes(3));
-    let mut files = initialized(&dir.0, std::slice::from_ref(&old));
+    let mut data_dir = initialized(&dir.0, std::slice::from_ref(&old));
     // A directory blocks the name of the next part.
     let version = ConfigVersion { serial: 4, digest: hingestage_replication::digest(b"content 4") };
     let blocking_dir = dir.0.join(format!("config-{:08x}-{:016x}.json", version.serial, version.digest));
     fs::create_dir(&blocking_dir).expect("a directory");
-    assert!(files.write(&record(2, &changes(4))).is_err());
+    assert!(data_dir.write(&record(2, &changes(4))).is_err());
     fs::remove_dir(&blocking_dir).expect("a directory");
     assert_eq!(load(&dir.0), intact(&old));
-    files.write(&record(2, &changes(4))).expect("the disk");
+    data_dir.write(&record(2, &changes(4))).expect("the disk");
     assert_eq!(load(&dir.0), intact(&record(2, &changes(4))));
 }
