--- a/crates/config-store/src/server.rs
+++ b/crates/config-store/src/server.rs
@@ -345,13 +345,13 @@
         let until = self.now() + wait.as_micros() as Micros;
         loop {
             let changed = self.changed.notified();
-            let news = self.replica.borrow_mut().updates_for(self.now(), &have);
-            let has_changes = news.config.is_some()
-                || news.proxies.is_some()
-                || news.trials.is_some()
-                || news.summary.drains != have.drains;
+            let updates = self.replica.borrow_mut().updates_for(self.now(), &have);
+            let has_changes = updates.config.is_some()
+                || updates.proxies.is_some()
+                || updates.trials.is_some()
+                || updates.summary.drains != have.drains;
             if has_changes || self.now() >= until {
-                return StoreAnswer::Watched(Box::new(news));
+                return StoreAnswer::Watched(Box::new(updates));
             }
             let _ = self.wait_until(changed, until).await;
         }
--- a/crates/replication/tests/agreement.rs
+++ b/crates/replication/tests/agreement.rs
@@ -50,9 +50,9 @@
     assert_eq!(cluster.propose(2, config(7, "alone")), None);
     cluster.advance(20 * S);
     let now = cluster.now;
-    let news = cluster.nodes[2].replica.updates_for(now, &Summary::default());
-    assert_eq!(news.config.map(|config| config.version.serial), Some(3), "decided before the cut");
-    assert!(news.fresh_age > Some(19_000), "its age is reported");
+    let updates = cluster.nodes[2].replica.updates_for(now, &Summary::default());
+    assert_eq!(updates.config.map(|config| config.version.serial), Some(3), "decided before the partition");
+    assert!(updates.fresh_age > Some(19_000), "its age is reported");
     assert_eq!(cluster.propose(0, config(5, "")), DONE);
     cluster.heal();
     cluster.advance(2 * S);
--- a/crates/replication/tests/trials.rs
+++ b/crates/replication/tests/trials.rs
@@ -26,8 +26,9 @@
 /// Steps published to a registry without any data, each with its age in milliseconds.
 fn published_steps(cluster: &mut Cluster, number: usize) -> Vec<(u32, u64)> {
     let now = cluster.now;
-    let news = cluster.nodes[number].replica.updates_for(now, &Summary::default()).trials.unwrap_or_default();
-    let stepped = news.into_iter().filter(|news| news.record.position.step > 0);
+    let updates =
+        cluster.nodes[number].replica.updates_for(now, &Summary::default()).trials.unwrap_or_default();
+    let stepped = updates.into_iter().filter(|news| news.record.position.step > 0);
     stepped.map(|news| (news.record.position.step, news.age)).collect()
 }
 
--- a/crates/trial/src/tracker.rs
+++ b/crates/trial/src/tracker.rs
@@ -65,8 +65,8 @@
     }
 
     /// Applies trial records from a registry's answer that arrived at `received_at`.
-    pub fn apply_updates(&mut self, received_at: Micros, news: Vec<TrialNews>) {
-        for TrialNews { record, age } in news {
+    pub fn apply_updates(&mut self, received_at: Micros, updates: Vec<TrialNews>) {
+        for TrialNews { record, age } in updates {
             let known_by = signed(received_at).saturating_sub(signed(age.saturating_mul(MILLI)));
             self.apply_record(received_at, record, known_by);
         }
--- a/crates/trial/tests/tracker.rs
+++ b/crates/trial/tests/tracker.rs
@@ -18,8 +18,8 @@
 }
 
 /// Applies an up-to-date answer of a registry at `now`.
-fn receive(tracker: &mut TrialTracker, now: u64, news: Vec<TrialNews>) {
-    tracker.apply_updates(now, news);
+fn receive(tracker: &mut TrialTracker, now: u64, updates: Vec<TrialNews>) {
+    tracker.apply_updates(now, updates);
     tracker.observe_freshness(now, Some(0));
 }
 
