--- a/crates/config-store/src/data_dir.rs
+++ b/crates/config-store/src/data_dir.rs
@@ -84,10 +84,10 @@
             DataDirError::FirstFormat => {
                 write!(
                     f,
-                    "holds {FIRST_FORMAT_FILE}, of a version before agreement: start with an empty directory"
+                    "contains {FIRST_FORMAT_FILE} of an unsupported older version: start with an empty directory"
                 )
             }
-            DataDirError::Foreign(owner) => write!(f, "is the directory of {}", owner.name),
+            DataDirError::Foreign(owner) => write!(f, "belongs to machine {}", owner.name),
         }
     }
 }
@@ -184,7 +184,7 @@
         }
         match state.summary() == manifest.summary {
             true => Ok(state),
-            false => Err("a part is not what the manifest names".to_owned()),
+            false => Err("a part does not match the manifest".to_owned()),
         }
     }
 
@@ -232,7 +232,8 @@
     }
 
     fn write_manifest(&self, record: &Record) -> io::Result<()> {
-        let (me, founder) = self.me.clone().ok_or_else(|| io::Error::other("no store has begun here"))?;
+        let (me, founder) =
+            self.me.clone().ok_or_else(|| io::Error::other("the data directory is not initialized"))?;
         let manifest = Manifest {
             format: FORMAT,
             me,
