--- a/crates/capacity/src/workers.rs
+++ b/crates/capacity/src/workers.rs
@@ -16,7 +16,7 @@
     cold_margin: 300_000,
     key_lease: None,
     share_lease: 11_000_000,
-    trials: hingestage_trial::Spans::DEFAULT,
+    trials: hingestage_trial::TrialTiming::DEFAULT,
 };
 /// Workers handled in one run, about.
 const HANDLED: usize = 20_000;
--- a/crates/proxy/tests/view.rs
+++ b/crates/proxy/tests/view.rs
@@ -13,7 +13,7 @@
     cold_margin: S / 2,
     key_lease: Some(4 * S),
     share_lease: 11 * S,
-    trials: hingestage_trial::Spans::DEFAULT,
+    trials: hingestage_trial::TrialTiming::DEFAULT,
 };
 
 fn document(serial: u64, backend: &str) -> ConfigDocument {
