--- a/crates/proxy/src/server.rs
+++ b/crates/proxy/src/server.rs
@@ -348,7 +348,7 @@
         if part.valid_until > 0 {
             self.services.set_proxy_count(part.gateways);
         }
-        self.tenants.borrow_mut().observe_part(self.now(), part);
+        self.tenants.borrow_mut().observe_share(self.now(), part);
     }
 
     /// Updates worker lists whenever workers become usable by the passing of time.
--- a/crates/proxy/src/view.rs
+++ b/crates/proxy/src/view.rs
@@ -3,7 +3,7 @@
 use compact_str::CompactString;
 use hingestage_configuration::{Configuration, KeyTable, RouteTable};
 use hingestage_discovery::{Follower, Listed};
-use hingestage_quota::Part;
+use hingestage_quota::EvenShare;
 use hingestage_replication::{Freshness, Micros};
 use hingestage_rpc::messages::{ConfigDocument, ConfigVersion, Have, ProxyStatus, ZoneDrains};
 use hingestage_rpc::trials::{TrialNews, TrialRevision};
@@ -265,10 +265,10 @@
     }
 
     /// This proxy's share of global limits, and until when it may be used.
-    pub fn limit_share(&self) -> Part {
+    pub fn limit_share(&self) -> EvenShare {
         let valid = self.settled && self.members > 0;
         let valid_until = if valid { self.freshness.lease_expires_at(self.settings.share_lease) } else { 0 };
-        Part { gateways: self.members.max(1), valid_until }
+        EvenShare { gateways: self.members.max(1), valid_until }
     }
 
     /// Number of proxies that share global limits; `None` while this one has no valid share.
