--- a/crates/change/src/desk.rs
+++ b/crates/change/src/desk.rs
@@ -1,81 +1,81 @@
-//! What the keepers' log is applied to: the state of changes, and the texts of the versions that may still be asked
-//! for. The log's first order begins it; whoever wrote an order has read and checked what it says, so that builds
-//! that read other forms of the document apply the same log to the same state.
+//! Replicated state of the policy store: the rollout of changes, and the texts of recent versions. Commands
+//! are validated by the leader before they are logged, so builds that know different document formats apply
+//! the same log to the same state.
 
 use crate::keeper::{Answer, Command, Fate, Figures, Keeper, Micros, Outcome, Question, Stand, Version};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Texts kept besides those in force and under way.
+/// Maximum number of stored texts.
 const TEXTS: usize = 32;
-/// Bytes of texts kept besides those.
+/// Maximum total size of stored texts, bytes.
 const TEXTS_BYTES: usize = 4 << 20;
-/// The longest text, bytes.
+/// Maximum size of a text, bytes.
 pub const TEXT_MAX: usize = 1 << 20;
 
-/// An entry of the log.
+/// Payload of a log entry.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Entry {
-    /// When it was written, by the clock of whoever wrote it.
+    /// Time of writing, by the leader's clock.
     pub at: Micros,
-    /// What is to be done, in this order.
+    /// Commands, applied in this order.
     pub orders: Vec<Order>,
 }
 
-/// Something to be done.
+/// A command in the log.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Order {
-    /// Begins the state, where nothing has.
+    /// Initializes the state, unless that is done.
     Begin {
-        /// What all go by.
+        /// Lease settings.
         figures: Figures,
-        /// The first version.
+        /// Initial version.
         version: Version,
         /// Its text.
         text: String,
     },
-    /// A gateway's question, and the figures that it goes by.
+    /// A gateway's lease request, and its lease settings.
     Ask(Question, Figures),
     /// Proposes a version.
     Propose {
-        /// Which.
+        /// The version.
         version: Version,
         /// Its text.
         text: String,
-        /// In force no earlier than then.
+        /// Earliest time to take effect.
         at: Micros,
-        /// Decided by then or called off.
+        /// Time by which it is decided or called off.
         deadline: Micros,
     },
-    /// Calls a change off.
+    /// Calls a change off, by version number.
     CallOff(u64),
     /// Declares a gateway gone.
     DeclareGone(String),
-    /// Only time passes.
+    /// Advances the clock.
     Tick,
 }
 
-/// What an order came to.
+/// Reply to a command.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Reply {
-    /// A gateway's answer.
+    /// Reply to a lease request.
     Answer(Answer),
-    /// Done, or done before.
+    /// Done, now or before.
     Done,
-    /// Not done, and why.
+    /// Refused, with the reason.
     Refused(String),
-    /// A later life of the gateway has asked.
+    /// A later incarnation of the gateway exists.
     Superseded,
-    /// Not done, as the log has not begun: to be asked again.
+    /// The state is not initialized yet: retry.
     NotBegun,
 }
 
-/// A gateway's call to the keepers; answered with a [`Reply`].
+/// A gateway's call to the keepers, answered with a [`Reply`].
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Asked {
-    /// Its question.
+    /// The lease request.
     pub question: Question,
-    /// The figures that it goes by.
+    /// The gateway's lease settings.
     pub figures: Figures,
 }
 
@@ -84,41 +84,41 @@
 pub struct Proposed {
     /// The document.
     pub text: String,
-    /// In force no earlier than then, Unix time, µs; 0 for as soon as may be.
+    /// Earliest time to take effect, Unix time in µs; 0 for as soon as possible.
     pub at: Micros,
-    /// Called off where it is not decided within this time, µs.
+    /// Called off if not decided within this time, µs.
     pub within: Micros,
-    /// Whether it is meant though it wants a word more.
+    /// Whether to accept a change that is flagged as dangerous.
     pub despite: bool,
 }
 
-/// What a keeper says that does not lead.
+/// Answer of a keeper that does not lead.
 #[derive(Clone, Copy, Debug, Default, Serialize, Deserialize)]
 pub struct Elsewhere {
-    /// Who leads, as far as it knows.
+    /// The leader's number, if known.
     pub leader: Option<u64>,
 }
 
-/// What operators are told.
+/// Status for operators.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Report {
-    /// The present, as the log has it.
+    /// Time of the last log entry.
     pub now: Micros,
-    /// What all go by.
+    /// Lease settings.
     pub figures: Figures,
-    /// In force until a decided change is.
+    /// Version in force, until a decided change takes effect.
     pub force: Version,
-    /// What is under way.
+    /// Pending change.
     pub change: Option<crate::keeper::Change>,
-    /// Each gateway.
+    /// Gateways by name.
     pub gateways: BTreeMap<String, Stand>,
-    /// Gateways that a proposal waits for.
+    /// Gateways that the proposal waits for.
     pub waits_for: Vec<String>,
-    /// What became of changes, the latest last.
+    /// Outcomes of changes, the latest last.
     pub history: Vec<(Version, Fate)>,
 }
 
-/// The state.
+/// The replicated state.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Desk {
     keeper: Option<Keeper>,
@@ -126,7 +126,7 @@
 }
 
 impl Desk {
-    /// Applies an entry; one reply an order.
+    /// Applies an entry and returns one reply per command.
     pub fn apply(&mut self, entry: &Entry) -> Vec<Reply> {
         let replies = entry.orders.iter().map(|order| self.one(entry.at, order)).collect();
         self.tidy();
@@ -164,7 +164,7 @@
         }
     }
 
-    /// Keepers that start together all mean to begin: the first does, and the others find it done.
+    /// Initial keepers may all send this command: only the first has an effect.
     fn begin(&mut self, figures: Figures, version: Version, text: &str) -> Reply {
         if self.keeper.is_none() {
             self.keeper = Some(Keeper::new(figures, version));
@@ -173,7 +173,7 @@
         Reply::Done
     }
 
-    /// Forgets texts, the oldest first, but neither that in force nor one under way.
+    /// Drops the oldest texts beyond the limits, except those of the version in force and the pending one.
     fn tidy(&mut self) {
         let Some(keeper) = &self.keeper else { return };
         let (force, change) = keeper.standing();
@@ -187,27 +187,27 @@
         }
     }
 
-    /// Whether its log has begun.
+    /// Whether the state is initialized.
     pub fn has_begun(&self) -> bool {
         self.keeper.is_some()
     }
 
-    /// Whether something will come of time alone, so that ticks are worth their entries.
+    /// Whether ticks are needed for a pending change.
     pub fn waits(&self) -> bool {
         self.keeper.as_ref().is_some_and(Keeper::waits)
     }
 
-    /// The text of the version in force; none before the log has begun.
+    /// Text of the version in force; `None` before initialization.
     pub fn in_force(&self) -> Option<&str> {
         self.text(self.keeper.as_ref()?.standing().0.number)
     }
 
-    /// The text of a version, where it is kept.
+    /// Text of a version, if stored.
     pub fn text(&self, number: u64) -> Option<&str> {
         self.texts.get(&number).map(|(_, text)| text.as_str())
     }
 
-    /// What operators are told; none before the log has begun.
+    /// Status for operators; `None` before initialization.
     pub fn report(&self) -> Option<Report> {
         let keeper = self.keeper.as_ref()?;
         let (force, change) = keeper.standing();
@@ -224,7 +224,7 @@
 }
 
 impl Report {
-    /// What became of a version; none while that is open or where it is not known.
+    /// Outcome of a version; `None` while it is pending or if unknown.
     pub fn fate(&self, version: Version) -> Option<&Fate> {
         let of = self.history.iter().rev().find(|(known, _)| *known == version);
         of.map(|(_, fate)| fate)
--- a/crates/change/src/diff.rs
+++ b/crates/change/src/diff.rs
@@ -1,15 +1,15 @@
-//! What one version changes of another, in words for whoever signs it.
+//! Differences between two versions in readable form.
 
 use crate::document::{date, Class, Plan, Policy};
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
 
-/// One thing that changes.
+/// One difference.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Difference {
-    /// Of what: a plan, a class, accounts.
+    /// What differs: a plan, a class or a list of accounts.
     pub of: String,
-    /// What becomes of it.
+    /// Description of the difference.
     pub what: String,
 }
 
@@ -19,7 +19,7 @@
     }
 }
 
-/// All that `after` changes of `before`, less the version's number.
+/// Lists all differences from `before` to `after`, except the version number.
 pub fn diff(before: &Policy, after: &Policy) -> Vec<Difference> {
     let mut all = Vec::new();
     both(&mut all, "plan", &before.plans, &after.plans, plan);
@@ -68,7 +68,7 @@
     }
 }
 
-/// A figure before and after, where it changes.
+/// Adds the difference of a number, if any.
 fn figure(changes: &mut Vec<String>, name: &str, before: Option<f64>, after: Option<f64>, unit: &str) {
     let change = match (before, after) {
         (Some(a), Some(b)) if a != b => format!("{name} {a} to {b}{unit}"),
--- a/crates/change/src/document.rs
+++ b/crates/change/src/document.rs
@@ -1,4 +1,4 @@
-//! The document as a value, its canonical text and its digest.
+//! Policy document, its canonical text and digest.
 
 use serde::{de, Deserialize, Deserializer, Serialize, Serializer};
 use sha2::{Digest as _, Sha256};
@@ -6,21 +6,21 @@
 use std::fmt::{self, Write};
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-/// The form of the document. One that this build does not know is not read: what follows may mean other things.
+/// Version of the document format. Documents with another version are rejected.
 pub const FORM: u32 = 1;
 
-/// A plan.
+/// Limits of a plan.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Plan {
-    /// Units a second that fill the quota's store, and units that it holds; none without a quota.
+    /// Token bucket of the quota: units a second and capacity in units; `None` for no quota.
     pub quota: Option<(f64, f64)>,
-    /// Units a second of the ceiling, units that it holds, and how far below nothing it may go.
+    /// Token bucket of the ceiling: units a second, capacity in units, and allowed debt in units.
     pub ceiling: Option<(f64, f64, f64)>,
-    /// What a unit is worth beside those of other plans.
+    /// Relative value of a unit compared with other plans.
     pub worth: f64,
 }
 
-/// How often the effect of a request of a class may happen.
+/// Retry semantics of a class.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Effect {
     /// It may be repeated freely.
@@ -32,14 +32,14 @@
 }
 
 impl Effect {
-    /// All of them with their names.
+    /// All variants with their names in documents.
     pub const NAMES: [(&str, Effect); 3] = [
         ("idempotent", Effect::Idempotent),
         ("at-most-once", Effect::AtMostOnce),
         ("deduplicated", Effect::Deduplicated),
     ];
 
-    /// Its name.
+    /// Name in documents.
     pub fn name(self) -> &'static str {
         Effect::NAMES.iter().find(|(_, effect)| *effect == self).map_or("", |(name, _)| name)
     }
@@ -48,43 +48,43 @@
 /// A class of requests.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Class {
-    /// Answered within this time a request earns its full worth.
+    /// Target latency; requests answered within it earn their full value.
     pub aim: Duration,
-    /// How long a client waits at most.
+    /// Deadline after which clients give up.
     pub give_up: Duration,
-    /// How often its effect may happen.
+    /// Retry semantics.
     pub effect: Effect,
-    /// Attempts that a request may have.
+    /// Maximum attempts of a request.
     pub attempts: u32,
 }
 
-/// Another plan for an account, for a time.
+/// A temporary plan of an account.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Override {
-    /// The plan.
+    /// Name of the plan.
     pub plan: String,
-    /// Seconds since 1970; the account's own plan holds again from then on.
+    /// Expiry, Unix time in seconds.
     pub until: u64,
 }
 
-/// The document.
+/// A policy document.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Policy {
-    /// Its number; a change has a greater one than what it changes.
+    /// Version number; must increase with each change.
     pub version: u64,
     /// Plans by name.
     pub plans: BTreeMap<String, Plan>,
     /// Classes by name.
     pub classes: BTreeMap<String, Class>,
-    /// Accounts that no quota holds.
+    /// Accounts without a quota.
     pub exempt: BTreeSet<u64>,
-    /// Accounts that are refused.
+    /// Blocked accounts.
     pub blocked: BTreeSet<u64>,
-    /// Accounts with another plan for a time.
+    /// Temporary plans by account.
     pub overrides: BTreeMap<u64, Override>,
 }
 
-/// A digest of a document's canonical text: two with the same digest say the same.
+/// SHA-256 digest of a document's canonical text.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Digest(pub [u8; 32]);
 
@@ -124,14 +124,14 @@
     }
 }
 
-/// A point in time as people write it.
+/// Formats Unix time as an RFC 3339 date.
 pub fn date(seconds: u64) -> String {
     let at: SystemTime = UNIX_EPOCH + Duration::from_secs(seconds);
     humantime::format_rfc3339_seconds(at).to_string()
 }
 
 impl Policy {
-    /// The one text of all that say the same: sorted, each field on a line, numbers in their shortest form.
+    /// Canonical text: sorted, one plan, class or list per line, numbers in their shortest form.
     pub fn text(&self) -> String {
         let mut text = format!("(policy (form {FORM}) (version {})", self.version);
         for (name, plan) in &self.plans {
@@ -163,13 +163,13 @@
         text
     }
 
-    /// The digest of its text.
+    /// Digest of the canonical text.
     pub fn digest(&self) -> Digest {
         Digest(Sha256::digest(self.text().as_bytes()).into())
     }
 }
 
-/// A name as the reader takes it back.
+/// Quotes a name for the document.
 fn quoted(name: &str) -> String {
     format!("\"{}\"", name.replace('\\', "\\\\").replace('"', "\\\""))
 }
--- a/crates/change/src/fields.rs
+++ b/crates/change/src/fields.rs
@@ -1,30 +1,29 @@
-//! Fields that keepers' files and gateways' share: who the keepers are, and the figures that all go by.
+//! Configuration fields that keepers and gateways share: keeper addresses and lease settings.
 
 use crate::keeper::{Figures, Micros};
 use hingestage_form::Form;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// Most keepers: more than five make each word slower and no loss likelier to be survived.
+/// Maximum number of keepers; more would slow down writes without improving availability.
 const KEEPERS_MAX: usize = 9;
-/// Keepers are numbered below this.
+/// Maximum keeper number.
 const NUMBER_MAX: f64 = 1_000.0;
-/// Bounds of a lease, seconds.
+/// Allowed lease durations, seconds.
 const LEASE: (f64, f64) = (0.2, 3_600.0);
-/// Bounds of the error of clocks, seconds.
+/// Allowed clock errors, seconds.
 const ERROR: (f64, f64) = (0.001, 60.0);
 
-/// The longest name of a gateway, bytes.
+/// Maximum length of a gateway's name, bytes.
 pub const NAME_MAX: usize = 64;
 
 impl Figures {
-    /// What is gone by where nothing is said: gateways without word stop after two seconds, and clocks are kept by
-    /// the network's time.
+    /// Defaults: a lease of two seconds, and a clock error that NTP keeps.
     pub fn usual() -> Figures {
         Figures { lease: 2_000_000, error: 250_000 }
     }
 
-    /// Reads the field, if it is one of these.
+    /// Parses the field if it belongs to these settings; returns whether it does.
     ///
     /// # Errors
     /// One message that names the field and its place.
@@ -40,7 +39,7 @@
         Ok(true)
     }
 
-    /// What no field shows alone.
+    /// Checks that the settings fit together.
     ///
     /// # Errors
     /// One message that names the field and its place.
@@ -52,14 +51,14 @@
     }
 }
 
-/// A keeper's number.
+/// Parses the number of a keeper.
 ///
 /// # Errors
 /// One message that names the field and its place.
 pub fn number(form: &Form, name: &str) -> Result<u64, String> {
     form.whole(name, 0.0, NUMBER_MAX)
 }
-/// Numbers and addresses of keepers, as `(keepers (1 "127.0.0.1:7001") ...)`; gateways' files have the same.
+/// Parses keeper numbers and addresses, as in `(keepers (1 "127.0.0.1:7001") ...)`.
 ///
 /// # Errors
 /// One message that names the field and its place.
@@ -82,7 +81,7 @@
     }
 }
 
-/// An address with a port.
+/// Parses an address with a non-zero port.
 ///
 /// # Errors
 /// One message that names the field and its place.
--- a/crates/change/src/guard.rs
+++ b/crates/change/src/guard.rs
@@ -1,31 +1,31 @@
-//! Limits to what a change may do at once: a slip of the hand should not stop a site. Whoever means it says so.
+//! Detects changes that are likely mistakes. An operator must confirm them.
 
 use crate::document::{Plan, Policy};
 use std::fmt;
 
-/// A figure may fall to this part of what it was.
+/// A limit may fall to this fraction without confirmation.
 const FALLS_TO: f64 = 0.5;
-/// It may rise to this multiple.
+/// A limit may rise to this multiple without confirmation.
 const RISES_TO: f64 = 4.0;
-/// So many more accounts may be blocked at once, or exempted.
+/// Accounts that may be blocked or exempted at once without confirmation.
 const ACCOUNTS: usize = 20;
 
-/// Something that a change would do and that wants a word more.
+/// A change that needs confirmation.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Danger {
-    /// A plan's accounts could have nothing.
+    /// A plan's quota or ceiling becomes zero.
     Nothing(String),
-    /// A plan's figure falls far.
+    /// A plan's limit falls far: plan, limit, before, after.
     Falls(String, &'static str, f64, f64),
-    /// A plan's figure rises far: workers that are cold may not bear it.
+    /// A plan's limit rises far, which may overload cold workers: plan, limit, before, after.
     Rises(String, &'static str, f64, f64),
-    /// A plan or class is taken away, and what is asked under it is refused.
+    /// A plan or class is removed: kind, name.
     Gone(&'static str, String),
-    /// A class's effect is taken to be safer to repeat than it was.
+    /// A class that was not retried becomes retryable.
     Repeats(String),
-    /// So many more accounts are blocked or exempt.
+    /// Many accounts are blocked or exempted at once: list, number.
     Accounts(&'static str, usize),
-    /// The version's number is not greater.
+    /// The version number does not increase: before, after.
     Version(u64, u64),
 }
 
@@ -43,7 +43,7 @@
     }
 }
 
-/// What a change would do that wants a word more.
+/// Lists what needs confirmation in a change.
 pub fn dangers(before: &Policy, after: &Policy) -> Vec<Danger> {
     let mut all = Vec::new();
     if after.version <= before.version {
@@ -88,7 +88,7 @@
     before.filter(|name| !there(name)).map(|name| Danger::Gone(kind, name.clone())).collect()
 }
 
-/// Figures of a plan that fall or rise far.
+/// Adds limits of a plan that fall or rise far.
 fn far(all: &mut Vec<Danger>, name: &str, before: &Plan, after: &Plan) {
     let quota = |plan: &Plan| plan.quota.map(|(rate, _)| rate);
     let ceiling = |plan: &Plan| plan.ceiling.map(|(rate, ..)| rate);
--- a/crates/change/src/holder.rs
+++ b/crates/change/src/holder.rs
@@ -1,10 +1,10 @@
-//! The gateway's side of a change: which version a request begins under, if it may begin at all.
+//! The gateway's side of a rollout: holds the lease and determines the version for new requests, if any.
 //!
-//! What a former life believed counts for nothing: a gateway that starts begins nothing before it has an answer.
+//! Nothing is carried over from an earlier process: a new gateway serves nothing before its first reply.
 
 use crate::keeper::{Answer, Change, Figures, Micros, Mode, Question, Version};
 
-/// One gateway's life.
+/// Lease state of one gateway process.
 #[derive(Clone, Debug)]
 pub struct Holder {
     gateway: String,
@@ -12,33 +12,32 @@
     mode: Mode,
     figures: Figures,
     last: Option<Answer>,
-    /// Versions that have been checked and can be gone by, by number; the two last.
+    /// Versions that are validated and ready for use; at most two.
     applied: Vec<Version>,
     cannot: Option<u64>,
-    /// When it first said that it is ready for a change whose fate it does not know.
+    /// Time of the first request that reported readiness for a change whose outcome is unknown.
     promised: Option<Micros>,
-    /// Its clock was too far from the keepers' when it last heard them: until it is not, it asks for no lease, as it would
-    /// not use one and others would wait for its end.
+    /// The clock differed too much from the keepers' at the last reply. Until it agrees again, requests only
+    /// probe the time, so that no change waits for an unused lease.
     astray: bool,
 }
 
 impl Holder {
-    /// One that knows nothing.
+    /// Creates the state of a gateway that has had no reply.
     pub fn new(gateway: &str, life: u64, mode: Mode, figures: Figures) -> Holder {
         let gateway = gateway.to_owned();
         let (last, applied, cannot, promised, astray) = (None, Vec::new(), None, None, false);
         Holder { gateway, life, mode, figures, last, applied, cannot, promised, astray }
     }
 
-    /// Begins anew as a later life, while the process goes on: what was heard counts for nothing, what is applied still
-    /// is.
+    /// Starts a new incarnation within the same process. Replies are discarded, applied versions are not.
     pub fn begin_anew(&mut self, now: Micros) {
         let life = now.max(self.life + 1);
         let applied = std::mem::take(&mut self.applied);
         *self = Holder { applied, ..Holder::new(&self.gateway, life, self.mode, self.figures) };
     }
 
-    /// The question to ask now.
+    /// Returns the next lease request.
     pub fn question(&mut self, now: Micros) -> Question {
         let proposed = self.proposed();
         let ready = proposed.filter(|version| !self.astray && self.applied.contains(version));
@@ -54,14 +53,14 @@
         self.last?.change.map(|change| change.version())
     }
 
-    /// Takes in an answer that comes now. One to an older question than the last tells nothing new.
+    /// Handles a reply. Replies to requests older than the last answered one are ignored.
     ///
     /// # Errors
-    /// The keepers' clock is further away than clocks may be, so that neither the lease nor the instant of a
-    /// change can be gone by; how far it is at least, µs, ahead of this one's where it is positive.
+    /// The keepers' clock differs by more than the allowed error, so the reply is not used. Returns the
+    /// minimum difference in µs, positive if the keepers are ahead.
     pub fn answered(&mut self, now: Micros, answer: Answer) -> Result<(), i64> {
         let error = self.figures.error;
-        // The keepers wrote their time between the question and now.
+        // The keepers' timestamp lies between sending the request and now.
         self.astray = true;
         if answer.told > now.saturating_add(error) {
             return Err((answer.told - now) as i64);
@@ -80,21 +79,21 @@
         if self.last.is_some_and(|last| answer.issued < last.issued) {
             return;
         }
-        // A question from before the promise may have been answered before the change was proposed.
+        // An older request may have been answered before the change was proposed.
         if answer.change.is_none() && self.promised.is_some_and(|at| answer.issued >= at) {
             self.promised = None;
         }
         self.last = Some(answer);
     }
 
-    /// Versions that are named and not applied yet: to be fetched, checked and made ready.
+    /// Versions to fetch, validate and apply.
     pub fn wanted(&self) -> Vec<Version> {
         let Some(last) = self.last else { return Vec::new() };
         let named = [Some(last.force), self.proposed()];
         named.into_iter().flatten().filter(|version| !self.applied.contains(version)).collect()
     }
 
-    /// A version's text is here, its digest is right, and it can be gone by or not.
+    /// Records whether a fetched version can be applied.
     pub fn applied(&mut self, version: Version, can: bool) {
         if !can {
             self.cannot = Some(version.number);
@@ -102,13 +101,13 @@
         }
         self.applied.retain(|known| *known != version);
         self.applied.push(version);
-        // That in force and the next one: no other is ever gone back to but by a new number.
+        // The version in force and the next one; older contents only return under a new number.
         if self.applied.len() > 2 {
             self.applied.remove(0);
         }
     }
 
-    /// Until when what `version` says now holds, if nothing more is heard.
+    /// Time of the next possible change of `version`, if no reply arrives.
     pub fn holds_until(&self, now: Micros) -> Micros {
         let Some(last) = self.last else { return Micros::MAX };
         let lease = last.issued.saturating_add(self.figures.lease);
@@ -116,16 +115,16 @@
         [lease, from].into_iter().filter(|at| *at > now).min().unwrap_or(Micros::MAX)
     }
 
-    /// The last answer, for operators.
+    /// Last reply, for status output.
     pub fn last(&self) -> Option<Answer> {
         self.last
     }
 
-    /// The version that a request which begins now begins under; none where none may begin.
+    /// Version for requests that start now; `None` if none may start.
     pub fn version(&self, now: Micros) -> Option<Version> {
         let last = self.last?;
         let leased = now < last.issued + self.figures.lease;
-        // One that serves on keeps to its lease while it does not know what became of a change.
+        // In mode `serve`, the lease binds while a change's outcome is unknown.
         let serves_on = self.mode == Mode::Serve && last.change.is_none() && self.promised.is_none();
         if !leased && !serves_on {
             return None;
@@ -152,7 +151,7 @@
         holder
     }
 
-    /// An answer while a change is proposed.
+    /// A reply while a change is proposed.
     fn proposed(issued: Micros) -> Answer {
         Answer {
             issued,
@@ -200,7 +199,7 @@
         assert_eq!(number(&holder, 2 * S), None, "no lease came with it");
         assert!(!holder.question(2 * S).probes);
         assert_eq!(holder.answered(3 * S, answer(3 * S, 3 * S, true)), Ok(()));
-        // What answers the probe comes late, and gives nothing.
+        // A late reply to the probe grants nothing.
         assert_eq!(holder.answered(4 * S, answer(4 * S, 4 * S, false)), Ok(()));
         assert_eq!((number(&holder, 5 * S - 1), number(&holder, 5 * S)), (Some(1), None));
     }
@@ -220,7 +219,7 @@
         holder.take(proposed(2 * S));
         holder.applied(version(2), true);
         assert_eq!(holder.question(4 * S).ready, Some(2));
-        // Asked before, answered before the proposal, and long on its way.
+        // Sent before readiness was reported, and delayed.
         holder.take(Answer { issued: 3 * S, told: 3 * S, force: version(1), change: None, leased: true });
         assert_eq!(number(&holder, 6 * S), None);
         holder.take(Answer { issued: 4 * S, told: 4 * S, force: version(1), change: None, leased: true });
--- a/crates/change/src/keeper.rs
+++ b/crates/change/src/keeper.rs
@@ -1,42 +1,45 @@
-//! The keeper of a change: what a replicated log is applied to. Equal commands in equal order give equal states,
-//! whoever applies them; time comes with each command, from whoever wrote it into the log.
+//! Coordinates the rollout of a policy version to all gateways. Deterministic state machine of the replicated
+//! log: time comes with each command, from the leader that wrote it.
 //!
-//! # How a change takes hold
-//! 1. Each gateway asks for word every so often; an answer lets it serve until `lease` after it asked, by its own
-//!    clock. The keeper notes that end.
-//! 2. A proposal is told with each answer. A gateway that has it checked and ready says so with its next question.
-//! 3. Once every gateway is ready, or its lease is over, or an operator has declared it gone, the change is
-//!    *decided*, for an instant `from` that lies `error` behind the end of every lease given so far.
-//! 4. Answers from then on name the decision. Whoever serves at `from` or later has asked after the decision and
-//!    knows it; each goes over at `from` by its own clock.
+//! # Rollout
+//! 1. Each gateway requests leases periodically. A reply lets it serve until `lease` after the request was sent,
+//!    by its own clock; the state records that end.
+//! 2. Each reply names the proposed version. A gateway that has fetched and validated it reports readiness with
+//!    its next request.
+//! 3. Once every gateway is ready, has no lease left, or was declared gone by an operator, the change is *decided*
+//!    to take effect at `from`: the maximum clock error after the end of every lease granted so far.
+//! 4. Later replies name the decision. A gateway with a lease at `from` or later has sent its request after the
+//!    decision and knows it; it switches at `from` by its own clock.
 //!
-//! **No request begins under the old version later than `error` after one began under the new one**, over all
-//! gateways whose clocks differ by `error` at most and which were not wrongly declared gone: one that knows the
-//! decision begins nothing old at `from` or later by its clock, and one that does not know it holds a lease that
-//! was given before, which ends `error` before `from`. Nothing new begins before `from` on any clock.
+//! # Guarantee
+//! **No request starts under the old version later than the maximum clock error after one started under the new
+//! version**, for all gateways whose clocks stay within that error and that were not wrongly declared gone. A
+//! gateway that knows the decision starts nothing under the old version from `from` on; one that does not know it
+//! holds an older lease, which ends before `from` by at least the clock error. Nothing starts under the new
+//! version before `from` on any clock.
 //!
-//! # Who is down
-//! In mode `stop` a gateway without a lease begins nothing: the change goes on without it. In mode `serve` it
-//! serves on, so the change waits for it until the deadline; but one that is ready for a change keeps to its
-//! lease until it hears what became of it.
+//! # Unreachable gateways
+//! In mode `stop`, a gateway without a lease starts no requests, and the rollout goes on without it. In mode
+//! `serve` it keeps serving, so the rollout waits for it until the deadline; but a gateway that has reported
+//! readiness keeps to its lease until it learns the outcome.
 
 use crate::Digest;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
 
-/// Microseconds, as a point of Unix time or a span.
+/// Microseconds: Unix time or a duration.
 pub type Micros = u64;
 
-/// Changes that are remembered.
+/// Maximum outcomes in the history.
 const HISTORY: usize = 1_000;
-/// Most gateways.
+/// Maximum number of gateways.
 const GATEWAYS_MAX: usize = 10_000;
-/// One that stops without a lease and has not asked for so long is forgotten, µs.
+/// Gateways in mode `stop` are removed this long after their lease, µs.
 const FORGOTTEN: Micros = 86_400_000_000;
-/// Gateways that a message names.
+/// Maximum gateways listed in a message.
 const NAMED: usize = 8;
 
-/// Some names, the first of them in words.
+/// Joins names, abbreviating long lists.
 fn some(names: &[String]) -> String {
     let more = names.len().saturating_sub(NAMED);
     let named = names[..names.len() - more].join(", ");
@@ -47,65 +50,65 @@
     }
 }
 
-/// What a gateway does whose lease is over.
+/// What a gateway does after its lease has ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Mode {
-    /// It begins nothing more.
+    /// It starts no more requests.
     Stop,
-    /// It serves on, unless it is ready for a change.
+    /// It keeps serving, unless it has reported readiness for a change.
     Serve,
 }
 
-/// A version and what it says.
+/// Number and digest of a version.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Version {
-    /// Its number.
+    /// Version number.
     pub number: u64,
-    /// The digest of its text.
+    /// Digest of the canonical text.
     pub digest: Digest,
 }
 
-/// How long leases are, and how far clocks may be apart, µs. All gateways and keepers must have the same.
+/// Lease settings, which all gateways and keepers must share.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Figures {
-    /// A gateway serves so long after it asked.
+    /// Duration of a lease from the time of the request, µs.
     pub lease: Micros,
-    /// Most that two clocks differ.
+    /// Maximum difference of any two clocks, µs.
     pub error: Micros,
 }
 
-/// What a gateway asks for word with.
+/// A gateway's lease request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Question {
-    /// Which gateway.
+    /// Name of the gateway.
     pub gateway: String,
-    /// Its life: greater with each start.
+    /// Incarnation: increases with each start.
     pub life: u64,
-    /// When it asked, by its own clock.
+    /// Time of sending, by the gateway's clock.
     pub issued: Micros,
-    /// What it does without a lease.
+    /// Behavior without a lease.
     pub mode: Mode,
-    /// The version that it is ready for.
+    /// Version that the gateway is ready for.
     pub ready: Option<u64>,
-    /// The version that it can't apply.
+    /// Version that the gateway can't apply.
     pub cannot: Option<u64>,
-    /// Its clock was too far from the keepers' to go by their word: it asks only whether it still is, and wants no lease.
-    /// Builds that don't know of this give one, which such a gateway does not use.
+    /// Only checks the clock and requests no lease, since the clock differed too much. Older keepers ignore
+    /// this and grant a lease, which the gateway does not use.
     #[serde(default)]
     pub probes: bool,
 }
 
-/// A change that is under way.
+/// A pending change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Change {
-    /// To be made ready for.
+    /// Gateways are to get ready for it.
     Proposed(Version),
-    /// In force from an instant on.
+    /// Takes effect at a time.
     Decided(Version, Micros),
 }
 
 impl Change {
-    /// The version that it changes to.
+    /// The new version.
     pub fn version(&self) -> Version {
         match self {
             Change::Proposed(version) | Change::Decided(version, _) => *version,
@@ -113,61 +116,61 @@
     }
 }
 
-/// What a gateway is answered.
+/// Reply to a lease request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Answer {
-    /// When it asked.
+    /// Time of sending, copied from the request.
     pub issued: Micros,
-    /// The keepers' present: whoever's clock is further from it than may be does not go by the answer.
+    /// The keepers' time. A gateway whose clock differs too much ignores the reply.
     pub told: Micros,
-    /// In force until a decided change is.
+    /// Version in force, until a decided change takes effect.
     pub force: Version,
-    /// What is under way.
+    /// Pending change.
     pub change: Option<Change>,
-    /// Whether it lets the gateway serve: not where that asked for no lease.
+    /// Whether a lease is granted; not for probes.
     #[serde(default = "leased")]
     pub leased: bool,
 }
 
-/// Keepers of older builds give a lease with each answer.
+/// Older keepers grant a lease with every reply.
 fn leased() -> bool {
     true
 }
 
-/// What became of a change.
+/// Outcome of a change.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Fate {
-    /// It was decided for this instant.
+    /// Decided, to take effect at this time.
     InForce(Micros),
-    /// It was called off.
+    /// Called off, with the reason.
     CalledOff(String),
 }
 
 /// A command of the log.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Command {
-    /// A gateway asks for word.
+    /// Requests a lease.
     Ask(Question),
-    /// A change is proposed, to be decided by a deadline, and in force no earlier than `at`.
+    /// Proposes a version: version, earliest time to take effect, deadline of the decision.
     Propose(Version, Micros, Micros),
-    /// An operator calls a change off.
+    /// Calls a change off, by version number.
     CallOff(u64),
-    /// An operator says that a gateway is gone and begins nothing.
+    /// Declares that a gateway is gone and starts no requests.
     DeclareGone(String),
-    /// Time has passed.
+    /// Advances the clock.
     Tick,
 }
 
-/// What a command came to.
+/// Result of a command.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Outcome {
-    /// A gateway's answer.
+    /// Reply to a lease request.
     Answer(Answer),
-    /// Done, or done before: the same proposal twice is one.
+    /// Done, now or before: proposals are idempotent.
     Done,
-    /// Not done, and why.
+    /// Refused, with the reason.
     Refused(String),
-    /// A later life of this gateway has asked: another process serves in its place, or it must begin anew.
+    /// A later incarnation of the gateway exists: another process has replaced it, or it must start anew.
     Superseded,
 }
 
@@ -175,7 +178,7 @@
 struct Known {
     life: u64,
     mode: Mode,
-    /// The end of its latest lease, by its own clock.
+    /// End of its latest lease, by its own clock.
     until: Micros,
     ready: Option<u64>,
 }
@@ -187,22 +190,22 @@
     deadline: Micros,
 }
 
-/// How a gateway stands.
+/// Status of a gateway.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Stand {
-    /// What it does without a lease.
+    /// Behavior without a lease.
     pub mode: Mode,
-    /// When it last asked.
+    /// Time of its last request.
     pub asked: Micros,
     /// The end of its lease.
     pub until: Micros,
-    /// Whether it can't be serving.
+    /// Whether its lease has ended on any clock.
     pub over: bool,
-    /// Whether it is ready for what is proposed.
+    /// Whether it is ready for the pending change.
     pub ready: bool,
 }
 
-/// The state.
+/// State of the rollout.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Keeper {
     figures: Figures,
@@ -215,13 +218,13 @@
 }
 
 impl Keeper {
-    /// One with a first version in force and no gateways yet.
+    /// Creates a state with an initial version and no gateways.
     pub fn new(figures: Figures, force: Version) -> Keeper {
         let (gateways, history) = (BTreeMap::new(), VecDeque::new());
         Keeper { figures, now: 0, force, proposal: None, decided: None, gateways, history }
     }
 
-    /// Applies a command that was written at a time. Time never goes back, whoever wrote it.
+    /// Applies a command written at `now`. Time never goes back, even if leaders' clocks differ.
     pub fn apply(&mut self, now: Micros, command: Command) -> Outcome {
         self.now = self.now.max(now);
         let outcome = match command {
@@ -244,24 +247,24 @@
         outcome
     }
 
-    /// The version in force, and what is under way.
+    /// The version in force and the pending change.
     pub fn standing(&self) -> (Version, Option<Change>) {
         (self.force, self.change())
     }
 
-    /// What became of changes, the latest last.
+    /// Outcomes of changes, the latest last.
     pub fn history(&self) -> impl Iterator<Item = &(Version, Fate)> {
         self.history.iter()
     }
 
-    /// Gateways that a proposal waits for.
+    /// Gateways that the proposal waits for.
     pub fn waits_for(&self) -> Vec<String> {
         let Some(proposal) = &self.proposal else { return Vec::new() };
         let waits = |known: &Known| known.ready != Some(proposal.version.number) && !self.is_over(known);
         self.gateways.iter().filter(|(_, known)| waits(known)).map(|(gateway, _)| gateway.clone()).collect()
     }
 
-    /// Each gateway, and how it stands to what is under way.
+    /// Status of each gateway.
     pub fn gateways(&self) -> impl Iterator<Item = (&str, Stand)> {
         let pending = self.proposal.as_ref().map(|proposal| proposal.version.number);
         let lease = self.figures.lease;
@@ -272,22 +275,22 @@
         })
     }
 
-    /// The figures that all go by.
+    /// Lease settings.
     pub fn figures(&self) -> Figures {
         self.figures
     }
 
-    /// The present, as the log has it.
+    /// Time of the last command.
     pub fn now(&self) -> Micros {
         self.now
     }
 
-    /// Whether something will come of time alone.
+    /// Whether the passing of time alone can change the state.
     pub fn waits(&self) -> bool {
         self.proposal.is_some() || self.decided.is_some()
     }
 
-    /// Whether a gateway can't be serving: its lease has ended on any clock.
+    /// Whether a gateway's lease has ended on any clock.
     fn is_over(&self, known: &Known) -> bool {
         known.mode == Mode::Stop && known.until.saturating_add(self.figures.error) <= self.now
     }
@@ -317,13 +320,13 @@
             ));
         }
         if question.probes {
-            // Nothing is waited for that it won't use.
+            // No lease, so that no change waits for it.
             return Outcome::Answer(self.answer(question));
         }
         let until = question.issued.saturating_add(self.figures.lease);
         let known = Known { life: question.life, mode: question.mode, until, ready: question.ready };
         let entry = self.gateways.entry(question.gateway.clone()).or_insert(known.clone());
-        // Questions overtake each other: the latest end counts, and readiness once told stays.
+        // Requests may arrive out of order: keep the latest lease end, and readiness once reported.
         let ready = entry.ready.filter(|_| entry.life == question.life).max(question.ready);
         *entry = Known { until: entry.until.max(until), ready, ..known };
         Outcome::Answer(self.answer(question))
@@ -359,7 +362,7 @@
         Outcome::Done
     }
 
-    /// The greatest number that was ever given, called off or not: one number never has two contents.
+    /// Highest version number ever used, even if called off: a number never has two contents.
     fn newest(&self) -> u64 {
         let given = self.history.iter().map(|(version, _)| version.number).max();
         given.unwrap_or(0).max(self.force.number)
@@ -386,7 +389,7 @@
         }
     }
 
-    /// Decides what can be decided, calls off what is too late, and puts in force what is due.
+    /// Decides the proposal or calls it off, and puts a decided version in force when due.
     fn settle(&mut self) {
         if let Some((version, _)) = self.decided.filter(|(_, from)| from + self.figures.error <= self.now) {
             (self.force, self.decided) = (version, None);
--- a/crates/change/src/lib.rs
+++ b/crates/change/src/lib.rs
@@ -1,6 +1,6 @@
-//! Policy as a versioned document: plans, classes, accounts that are exempt, blocked or have another plan for a
-//! time. Read and checked whole, written in one canonical form with a digest, compared with another version, and
-//! held against limits to what a change may do at once. Nothing here reads a clock or a file.
+//! Versioned policy documents: plans, classes, and exempt, blocked or overridden accounts. Parses, validates,
+//! prints and compares documents, and rolls changes out to gateways with leases. Performs no I/O and reads no
+//! clock.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/crates/change/src/read.rs
+++ b/crates/change/src/read.rs
@@ -1,31 +1,30 @@
-//! Reads a document, checked whole: one message with field, line and column, or a policy in which every name is
-//! known and every figure can be gone by.
+//! Parser for policy documents. Errors name the field with line and column.
 
 use crate::document::{Class, Effect, Override, Plan, Policy, FORM};
 use hingestage_form::{once, Form};
 use std::collections::BTreeSet;
 use std::time::{Duration, UNIX_EPOCH};
 
-/// Most units a second, and most units of a store.
+/// Maximum rate, units a second, and maximum capacity, units.
 const UNITS_MAX: f64 = 1e9;
-/// Most that a unit is worth.
+/// Maximum value of a unit.
 const WORTH_MAX: f64 = 1e6;
-/// The longest that a client waits, seconds.
+/// Maximum time that a client waits, seconds.
 const WAIT_MAX: f64 = 3_600.0;
-/// Most attempts of a request.
+/// Maximum attempts of a request.
 const ATTEMPTS_MAX: f64 = 32.0;
-/// Accounts are numbers below this.
+/// Account numbers are below this.
 const ACCOUNTS: f64 = 8_589_934_592.0;
-/// Numbers of versions are exact up to here.
+/// Version numbers are exact in an `f64` up to here.
 const VERSION_MAX: f64 = 9_007_199_254_740_992.0;
-/// Most plans, and most classes.
+/// Maximum number of plans, and of classes.
 const NAMES_MAX: usize = 256;
-/// Most accounts that are named.
+/// Maximum number of listed accounts.
 const ACCOUNTS_MAX: usize = 10_000;
-/// The longest name, bytes.
+/// Maximum length of a name, bytes.
 const NAME_MAX: usize = 64;
 
-/// Reads and checks a document.
+/// Parses and validates a document.
 ///
 /// # Errors
 /// One message that names the field and its place.
@@ -81,7 +80,7 @@
     Ok(())
 }
 
-/// What no field shows alone.
+/// Checks across fields.
 fn check(policy: &Policy, section: &Form) -> Result<(), String> {
     let fault = |field: &str, what: String| Err(section.error(field, &what));
     for (field, count) in [("plan", policy.plans.len()), ("class", policy.classes.len())] {
@@ -117,7 +116,7 @@
     }
 }
 
-/// Figures are kept to a thousandth, so that their text says the same again.
+/// Rounds to thousandths, so that the canonical text parses to the same value.
 fn thousandths(form: &Form, name: &str, most: f64) -> Result<f64, String> {
     Ok((form.number(name, 0.0, most)? * 1e3).round() / 1e3)
 }
@@ -180,7 +179,7 @@
     }
 }
 
-/// Seconds, kept to the microsecond so that the text says the same again.
+/// Rounds to microseconds, so that the canonical text parses to the same value.
 fn span(form: &Form, field: &str) -> Result<Duration, String> {
     Ok(Duration::from_micros((form.number(field, 0.001, WAIT_MAX)? * 1e6).round() as u64))
 }
--- a/crates/change/tests/worlds.rs
+++ b/crates/change/tests/worlds.rs
@@ -1,7 +1,6 @@
-//! Small worlds of a change: gateways that ask a keeper over a network that loses, delays and reorders, with clocks
-//! apart, that stand still, are killed and started anew, in both modes, while changes are proposed and called off.
-//! At each instant each gateway that may begin a request does. No request may begin under an older version later
-//! than the error after one began under a newer one; once all is calm, changes take hold everywhere.
+//! Simulation of rollouts: gateways with skewed clocks in both modes, pauses, restarts and a lossy network,
+//! while changes are proposed and called off. No request may start under an older version later than the clock
+//! error after one started under a newer version, and once faults stop, changes must complete.
 
 use fastrand::Rng;
 use hingestage_change::holder::Holder;
@@ -14,26 +13,26 @@
 const MS: Micros = 1_000;
 const FIGURES: Figures = Figures { lease: 1_500 * MS, error: 200 * MS };
 const GATEWAYS: usize = 3;
-/// A gateway asks so often.
+/// Interval of lease requests.
 const ASK: Micros = 300 * MS;
 const STEP: Micros = 10 * MS;
 const STEPS: usize = 4_000;
-/// From this step on nothing goes wrong.
+/// From this step on there are no faults.
 const CALM: usize = 3_300;
 
-/// A defect that must be found.
+/// A defect that the simulation must detect.
 #[derive(Clone, Copy, PartialEq)]
 enum Planted {
     Nothing,
-    /// A lease counts from the answer's coming, not from the question.
+    /// A lease starts at the receipt of the reply, not at the request.
     FromReceipt,
-    /// A change is in force at once when it is decided.
+    /// A change takes effect as soon as it is decided.
     NoWait,
-    /// A gateway that starts believes the version of its former life.
+    /// A restarted gateway uses the version of its previous incarnation.
     Believes,
-    /// Clocks are further apart than is said.
+    /// Clocks differ by more than the configured error.
     Clocks,
-    /// One that serves on does so although it is ready for a change.
+    /// A gateway in mode `serve` ignores its lease although it is ready for a change.
     ServesOn,
 }
 
@@ -41,12 +40,12 @@
     holder: Holder,
     life: u64,
     mode: Mode,
-    /// Its clock is ahead by so much of one that is `error` behind.
+    /// Lead of its clock over the slowest possible one.
     ahead: Micros,
     next_ask: Micros,
     stalled: Micros,
     dead: Option<Micros>,
-    /// What it last began a request under: all that a careless successor would go by.
+    /// Version of its last request, which the injected defect reuses after a restart.
     version_known: Option<Version>,
 }
 
@@ -65,11 +64,11 @@
     gateways: Vec<Gateway>,
     sent: Vec<(Micros, Sent)>,
     cut: BTreeMap<(usize, bool), Micros>,
-    /// The first begin under each version, and the last.
+    /// First and last start of a request under each version.
     begins: BTreeMap<u64, (Micros, Micros)>,
     number: u64,
     broken: Option<String>,
-    /// Instants at which a gateway that lives began nothing, for a look at what stopping costs.
+    /// Steps at which a running gateway could start no request.
     refused: usize,
 }
 
@@ -199,7 +198,7 @@
                     answer.issued = self.now + gateway.ahead;
                     answer.told = answer.issued;
                 }
-                // Whether its clock is too far away it is told, and goes on without.
+                // A reply from a clock too far away is ignored.
                 let _ = gateway.holder.answered(now + gateway.ahead, answer);
             }
         }
@@ -235,12 +234,12 @@
         self.begin(n, clock);
     }
 
-    /// A request begins at this gateway, if one may.
+    /// Starts a request at this gateway, if allowed.
     fn begin(&mut self, n: usize, clock: Micros) {
         let gateway = &self.gateways[n];
         let mut version = gateway.holder.version(clock);
         if self.planted == Planted::ServesOn && gateway.mode == Mode::Serve && version.is_none() {
-            // It goes by what it last had, ready or not.
+            // Uses the last version that was valid, ready or not.
             let mut past = clock;
             while version.is_none() && past + 20_000 * MS > clock {
                 past -= 100 * MS;
@@ -269,7 +268,7 @@
     world
 }
 
-/// Worlds that are played; by hand more.
+/// Number of seeds; the environment variable overrides it.
 fn worlds() -> u64 {
     std::env::var("HINGESTAGE_WORLDS").ok().and_then(|n| n.parse().ok()).unwrap_or(1_000)
 }
--- a/crates/enforce/src/lib.rs
+++ b/crates/enforce/src/lib.rs
@@ -1,6 +1,5 @@
-//! What a document of policy comes to in one gateway: classes and plans in the order of its settings, and the plan
-//! that holds for an account. A gateway whose settings can't be brought together with a document says why, and does
-//! not go by it in part.
+//! Combines a policy document with a gateway's settings: classes and plans in the order of the settings, and
+//! the plan of each account. A document that does not fit the settings is rejected as a whole.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
@@ -10,25 +9,26 @@
 use hingestage_policy::{Class, ClassId, Effect, Micros, Plan, PlanId, Settings, Terms};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A document as one gateway goes by it.
+/// A policy document combined with one gateway's settings.
 #[derive(Clone, Debug)]
 pub struct Rules {
     terms: Terms,
-    /// Plans with their limits: those of the settings, in their order, and what the document has besides. As many
-    /// without a quota follow, for accounts that are exempt.
+    /// Number of limited plans: those of the settings in their order, then others of the document. The same
+    /// number without quotas follows, for exempt accounts.
     plans: usize,
     exempt: BTreeSet<u64>,
     blocked: BTreeSet<u64>,
-    /// Another plan, and until when, Unix time in seconds.
+    /// Plan by account, and its expiry as Unix time in seconds.
     overrides: BTreeMap<u64, (usize, u64)>,
 }
 
 impl Rules {
-    /// Brings a document together with a gateway's settings. These say how plans and classes are named on the wire
-    /// and in which order; what the document does not speak of (open requests, key windows) stays as they say.
+    /// Combines a document with settings. The settings define the names and order of plans and classes on the
+    /// wire, and all that the document does not cover (open requests, key windows).
     ///
     /// # Errors
-    /// What can't be: the document leaves out a plan or class that is asked for, or wants what this gateway can't do.
+    /// A plan or class of the settings is missing from the document, or the gateway does not support what it
+    /// asks for.
     pub fn new(policy: &Policy, settings: &Settings, names: &Names) -> Result<Rules, String> {
         if let Some(strange) = policy.classes.keys().find(|name| !names.classes.contains(name)) {
             return Err(format!("class `{strange}` is not one of this gateway's settings"));
@@ -59,22 +59,22 @@
         Ok(Rules { terms: Terms { classes, plans: plans_and_free }, plans, exempt, blocked, overrides })
     }
 
-    /// For the decisions.
+    /// Classes and plans for request decisions.
     pub fn terms(&self) -> Terms {
         self.terms.clone()
     }
 
-    /// How often the effect of a class may happen.
+    /// Retry semantics of a class.
     pub fn effect(&self, class: ClassId) -> Option<Effect> {
         self.terms.classes.get(class.0).map(|class| class.effect)
     }
 
-    /// The longest that a client waits.
+    /// Longest deadline of any class.
     pub fn longest(&self) -> Micros {
         self.terms.classes.iter().map(|class| class.deadline).max().unwrap_or(0)
     }
 
-    /// The plan of an account that comes with one, at an instant; none for one that is blocked.
+    /// Effective plan of an account at a time, µs; `None` if the account is blocked or its plan unknown.
     pub fn plan_of(&self, account: u64, comes_with: PlanId, now: Micros) -> Option<PlanId> {
         if self.blocked.contains(&account) {
             return None;
@@ -113,7 +113,7 @@
 fn plan(wanted: &change::Plan, base: Option<&Plan>) -> Plan {
     let (rate, burst) = wanted.quota.unwrap_or_default();
     let (ceiling_rate, ceiling_burst, ceiling_slack) = wanted.ceiling.unwrap_or_default();
-    // What no document speaks of: a plan that the settings don't have is held to its quota.
+    // A plan that the settings do not have is held to its quota.
     let base = base.cloned().unwrap_or(Plan { over_cost: 1.0, ..Plan::default() });
     Plan { rate, burst, ceiling_rate, ceiling_burst, ceiling_slack, ..base }
 }
--- a/crates/keep/examples/keeper_cost.rs
+++ b/crates/keep/examples/keeper_cost.rs
@@ -1,5 +1,6 @@
-//! What keepers cost: three of them in this process, each with a store on disk, asked by as many gateways as said, and
-//! then given many versions. `cargo run --release -p hingestage-keep --features measurements --example keeper_cost [GATEWAYS] [VERSIONS]`
+//! Measures the cost of three keepers in this process: writes many versions, then serves lease requests of
+//! many gateways. `cargo run --release -p hingestage-keep --features measurements --example keeper_cost
+//! [GATEWAYS] [VERSIONS]`
 
 use hingestage_change::desk::{Asked, Proposed};
 use hingestage_change::keeper::{Figures, Micros, Mode, Question};
@@ -16,9 +17,9 @@
 use tokio::time::sleep;
 
 const LEASE: Micros = 2_000_000;
-/// Gateways ask so often: an eighth of a lease.
+/// Interval of a gateway's lease requests: an eighth of a lease.
 const PAUSE: Duration = Duration::from_millis(250);
-/// How long they ask.
+/// Duration of the lease requests.
 const SPAN: Duration = Duration::from_secs(8);
 
 fn unix() -> Micros {
@@ -33,7 +34,7 @@
     )
 }
 
-/// Resident bytes of this process, and its time on processors in seconds.
+/// Resident memory of this process in bytes, and its CPU time in seconds.
 fn used() -> (u64, f64) {
     let read = |name: &str| std::fs::read_to_string(format!("/proc/self/{name}")).unwrap_or_default();
     let pages: u64 = read("statm").split(' ').nth(1).and_then(|n| n.parse().ok()).unwrap_or(0);
@@ -97,7 +98,7 @@
     }
     let mut client = Keepers::new(at.clone(), Duration::from_secs(20));
     let _: Value = client.ask(Method::GET, "/status", &()).await.expect("keepers");
-    // Before any gateway asks: nothing is decided without one.
+    // Before any gateway is known, so that no proposal is decided.
     let begun = Instant::now();
     for version in 2..versions as u64 + 2 {
         let proposed = Proposed { text: document(version), at: 0, within: 60_000_000, despite: true };
--- a/crates/keep/src/call.rs
+++ b/crates/keep/src/call.rs
@@ -1,4 +1,4 @@
-//! Calls over HTTP/1.1 with JSON, to keepers and among them.
+//! HTTP/1.1 client for JSON calls to keepers and between them.
 
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::body::Bytes;
@@ -9,26 +9,26 @@
 use std::net::SocketAddr;
 use tokio::net::TcpStream;
 
-/// The largest body that is read, bytes: some entries with the longest texts, or a snapshot with all of them.
+/// Maximum size of a body, bytes: a batch of entries with the longest texts, or a full snapshot.
 pub const BODY_MAX: usize = 64 << 20;
 
-/// A way to one address, with a connection that is kept between calls.
+/// A client for one address that reuses its connection between calls.
 pub struct Way {
     at: SocketAddr,
     kept: Option<SendRequest<Full<Bytes>>>,
 }
 
 impl Way {
-    /// One that has not been used.
+    /// A client without a connection yet.
     pub fn new(at: SocketAddr) -> Way {
         Way { at, kept: None }
     }
 
-    /// Calls once. A connection that was kept may have ended meanwhile: then on a new one, as nothing was sent on it.
-    /// A call that is dropped half way takes its connection with it.
+    /// Sends one request. Reconnects first if the pooled connection has closed. A call that is dropped before
+    /// it completes drops its connection.
     ///
     /// # Errors
-    /// What went wrong; the call may have been heard.
+    /// Connection or protocol error; the server may have processed the request.
     pub async fn call(
         &mut self,
         method: Method,
@@ -56,7 +56,7 @@
 
 async fn connect(at: SocketAddr) -> Result<SendRequest<Full<Bytes>>, String> {
     let stream = TcpStream::connect(at).await.map_err(|e| format!("{at}: {e}"))?;
-    // Small words that are waited for.
+    // Requests are small and latency-sensitive.
     let _ = stream.set_nodelay(true);
     let (send, conn) = handshake(TokioIo::new(stream)).await.map_err(|e| format!("{at}: {e}"))?;
     tokio::spawn(conn);
--- a/crates/keep/src/client.rs
+++ b/crates/keep/src/client.rs
@@ -1,4 +1,5 @@
-//! Whoever asks keepers: finds the one that leads, and tells what is known from what is not.
+//! Client of the keepers: finds the leader, retries, and distinguishes refused calls from those with an
+//! unknown outcome.
 
 use crate::call::Way;
 use hingestage_change::desk::Elsewhere;
@@ -10,40 +11,40 @@
 use std::time::Duration;
 use tokio::time::{sleep, timeout, Instant};
 
-/// One call lasts no longer.
+/// Timeout of one call.
 const CALL: Duration = Duration::from_secs(3);
-/// Pause after all keepers were tried for nothing.
+/// Delay before retrying after all keepers have failed.
 const PAUSE: Duration = Duration::from_millis(100);
 
-/// Why there is no answer.
+/// Error of a call.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Failed {
-    /// The keepers refuse, and say why; nothing was done.
+    /// The keepers refused the call, with the reason; nothing was changed.
     Refused(String),
-    /// What is proposed wants a word more; why, a line each. Nothing was done.
+    /// The proposed change is dangerous and needs confirmation; one reason per line. Nothing was changed.
     Doubted(String),
-    /// No keeper could be asked in time, or none said what became of it: it may have been done.
+    /// No definite answer arrived in time; the call may have taken effect.
     Unknown(String),
 }
 
-/// The keepers as somebody outside knows them.
+/// Client for a set of keepers.
 pub struct Keepers {
     at: BTreeMap<u64, SocketAddr>,
-    /// For how long they are asked.
+    /// Total time for retries.
     patience: Duration,
     leader: Option<u64>,
 }
 
 impl Keepers {
-    /// Keepers by number; asked for so long before what became of a call is unknown.
+    /// Creates a client for keepers by number, which retries each call for at most `patience`.
     pub fn new(at: BTreeMap<u64, SocketAddr>, patience: Duration) -> Keepers {
         Keepers { at, patience, leader: None }
     }
 
-    /// Asks until there is an answer. What is asked must have one effect however often it is.
+    /// Calls the keepers until one answers. The call must be idempotent.
     ///
     /// # Errors
-    /// They refuse, or it is not known what became of it.
+    /// The call was refused or needs confirmation, or its outcome is unknown.
     pub async fn ask<A: DeserializeOwned>(
         &mut self,
         method: Method,
@@ -91,7 +92,7 @@
         }
     }
 
-    /// Who leads first, as far as it is known.
+    /// Keepers in the order to try, the last known leader first.
     fn order(&self) -> Vec<u64> {
         let leads = |number: &u64| Some(*number) == self.leader;
         let mut order: Vec<u64> = self.at.keys().copied().collect();
--- a/crates/keep/src/config.rs
+++ b/crates/keep/src/config.rs
@@ -1,4 +1,5 @@
-//! A keeper's file: `(keeper (number 1) (folder "...") (keepers (1 "127.0.0.1:7001") ...) ...)`.
+//! Configuration file of a keeper: `(keeper (number 1) (folder "...") (keepers (1 "127.0.0.1:7001") ...)
+//! ...)`.
 
 use hingestage_change::fields::{address, keepers, number};
 use hingestage_change::keeper::Figures;
@@ -8,30 +9,31 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-/// Bounds of the time between two words of the keeper that leads, seconds.
+/// Allowed heartbeat intervals, seconds.
 const HEARTBEAT: (f64, f64) = (0.01, 10.0);
 
-/// A keeper's configuration, checked.
+/// Validated configuration of a keeper.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Config {
-    /// Its number.
+    /// Number of this keeper.
     pub number: u64,
-    /// Where it listens.
+    /// Address to listen on.
     pub listen: SocketAddr,
-    /// Where its store is.
+    /// Directory of the store.
     pub folder: PathBuf,
-    /// All keepers, itself among them, and how it reaches them.
+    /// Addresses of all keepers, including this one.
     pub keepers: BTreeMap<u64, SocketAddr>,
-    /// What all go by, gateways too.
+    /// Lease settings, the same for all keepers and gateways.
     pub figures: Figures,
-    /// The file of the first version.
+    /// Path of the initial policy document.
     pub first: PathBuf,
-    /// Time between two words of the keeper that leads. Others vote after four to eight of them without one.
+    /// Interval of the leader's heartbeats. Followers start an election after four to eight intervals without
+    /// one.
     pub heartbeat: Duration,
 }
 
 impl Config {
-    /// Reads and checks a file.
+    /// Reads and validates a configuration file.
     ///
     /// # Errors
     /// One message that names the file, the field and its place.
@@ -39,7 +41,7 @@
         hingestage_form::load(path, Config::parse)
     }
 
-    /// Checks a file's text.
+    /// Parses and validates the text of a configuration file.
     ///
     /// # Errors
     /// One message that names the field and its place.
@@ -55,7 +57,7 @@
     }
 }
 
-/// What has been read so far.
+/// Fields parsed so far.
 struct Read {
     number: Option<u64>,
     listen: Option<SocketAddr>,
--- a/crates/keep/src/disk.rs
+++ b/crates/keep/src/disk.rs
@@ -1,5 +1,5 @@
-//! The store on disks that fail: torn writes at each write, disks that are full from any write on, and crashes at any
-//! instant. What was promised is there afterwards, and what was being written is there whole or not at all.
+//! Tests of the store on a simulated disk with torn writes, a full disk and crashes. Acknowledged writes must
+//! survive; the write in progress must be there whole or not at all.
 
 use crate::kinds::{Entry, Kinds, Place, SnapshotMeta};
 use crate::machine::Machine;
@@ -13,20 +13,20 @@
 use std::io::{Error, ErrorKind};
 use std::sync::{Arc, Mutex};
 
-/// A disk that lies syncs so seldom.
+/// A disk with `skips_syncs` performs one in this many syncs.
 const HONEST: u32 = 8;
 
 #[derive(Debug, Default)]
 struct Platter {
-    /// What is on the disk whatever happens.
+    /// Contents that survive a crash.
     durable: Vec<u8>,
-    /// What is read: the disk's and the system's together.
+    /// Contents as read back, including writes that are not synced yet.
     seen: Vec<u8>,
-    /// What has been written since the last sync.
+    /// Writes since the last sync.
     pending: Vec<Change>,
-    /// Changes until the disk takes no more.
+    /// Writes that still succeed before the disk is full.
     left: Option<usize>,
-    /// It says that it has synced and has done so one time in some only; how often it was asked.
+    /// Most syncs return success without writing anything.
     lies: bool,
     asked: u32,
 }
@@ -50,7 +50,7 @@
     }
 }
 
-/// A disk that may be looked at after a crash.
+/// A simulated disk whose contents can be read after a crash.
 #[derive(Clone, Debug, Default)]
 pub struct Disk(Arc<Mutex<Platter>>);
 
@@ -59,22 +59,22 @@
         Disk(Arc::new(Mutex::new(Platter { durable: bytes.clone(), seen: bytes, ..Platter::default() })))
     }
 
-    /// It takes so many changes more.
+    /// Makes writes fail after this many more.
     pub fn fails_after(&self, changes: usize) {
         self.0.lock().unwrap().left = Some(changes);
     }
 
-    /// It takes changes again.
+    /// Makes writes succeed again.
     pub fn has_room(&self) {
         self.0.lock().unwrap().left = None;
     }
 
-    /// Whether it says that it has synced and mostly has not.
+    /// Sets whether most syncs are skipped.
     pub fn lies(&self, lies: bool) {
         self.0.lock().unwrap().lies = lies;
     }
 
-    /// What a crash leaves: all that was synced, and of the rest any part, with any of it torn.
+    /// Returns the disk after a crash: all synced writes, and any subset of the others, possibly torn.
     pub fn crash(&self, rng: &mut Rng) -> Disk {
         let platter = self.0.lock().unwrap();
         let mut bytes = platter.durable.clone();
@@ -149,7 +149,7 @@
     Entry { log_id: place(term, index), payload: EntryPayload::Normal(orders) }
 }
 
-/// What a store must hold.
+/// Expected contents of a store.
 #[derive(Clone, Debug, Default, PartialEq)]
 struct Model {
     vote: Option<(u64, u64)>,
@@ -172,7 +172,7 @@
     }
 }
 
-/// Does something to a store; gives what it holds if that is done, and whether it was.
+/// Performs a random operation. Returns the contents expected if it succeeds, and whether it did.
 async fn step(store: &mut Store, model: &Model, rng: &mut Rng, n: u64) -> (Model, bool) {
     let mut after = model.clone();
     let done = match rng.u32(..8) {
@@ -207,8 +207,8 @@
     (after, done.is_ok())
 }
 
-/// Writes until the disk takes no more after so many changes; gives what had been promised, and what was being
-/// written when it failed.
+/// Runs random operations until the disk fails. Returns the expected contents before and after the operation
+/// that failed.
 async fn until_it_fails(disk: &Disk, changes: usize, rng: &mut Rng) -> Option<(Model, Model)> {
     let mut store = Store::on(disk.clone(), Some(New::Begins)).unwrap();
     disk.fails_after(changes);
@@ -244,7 +244,7 @@
     assert!(failed > 200, "{failed} runs met a failing disk");
 }
 
-/// The library of the store panics at some that a crash has left: for a keeper that is an error with a way on.
+/// redb panics on some damaged files; opening such a store must return an error instead.
 #[test]
 fn a_store_that_its_library_cannot_bear_is_damaged_and_no_panic() {
     #[derive(Debug)]
@@ -282,7 +282,7 @@
     store.save_vote(&Vote::new(1, 0)).await.unwrap();
     disk.fails_after(0);
     assert!(store.save_vote(&Vote::new(2, 0)).await.is_err());
-    // There is room again, but what the disk holds by now nobody knows.
+    // Writes succeed again, but after a failed write the contents of the disk are unknown.
     disk.0.lock().unwrap().left = None;
     assert!(store.save_vote(&Vote::new(3, 0)).await.is_err());
     let mut again = Store::on(disk.crash(&mut rng), None).unwrap();
@@ -314,7 +314,7 @@
     }
 }
 
-/// The log's library has a list of what it wants of a storage.
+/// Runs openraft's own test suite for storage implementations.
 #[test]
 fn the_store_is_what_the_log_wants() {
     Suite::test_all(Builder).unwrap();
--- a/crates/keep/src/kinds.rs
+++ b/crates/keep/src/kinds.rs
@@ -1,17 +1,17 @@
-//! The kinds that the replicated log is made of.
+//! Type parameters of the Raft library.
 
 use hingestage_change::desk::{Entry as Orders, Reply};
 use openraft::{BasicNode, TokioRuntime};
 use std::io::Cursor;
 
-/// What an entry's orders came to.
+/// Replies to the commands of an entry, in their order.
 pub type Replies = Vec<Reply>;
-/// A keeper's number.
+/// Raft node id: the number of a keeper.
 pub type Number = u64;
 
 openraft::declare_raft_types!(
-    /// Entries of orders, answered with replies. Where a keeper is stands in each keeper's own file, not in the
-    /// log: a node is a number alone.
+    /// Entries hold batches of commands and return their replies. Addresses come from each keeper's
+    /// configuration, not from the log, so nodes carry an id only.
     pub Kinds:
         D = Orders,
         R = Replies,
@@ -22,17 +22,17 @@
         AsyncRuntime = TokioRuntime,
 );
 
-/// An entry of the log, with its place.
+/// Entry of the log, with its id.
 pub type Entry = openraft::Entry<Kinds>;
-/// The place of an entry.
+/// Id of a log entry: term and index.
 pub type Place = openraft::LogId<Number>;
-/// A failure of the store.
+/// Error of the store.
 pub type StorageError = openraft::StorageError<Number>;
-/// The log in service.
+/// Handle of the running Raft node.
 pub type Raft = openraft::Raft<Kinds>;
-/// What the log knows of its members.
+/// Membership as stored in the log.
 pub type Membership = openraft::StoredMembership<Number, BasicNode>;
-/// What is known of a snapshot.
+/// Metadata of a snapshot.
 pub type SnapshotMeta = openraft::SnapshotMeta<Number, BasicNode>;
-/// A snapshot.
+/// Snapshot of the state.
 pub type Snapshot = openraft::Snapshot<Kinds>;
--- a/crates/keep/src/lib.rs
+++ b/crates/keep/src/lib.rs
@@ -1,8 +1,8 @@
-//! Keepers of the policy: a log that several processes agree on (`openraft`), on disk (`redb`), applied to the state
-//! of `hingestage_change::desk`; gateways and operators ask over HTTP with JSON. Nothing is decided here.
+//! Replicated policy store. Each server ("keeper") holds a Raft log (`openraft`) on disk (`redb`) that is
+//! applied to the state in `hingestage_change`; gateways and operators call it over HTTP with JSON.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
-// What the library of the log prescribes for errors of its storage is large.
+// The error types that openraft prescribes for storage are large.
 #![allow(clippy::result_large_err)]
 
 pub mod call;
--- a/crates/keep/src/machine.rs
+++ b/crates/keep/src/machine.rs
@@ -1,5 +1,5 @@
-//! The state that the log is applied to, as the log's library wants it. It lives in memory; a restart reads the last
-//! snapshot and applies what the log has behind it.
+//! Raft state machine. It lives in memory; after a restart it is rebuilt from the last snapshot and the log
+//! after it.
 
 use crate::kinds::{Entry, Kinds, Membership, Place, Replies, Snapshot, SnapshotMeta, StorageError};
 use crate::store::{Kept, Store};
@@ -16,7 +16,7 @@
     membership: Membership,
 }
 
-/// The state, of which there may be several handles.
+/// Shared handle of the state machine.
 #[derive(Clone)]
 pub struct Machine {
     store: Store,
@@ -24,10 +24,10 @@
 }
 
 impl Machine {
-    /// The state as of the last snapshot.
+    /// Restores the state from the last snapshot.
     ///
     /// # Errors
-    /// The store can't be read, or its snapshot can't.
+    /// The store or its snapshot can't be read.
     pub fn open(store: Store) -> Result<Machine, StorageError> {
         let machine = Machine { store, applied: Arc::default() };
         if let Some(kept) = machine.store.snapshot()? {
@@ -37,11 +37,11 @@
     }
 
     fn applied(&self) -> MutexGuard<'_, Applied> {
-        // Whoever panicked while holding it ended the process.
+        // A panic while the lock was held ends the process.
         self.applied.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Looks at the state.
+    /// Reads the state under the lock.
     pub fn look<T>(&self, at: impl FnOnce(&Desk) -> T) -> T {
         at(&self.applied().desk)
     }
@@ -117,7 +117,7 @@
         snapshot: Box<Cursor<Vec<u8>>>,
     ) -> Result<(), StorageError> {
         let state = snapshot.into_inner();
-        // On the disk before it counts: the log behind it may be cut as soon as this returns.
+        // Persist first: openraft may purge the log once this returns.
         self.store.keep(&Kept { meta: meta.clone(), state: state.clone() })?;
         self.take(meta, &state)
     }
--- a/crates/keep/src/network.rs
+++ b/crates/keep/src/network.rs
@@ -1,4 +1,4 @@
-//! Words among keepers.
+//! Raft transport between keepers over HTTP.
 
 use crate::call::Way;
 use crate::kinds::{Kinds, Number};
@@ -16,13 +16,13 @@
 use std::error::Error;
 use std::net::SocketAddr;
 
-/// Where the others are, by this keeper's file.
+/// Addresses of the keepers, from this keeper's configuration.
 pub struct Network {
-    /// By number.
+    /// Addresses by keeper number.
     pub keepers: BTreeMap<Number, SocketAddr>,
 }
 
-/// The way to one of them.
+/// Connection to one keeper.
 pub struct To {
     number: Number,
     way: Option<Way>,
--- a/crates/keep/src/seat.rs
+++ b/crates/keep/src/seat.rs
@@ -1,5 +1,5 @@
-//! A keeper's seat in the log: what it writes and when, whose word it takes, what it answers. It talks to the others by
-//! a network that is passed in, and its clock is passed in too, so that keepers can be played on a virtual one.
+//! A Raft node of the policy store: batches commands into log entries, enforces the limit on clock differences
+//! and serves calls. Network and clock are passed in, so that tests can simulate them.
 
 use crate::config::Config;
 use crate::kinds::{Kinds, Raft};
@@ -20,56 +20,55 @@
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::{sleep, timeout};
 
-/// Entries behind the last snapshot after which the next is taken, and entries kept behind it for the slow.
+/// Log entries between snapshots.
 const SNAPSHOT: (u64, u64) = (2_000, 200);
-/// Entries in a word among keepers: each may hold a text of the longest.
+/// Maximum entries in one append request; each may hold a text of maximum size.
 const PAYLOAD: u64 = 32;
-/// Orders in an entry: those that came while the last was written.
+/// Maximum commands in one log entry.
 const BATCH: usize = 512;
-/// Orders that wait; past that whoever comes is told to come again.
+/// Maximum queued commands; further calls are rejected.
 const WAITING: usize = 4_096;
-/// An entry that is not written by then: what became of it is not known.
+/// Timeout of a log write, after which its outcome is unknown.
 pub const WRITTEN: Duration = Duration::from_secs(2);
-/// How often time is written into the log while something waits for it, and how often it is looked whether
-/// something does.
+/// Interval of ticks, which advance the state's clock while a change is pending.
 const TICK: Duration = Duration::from_millis(100);
 
-/// An order that waits to be written, and where its reply goes.
+/// A queued command and where to send its reply.
 type Waiting = (Order, oneshot::Sender<Result<Reply, Refusal>>);
 
-/// Why a call is not answered as asked.
+/// Error of a call.
 #[derive(Clone, Debug)]
 pub enum Refusal {
-    /// Another leads, perhaps this one.
+    /// This keeper does not lead; the leader's number if known.
     Elsewhere(Option<u64>),
-    /// What became of it is not known.
+    /// The outcome is unknown.
     Unknown(String),
-    /// It is not done, and why.
+    /// Rejected, with a status and a reason.
     Wrong(StatusCode, String),
 }
 
-/// What a word of the log's library comes to.
+/// Result of a Raft call.
 pub type Word<A> = Result<A, RaftError<u64>>;
 
-/// Unix time, µs; runs evenly.
+/// Clock: monotonic Unix time, µs.
 pub type Now = Arc<dyn Fn() -> Micros + Send + Sync>;
 
-/// A keeper's seat.
+/// A running Raft node.
 pub struct Seat {
-    /// What it goes by.
+    /// Its configuration.
     pub config: Config,
     now: Now,
-    /// The log.
+    /// Handle of the Raft node.
     pub raft: Raft,
     machine: Machine,
     orders: mpsc::Sender<Waiting>,
 }
 
 impl Seat {
-    /// Takes a seat with a store, among others that are reached by a network.
+    /// Starts a node with a store and a network.
     ///
     /// # Errors
-    /// The store can't be read, or the log can't be had.
+    /// The store can't be read, or the Raft node can't be started.
     pub async fn open(
         config: Config,
         settings: openraft::Config,
@@ -83,7 +82,7 @@
         let raft = Raft::new(config.number, settings, network, store, machine.clone()).await;
         let raft = raft.map_err(|e| e.to_string())?;
         if begins && !raft.is_initialized().await.map_err(|e| e.to_string())? {
-            // All of the first do, with the same members, so that it is one beginning.
+            // Every initial keeper does this with the same members, so it initializes one cluster.
             let members: BTreeMap<u64, BasicNode> =
                 config.keepers.keys().map(|number| (*number, BasicNode::default())).collect();
             if let Err(e) = raft.initialize(members).await {
@@ -97,7 +96,7 @@
         Ok(seat)
     }
 
-    /// Ends with what is wrong once the log takes no more.
+    /// Completes with the reason once the Raft node has failed.
     pub async fn failed(self: Arc<Self>) -> String {
         let mut metrics = self.raft.metrics();
         loop {
@@ -110,7 +109,7 @@
         }
     }
 
-    /// The present, by its own clock.
+    /// Current time by this keeper's clock.
     pub fn now(&self) -> Micros {
         (self.now)()
     }
@@ -119,8 +118,8 @@
         self.raft.metrics().borrow().current_leader == Some(self.config.number)
     }
 
-    /// Writes orders, all that have come while the last entry was written in one: as many calls as come, but no more
-    /// entries than the disk takes.
+    /// Writes queued commands. All that arrive during a write go into the next entry, so entries are limited
+    /// by the disk rather than by calls.
     async fn write(self: Arc<Self>, mut waiting: mpsc::Receiver<Waiting>) {
         let mut batch = Vec::new();
         while waiting.recv_many(&mut batch, BATCH).await > 0 {
@@ -146,10 +145,10 @@
         }
     }
 
-    /// Has an order written; what was not done is a refusal.
+    /// Writes a command and returns its reply; a command that was refused is an error.
     ///
     /// # Errors
-    /// It was not done, or what became of it is not known.
+    /// The command was refused, or its outcome is unknown.
     pub async fn order(&self, order: Order) -> Result<Reply, Refusal> {
         let (to, reply) = oneshot::channel();
         if self.orders.try_send((order, to)).is_err() {
@@ -164,7 +163,7 @@
         }
     }
 
-    /// Begins the log where it has not, and writes time into it while something waits for that.
+    /// Initializes the state if needed, and writes ticks while a change is pending.
     async fn tick(self: Arc<Self>) {
         loop {
             sleep(TICK).await;
@@ -189,11 +188,11 @@
         Ok(Order::Begin { figures: self.config.figures, version, text: policy.text() })
     }
 
-    /// Entries from one that leads and whose clock is ahead of what clocks may differ are not taken: leases would
-    /// seem over that are not. It must have a majority whose clocks agree with its own.
+    /// Rejects entries whose timestamp is ahead of this clock by more than the allowed clock error: they would
+    /// expire leases early. A leader thus needs a majority of keepers whose clocks agree with its own.
     ///
     /// # Errors
-    /// It is not taken.
+    /// An entry's timestamp is too far ahead.
     pub async fn append(
         &self,
         word: AppendEntriesRequest<Kinds>,
@@ -212,10 +211,10 @@
         Ok(self.raft.append_entries(word).await)
     }
 
-    /// A gateway's question.
+    /// Serves a gateway's lease request.
     ///
     /// # Errors
-    /// It has no answer here, or none now.
+    /// The request is invalid, refused or not served here.
     pub async fn ask(&self, asked: Asked) -> Result<Reply, Refusal> {
         if !(1..=NAME_MAX).contains(&asked.question.gateway.len()) {
             return Err(wrong(&format!("a gateway's name has 1 to {NAME_MAX} bytes")));
@@ -223,10 +222,11 @@
         self.order(Order::Ask(asked.question, asked.figures)).await
     }
 
-    /// Whoever leads reads and checks what it writes, so that no other has to be able to.
+    /// Validates and proposes a policy document. Only the leader parses it, so other keepers may run builds
+    /// that know other formats.
     ///
     /// # Errors
-    /// The document is at fault, wants a word more, or is refused; or what became of it is not known.
+    /// The document is invalid or dangerous, the proposal is refused, or its outcome is unknown.
     pub async fn propose(&self, proposed: Proposed) -> Result<Version, Refusal> {
         if proposed.text.len() > TEXT_MAX {
             return Err(wrong("the document is too long"));
@@ -235,7 +235,7 @@
         self.up_to_date().await?;
         let before = self.machine.look(|desk| desk.in_force().and_then(|text| read(text).ok()));
         let before = before.ok_or_else(not_begun)?;
-        // A number that does not follow is no slip: the log refuses it, or has it already.
+        // The log itself rejects version numbers that do not increase.
         let slip = |danger: &Danger| !matches!(danger, Danger::Version(..));
         let dangers: Vec<Danger> = dangers(&before, &policy).into_iter().filter(slip).collect();
         if !dangers.is_empty() && !proposed.despite {
@@ -249,17 +249,17 @@
         Ok(version)
     }
 
-    /// Other keepers from now on: new ones are brought up to date first.
+    /// Changes the membership; new keepers catch up first.
     ///
     /// # Errors
-    /// One of them is not known here, or they can't be changed now.
+    /// A keeper is not configured here, or the membership can't be changed now.
     pub async fn keepers(&self, numbers: BTreeSet<u64>) -> Result<(), Refusal> {
         if let Some(stranger) = numbers.iter().find(|number| !self.config.keepers.contains_key(number)) {
             return Err(wrong(&format!("keeper {stranger} is not in the file of the keeper that leads")));
         }
         let elsewhere = |e: RaftError<u64, ClientWriteError<u64, BasicNode>>| match e {
             RaftError::APIError(ClientWriteError::ForwardToLeader(to)) => Refusal::Elsewhere(to.leader_id),
-            // As one that has just begun to lead sees the last one: to be asked again.
+            // A new leader sees the previous change as in progress: retry.
             RaftError::APIError(ClientWriteError::ChangeMembershipError(
                 e @ ChangeMembershipError::InProgress(_),
             )) => Refusal::Unknown(e.to_string()),
@@ -278,7 +278,7 @@
         Ok(())
     }
 
-    /// Ends once all that was written before this call is applied here.
+    /// Waits until all entries committed before this call are applied here.
     async fn up_to_date(&self) -> Result<(), Refusal> {
         match timeout(WRITTEN, self.raft.ensure_linearizable()).await {
             Ok(Ok(_)) => Ok(()),
@@ -290,19 +290,19 @@
         }
     }
 
-    /// What operators are told.
+    /// Status for operators.
     ///
     /// # Errors
-    /// It does not lead, or no majority answers.
+    /// This keeper does not lead, or no majority answers.
     pub async fn status(&self) -> Result<Report, Refusal> {
         self.up_to_date().await?;
         self.machine.look(|desk| desk.report()).ok_or_else(not_begun)
     }
 
-    /// A version's text, from whichever keeper has it: who asks knows its digest.
+    /// The text of a version. Any keeper may serve it, as callers verify the digest.
     ///
     /// # Errors
-    /// It is not kept here.
+    /// No such version is stored here.
     pub fn text(&self, number: u64) -> Result<String, Refusal> {
         let found = self.machine.look(|desk| desk.text(number).map(str::to_owned));
         let missing = || Refusal::Wrong(StatusCode::NOT_FOUND, "no such version is kept here".into());
@@ -310,7 +310,7 @@
     }
 }
 
-/// The log's settings for a keeper.
+/// Raft settings of a keeper.
 pub fn settings(config: &Config) -> openraft::Config {
     let heartbeat = config.heartbeat.as_millis() as u64;
     openraft::Config {
@@ -325,7 +325,7 @@
     }
 }
 
-/// A call that is at fault.
+/// An error for an invalid call.
 pub fn wrong(what: &str) -> Refusal {
     Refusal::Wrong(StatusCode::BAD_REQUEST, what.to_owned())
 }
--- a/crates/keep/src/service.rs
+++ b/crates/keep/src/service.rs
@@ -1,4 +1,4 @@
-//! A keeper in service: its seat in the log, and who asks over HTTP.
+//! Keeper process: a Raft node and its HTTP server.
 
 use crate::call::BODY_MAX;
 use crate::config::Config;
@@ -23,34 +23,34 @@
 use tokio::sync::{mpsc, Semaphore};
 use tokio::time::{sleep, timeout};
 
-/// Calls at once; past that connections wait to be taken.
+/// Maximum concurrent connections; further ones wait to be accepted.
 const CALLS: usize = 256;
-/// How long a connection may be idle, and a call take to come in: many heartbeats, and short enough that those who say
-/// nothing keep nobody out for long.
+/// Timeout of idle connections and of reading a request body. Longer than many heartbeats, and short enough
+/// that idle clients free their connections soon.
 const QUIET: Duration = Duration::from_secs(4);
-/// Pause where the system has no descriptor left.
+/// Delay after a failed `accept`, such as when file descriptors run out.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
 
 /// How a keeper starts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Start {
-    /// It ran before.
+    /// It has a store already.
     Again,
-    /// It never ran, and is one of the first.
+    /// It has no store and is one of the initial keepers.
     Begin,
-    /// It never ran, and is added to others.
+    /// It has no store and joins an existing cluster.
     Join,
 }
 
-/// A seat, and those who ask it.
+/// Serves HTTP calls to a node.
 struct Keeper {
     seat: Arc<Seat>,
 }
 
-/// Runs a keeper until `stop` ends, or until its store fails.
+/// Runs a keeper until `stop` completes or its store fails.
 ///
 /// # Errors
-/// It can't start, or its store takes no more.
+/// The keeper can't start, or its store has failed.
 pub async fn run(config: Config, start: Start, stop: impl Future<Output = ()>) -> Result<(), String> {
     let new = match start {
         Start::Again => None,
@@ -111,7 +111,7 @@
             let keeper = self.clone();
             async move {
                 let mut answer = keeper.answer(request).await;
-                // A connection that is kept is a place that somebody else waits for.
+                // Close the connection when others are waiting for a permit.
                 if places.available_permits() == 0 {
                     answer.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
                 }
@@ -121,7 +121,7 @@
         let conn = hyper::server::conn::http1::Builder::new().serve_connection(TokioIo::new(stream), service);
         let mut conn = std::pin::pin!(conn);
         loop {
-            // Whoever misbehaves or says nothing ends its own connection and nothing else.
+            // A protocol error or a timeout ends only this connection.
             tokio::select! {
                 ended = conn.as_mut() => return drop(ended),
                 Some(()) = hears.recv() => {}
--- a/crates/keep/src/store.rs
+++ b/crates/keep/src/store.rs
@@ -1,9 +1,8 @@
-//! What a keeper must not forget: votes, entries, the last snapshot.
+//! Durable storage of a keeper: vote, log entries and the last snapshot.
 //!
-//! **The promise:** a vote that was given, an entry that was acknowledged and a snapshot that was taken over are on
-//! the disk before a word of them leaves this process (`redb` commits with `fsync`). A write that fails is an error,
-//! after which the store takes no more: the log stops, and with it the process. What was written half before a crash
-//! is as if it had not been written.
+//! Votes, acknowledged entries and installed snapshots are on disk before they are acknowledged (`redb`
+//! commits with `fsync`). After a failed write the store accepts no more, which stops the node and the
+//! process. Writes interrupted by a crash are rolled back.
 
 use crate::kinds::{Entry, Kinds, Number, Place, SnapshotMeta, StorageError};
 use openraft::storage::{LogFlushed, RaftLogStorage};
@@ -19,44 +18,43 @@
 use std::path::Path;
 use std::sync::Arc;
 
-/// Entries by their place.
+/// Log entries by index.
 const LOG: TableDefinition<u64, &[u8]> = TableDefinition::new("log");
-/// All else by its name.
+/// Everything else by name.
 const FACTS: TableDefinition<&str, &[u8]> = TableDefinition::new("facts");
-/// Bytes of the disk that are kept in memory.
+/// Page cache, bytes.
 const CACHE: usize = 4 << 20;
-/// The form in which all this is written. A store of a later one is not opened.
+/// Version of the storage format. Stores with another version are not opened.
 const FORM: u32 = 1;
 
-/// A store, of which there may be several handles.
+/// Shared handle of a store.
 #[derive(Clone)]
 pub struct Store {
     base: Arc<Database>,
 }
 
-/// A snapshot as it is kept.
+/// A stored snapshot.
 #[derive(Serialize, Deserialize)]
 pub struct Kept {
-    /// What is known of it.
+    /// Its metadata.
     pub meta: SnapshotMeta,
-    /// The state.
+    /// Serialized state.
     pub state: Vec<u8>,
 }
 
-/// How a store is made that is not there yet.
+/// How to create a new store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum New {
-    /// Its keeper is one of the first, which begin the log.
+    /// For an initial keeper, which initializes the cluster.
     Begins,
-    /// Its keeper is added to others, which have one.
+    /// For a keeper that joins an existing cluster.
     Joins,
 }
 
-/// Why a store can't be used.
+/// Error of a store operation.
 type Fault = Box<dyn std::error::Error + Send + Sync>;
 
-/// Opens something. The library panics at some stores that a crash has left in two minds (three of 5,700 crashes with
-/// torn writes in the simulated world, each after a disk that was full): that is a store which can't be used.
+/// Turns panics of redb into errors: it panics on some files damaged by a crash with torn writes.
 fn sound(open: impl FnOnce() -> Result<Store, String>) -> Result<Store, String> {
     let opened = catch_unwind(AssertUnwindSafe(open));
     opened.unwrap_or_else(|_| {
@@ -65,11 +63,11 @@
 }
 
 impl Store {
-    /// Opens the store in a folder. It is made where `new` says so, and only then: a keeper
-    /// that had lost its store would vote as if it had never voted.
+    /// Opens the store in a directory, and creates it only where `new` says so: a keeper that has lost its
+    /// store could vote twice in a term.
     ///
     /// # Errors
-    /// A message that names the file and what is wrong.
+    /// A message with the file and the problem.
     pub fn open(folder: &Path, new: Option<New>) -> Result<Store, String> {
         let file = folder.join("keeper.redb");
         let says = |e: String| format!("{}: {e}", file.display());
@@ -90,10 +88,10 @@
         sound(open).map_err(says)
     }
 
-    /// Opens a store on anything that keeps bytes.
+    /// Opens a store on any backend.
     ///
     /// # Errors
-    /// What is wrong with it.
+    /// The store can't be opened.
     pub fn on(backend: impl StorageBackend, new: Option<New>) -> Result<Store, String> {
         let open = || {
             let base = Database::builder().set_cache_size(CACHE).create_with_backend(backend);
@@ -138,7 +136,7 @@
         Ok(())
     }
 
-    /// Whether its keeper is one of the first.
+    /// Whether the keeper is one of the initial ones.
     ///
     /// # Errors
     /// The store can't be read.
@@ -156,7 +154,7 @@
         self.fact("snapshot").map_err(|e| error(ErrorSubject::Store, ErrorVerb::Read, e))
     }
 
-    /// Keeps a snapshot instead of the last one.
+    /// Replaces the stored snapshot.
     ///
     /// # Errors
     /// The store can't be written.
@@ -251,7 +249,7 @@
         self.fact("vote").map_err(|e| error(ErrorSubject::Vote, ErrorVerb::Read, e))
     }
 
-    /// Without a promise: an older one only means that more is learned anew.
+    /// Not durable: an outdated value only means that more entries are replayed.
     async fn save_committed(&mut self, committed: Option<Place>) -> Result<(), StorageError> {
         self.put("committed", &committed, Durability::None).map_err(write)
     }
@@ -265,7 +263,7 @@
         I: IntoIterator<Item = Entry> + OptionalSend,
         I::IntoIter: OptionalSend,
     {
-        // The word is given once the commit has returned, and not where it failed.
+        // Acknowledged once the commit has returned, with an error if it failed.
         let done = self.write_entries(entries);
         callback.log_io_completed(match &done {
             Ok(()) => Ok(()),
--- a/crates/keep/src/world.rs
+++ b/crates/keep/src/world.rs
@@ -1,11 +1,10 @@
-//! Keepers as hosts of a simulated world: the log's library, the store on disks that fail, and the state, as they serve,
-//! on a virtual clock, before gateways that ask over a network which loses, delays and cuts. A seed says what goes wrong:
-//! keepers crash with torn writes, fill their disks, are cut off one way and both, have clocks apart; gateways are
-//! killed, stall and come back; changes are proposed, also two at once, and called off.
+//! Simulation of keepers and gateways on a virtual clock, with the real Raft library and store on a faulty
+//! disk. Depending on the seed, keepers crash with torn writes, run out of disk space, get partitioned and
+//! have skewed clocks; gateways crash and pause; changes are proposed, also concurrently, and called off.
 //!
-//! Checked from outside: no gateway begins a request under an older version later than the error after another began one
-//! under a newer; what a gateway was told as decided is so for good, and the same for all; once all is calm the last
-//! change is in force everywhere.
+//! Invariants: no gateway starts a request under an older version later than the clock error after another
+//! started one under a newer version; a reported decision is final and the same for all; once faults stop, the
+//! last change takes effect everywhere.
 
 use crate::config::Config;
 use crate::disk::Disk;
@@ -35,41 +34,41 @@
 const MS: Micros = 1_000;
 const S: Micros = 1_000 * MS;
 const FIGURES: Figures = Figures { lease: 1_500 * MS, error: 200 * MS };
-/// When the world begins, Unix time.
+/// Start of the simulation, Unix time.
 const EPOCH: Micros = 1_700_000_000 * S;
-/// Faults strike until then, and what has struck is mended by then.
+/// Time after which no faults are injected and all are repaired.
 const CALM: Micros = 14 * S;
 const END: Micros = 24 * S;
-/// How often it is looked what each gateway would begin now.
+/// Interval of checking which version each gateway uses.
 const STEP: Duration = Duration::from_millis(10);
-/// A gateway asks so often, and gives a question up after: longer than gateways in service do, as nothing may rest on it.
+/// Interval of lease requests, and their timeout: longer than in production, as nothing may depend on it.
 const ASK: Duration = Duration::from_millis(300);
 const PATIENCE: Duration = Duration::from_millis(900);
-/// A clock that is astray is behind by so much: longer than any answer takes.
+/// Offset of a clock that is out of range: longer than any reply takes.
 const ASTRAY: Micros = 3 * S;
 const HEARTBEAT: Duration = Duration::from_millis(100);
 
-/// A defect that must be found.
+/// A defect that the simulation must detect.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Planted {
     Nothing,
-    /// A disk says that it has synced and has not.
+    /// Disks skip syncs that they acknowledge.
     WordBeforeSync,
-    /// A keeper that crashed begins with an empty store.
+    /// A crashed keeper restarts with an empty store.
     ForgetsItsStore,
-    /// Entries from clocks that are ahead are taken, and one keeper's is.
+    /// One keeper's clock is ahead, and the others accept its entries.
     ClockAhead,
-    /// The same clock, and the guard against it: nothing must come of that.
+    /// One keeper's clock is ahead, and the others reject its entries: no defect.
     ClockAheadGuarded,
-    /// A change is told as decided once most gateways are ready.
+    /// A change is reported as decided once a majority of gateways is ready.
     MajorityOfGateways,
-    /// What was decided is called off.
+    /// A decided change is called off.
     AbortAfterDecision,
-    /// A lease counts from the answer's coming.
+    /// A lease starts at the receipt of the reply.
     FromReceipt,
-    /// A gateway that starts believes the version of its former life.
+    /// A restarted gateway uses the version of its previous incarnation.
     Believes,
-    /// A change is in force as soon as a gateway hears that it is decided, by its own clock.
+    /// A change takes effect as soon as a gateway learns of the decision.
     AtOnce,
 }
 
@@ -81,7 +80,7 @@
 }
 
 struct Keeper {
-    /// The process: none while it is down. Its life tells it from those before.
+    /// The process, if running. The incarnation distinguishes it from earlier ones.
     seat: Option<Arc<Seat>>,
     life: u32,
     disk: Disk,
@@ -93,12 +92,12 @@
     mode: Mode,
     life: u64,
     ahead: Micros,
-    /// Its clock is so far behind that it goes by nobody's word.
+    /// Lag of a clock that is out of range.
     behind: Micros,
     down: bool,
     stalled: Option<Instant>,
     leader: Option<u64>,
-    /// What it last began something under.
+    /// Version of its last request.
     last: Option<Version>,
 }
 
@@ -108,29 +107,29 @@
     planted: Planted,
     keepers: BTreeMap<u64, Keeper>,
     gateways: Vec<Gateway>,
-    /// Ways that are cut, until when, and one that is slow.
+    /// Blocked links and until when, and a slow keeper.
     cut: BTreeMap<(Host, Host), Instant>,
     slow: Option<(u64, Instant)>,
-    /// The first begin under each version, and what was told as decided.
+    /// First start of a request under each version, and reported decisions.
     begins: BTreeMap<u64, Micros>,
     decided: BTreeMap<u64, (Version, Micros)>,
-    /// Gateways that said that they are ready, and versions that somebody called off, for what is planted.
+    /// Ready gateways and called-off versions, for injected defects.
     ready: BTreeMap<u64, BTreeSet<usize>>,
     aborted: BTreeSet<u64>,
     number: u64,
     broken: Option<String>,
-    /// What happened, folded into a number: equal for equal runs.
+    /// Hash of all events: equal for equal runs.
     trace: u64,
     crashes: usize,
     full: usize,
     first: PathBuf,
 }
 
-/// The world, of which there are many handles.
+/// Shared handle of the simulation.
 #[derive(Clone)]
 struct World(Arc<Mutex<Inner>>);
 
-/// A document that differs from others by its number and an account.
+/// A document that differs from others by its version and a blocked account.
 fn document(version: u64, blocked: u64) -> String {
     format!(
         "(policy (form 1) (version {version}) (plan \"p\" (quota 10 20)) \
@@ -161,7 +160,7 @@
         self.broken.get_or_insert(format!("{what}, at {at} ms"));
     }
 
-    /// How long a message takes one way; none where it is lost.
+    /// Delay of a message; `None` if it is lost.
     fn way(&mut self, from: Host, to: Host) -> Option<Duration> {
         let now = Instant::now();
         let cut = self.cut.get(&(from, to)).is_some_and(|until| *until > now);
@@ -181,8 +180,8 @@
         })
     }
 
-    /// A keeper's process has ended: what its disk holds is what the next one finds, and nothing of this one gets to it
-    /// any more.
+    /// Replaces the disk of an ended process by what a crash leaves, so that late writes of that process are
+    /// lost.
     fn leave_disk(&mut self, number: u64) {
         let keeper = self.keepers.get_mut(&number).unwrap();
         let left = keeper.disk.crash(&mut self.rng);
@@ -190,7 +189,7 @@
         keeper.disk = left;
     }
 
-    /// A keeper's process, and its life.
+    /// The incarnation and node of a running keeper.
     fn seat(&self, number: u64) -> Option<(u32, Arc<Seat>)> {
         let keeper = &self.keepers[&number];
         keeper.seat.clone().map(|seat| (keeper.life, seat))
@@ -205,7 +204,7 @@
         self.now() + self.gateways[gateway].ahead - self.gateways[gateway].behind
     }
 
-    /// What each gateway would begin a request under now.
+    /// Checks which version each gateway would use for a request now.
     fn begin_requests(&mut self) {
         let now = self.now();
         for g in 0..self.gateways.len() {
@@ -226,7 +225,7 @@
         }
     }
 
-    /// What keepers answer, with what is planted there.
+    /// Applies injected defects to a reply.
     fn spoil(&mut self, g: usize, ready: Option<u64>, mut answer: Answer) -> Answer {
         if let Some(version) = ready {
             self.ready.entry(version).or_default().insert(g);
@@ -252,7 +251,7 @@
         answer
     }
 
-    /// A gateway's life hears an answer.
+    /// Delivers a reply to a gateway.
     fn hear(&mut self, g: usize, answer: Answer) {
         if let (Some(Change::Decided(version, from)), Planted::Nothing | Planted::WordBeforeSync) =
             (answer.change, self.planted)
@@ -267,7 +266,7 @@
             (answer.issued, answer.told) = (clock, clock);
         }
         let gateway = &mut self.gateways[g];
-        // One whose clock is too far away goes on without.
+        // A reply from a clock too far away is ignored.
         let _ = gateway.holder.answered(clock, answer);
         for version in gateway.holder.wanted() {
             gateway.holder.applied(version, true);
@@ -287,7 +286,7 @@
         }
     }
 
-    /// Everything between some hosts and others is cut, in one direction or both.
+    /// Blocks the links between two sets of hosts, in one or both directions.
     fn cut_between(&mut self, some: &[Host], others: &[Host], both: bool, until: Instant) {
         for (one, other) in some.iter().flat_map(|one| others.iter().map(move |other| (*one, *other))) {
             self.cut.insert((one, other), until);
@@ -303,7 +302,7 @@
         self.0.lock().unwrap()
     }
 
-    /// Carries a call to a keeper and its answer back. None where either is lost, or the keeper is down.
+    /// Carries a call to a keeper and the reply back; `None` if either is lost or the keeper is down.
     async fn carry<T, F: Future<Output = T>>(
         &self,
         (from, life): (Host, u32),
@@ -330,13 +329,13 @@
         lives(self).then_some(answer)
     }
 
-    /// Starts a keeper on what its disk holds.
+    /// Starts a keeper on its disk.
     async fn start_keeper(&self, number: u64, new: Option<New>) {
         let (disk, config, mut log, ahead) = {
             let mut inner = self.lock();
             let config = config(inner.keepers.len() as u64, number, &inner.first);
             let mut log = settings(&config);
-            // One choice only, so that a seed has one run.
+            // Drawn from the seed, so that runs are reproducible.
             log.election_timeout_min += inner.rng.u64(..400);
             log.election_timeout_max = log.election_timeout_min + 1;
             (inner.keepers[&number].disk.clone(), config, log, inner.keepers[&number].ahead)
@@ -346,7 +345,7 @@
         let forgets = self.lock().planted == Planted::ForgetsItsStore && new.is_none();
         let (disk, new) = if forgets { (Disk::default(), Some(New::Begins)) } else { (disk, new) };
         let Ok(store) = Store::on(disk.clone(), new) else {
-            // A disk that is full at the start: it ends, and is started again when there is room.
+            // The disk is full at startup: the process ends and is restarted later.
             return self.lock().leave_disk(number);
         };
         let life = {
@@ -369,7 +368,7 @@
         let world = self.clone();
         spawn_local(async move {
             seat.failed().await;
-            // Its disk failed it: the process ends, and its supervisor starts it once there is room.
+            // After a disk failure the process ends and is restarted once there is space.
             if world.crash(number, life) {
                 world.lock().full += 1;
                 sleep(Duration::from_millis(700)).await;
@@ -378,7 +377,7 @@
         });
     }
 
-    /// Ends a life of a keeper at once: nothing of it reaches anybody or its disk any more.
+    /// Crashes an incarnation of a keeper: none of its messages or writes take effect any more.
     fn crash(&self, number: u64, life: u32) -> bool {
         let mut guard = self.lock();
         let inner = &mut *guard;
@@ -393,7 +392,7 @@
         true
     }
 
-    /// Starts a keeper again if it is still down since a life.
+    /// Restarts a keeper if it is still down since this incarnation.
     async fn revive(&self, number: u64, life: u32) {
         let down = {
             let keeper = &self.lock().keepers[&number];
@@ -404,7 +403,7 @@
         }
     }
 
-    /// A gateway asks for as long as the world goes on.
+    /// Sends lease requests until the end.
     async fn ask_on(self, g: usize) {
         loop {
             sleep(ASK).await;
@@ -450,7 +449,7 @@
         }
     }
 
-    /// Has an operator ask whoever leads, until there is an answer or the patience is over.
+    /// Retries an operator's call at the leader until there is an answer or the timeout.
     async fn operate<T, F: Future<Output = Result<T, Refusal>>>(
         &self,
         patience: Duration,
@@ -496,7 +495,7 @@
         self.lock().note(&format!("version {number} is called off: {done:?}"));
     }
 
-    /// One fault of those that there are, with what mends it.
+    /// Injects a random fault and repairs it later.
     async fn fault(self) {
         let (kind, keeper, gateway, lasts, more) = {
             let mut inner = self.lock();
@@ -521,7 +520,7 @@
             }
             3 | 4 => self.lock().keepers[&keeper].disk.fails_after(more as usize % 40),
             5 => {
-                // As good as a process that stands still: nothing reaches it, and nothing of it anybody.
+                // Like a paused process: no messages to or from it.
                 let mut inner = self.lock();
                 let others = others(&inner);
                 inner.cut_between(&[Host::Keeper(keeper)], &others, true, until);
@@ -530,7 +529,7 @@
             6 => {
                 let mut inner = self.lock();
                 let others = others(&inner);
-                // It hears and is not heard, or the other way round.
+                // One direction only.
                 match more % 2 {
                     0 => inner.cut_between(&[Host::Keeper(keeper)], &others, false, until),
                     _ => inner.cut_between(&others, &[Host::Keeper(keeper)], false, until),
@@ -566,7 +565,7 @@
                 let within = 2 * S + more % (4 * S);
                 let first = self.propose(number, 1, within, Duration::from_secs(2));
                 if more % 4 == 0 {
-                    // Another operator means the same number with other contents.
+                    // A second operator proposes the same number with other contents.
                     tokio::join!(first, self.propose(number, 2, within, Duration::from_secs(2)));
                 } else {
                     first.await;
@@ -578,7 +577,7 @@
         }
     }
 
-    /// What must be so once all was calm for long.
+    /// Checks the final state after the calm period.
     async fn judge_end(&self, last: u64) {
         let report: Option<Result<Report, String>> =
             self.operate(Duration::from_secs(3), |seat| async move { seat.status().await }).await;
@@ -599,7 +598,7 @@
         for g in 0..inner.gateways.len() {
             let clock = inner.clock(g);
             let goes_by = inner.gateways[g].holder.version(clock).map(|version| version.number);
-            // One whose clock is astray goes by nothing, or serves on by what it was told before.
+            // A gateway whose clock is out of range has no lease, or keeps serving the previous version.
             let astray = inner.gateways[g].behind > 0;
             if goes_by != Some(last) && !astray {
                 inner.breaks(format!("gateway {g} goes by {goes_by:?} at the end and not {last}"));
@@ -608,7 +607,7 @@
     }
 }
 
-/// The way from a life of a keeper to another keeper.
+/// Raft transport of one incarnation of a keeper.
 struct Ways {
     world: World,
     from: u64,
@@ -632,7 +631,7 @@
 type Failure<E = openraft::error::Infallible> = RPCError<u64, BasicNode, RaftError<u64, E>>;
 
 impl Way {
-    /// A word to the other, and what the log's library there says to it.
+    /// Calls the Raft node of the other keeper.
     async fn word<A, E: std::error::Error, F>(
         &self,
         option: &RPCOption,
@@ -693,7 +692,7 @@
     }
 }
 
-/// What came of a seed.
+/// Result of a seed.
 #[derive(Debug, Default, PartialEq)]
 struct Came {
     broken: Option<String>,
@@ -720,7 +719,7 @@
         let holder = Holder::new(&format!("g{g}"), 1, mode, FIGURES);
         let ahead = rng.u64(..=FIGURES.error);
         let behind = if g == 0 && rng.u32(..4) == 0 { ASTRAY } else { 0 };
-        // One that serves on must be waited for, whatever its clock says.
+        // Clocks out of range apply to mode `stop` only: gateways that keep serving would block changes.
         let (mode, holder) = match behind {
             0 => (mode, holder),
             _ => (Mode::Stop, Holder::new("g0", 1, Mode::Stop, FIGURES)),
@@ -783,7 +782,7 @@
         }
         if calm && last.is_none() {
             world.mend();
-            // What was proposed before is decided or called off by its deadline.
+            // Earlier proposals are decided or called off by their deadline.
             if now >= EPOCH + CALM + 3 * S {
                 let number = {
                     let mut inner = world.lock();
@@ -822,7 +821,7 @@
 }
 
 impl World {
-    /// Whatever went wrong is over: disks have room, everybody is up.
+    /// Repairs all faults: disks have space, all hosts are up.
     fn mend(&self) {
         let down: Vec<(u64, u32)> = {
             let mut inner = self.lock();
@@ -845,7 +844,7 @@
     }
 }
 
-/// The file of the first version, once for all seeds of this process.
+/// File of the initial version, shared by all seeds of this process.
 fn first_file() -> PathBuf {
     let file = std::env::temp_dir().join(format!("hingestage-keepers-{}.lisp", std::process::id()));
     if !file.exists() {
@@ -860,14 +859,14 @@
     LocalSet::new().block_on(&runtime, run(seed, planted, first_file()))
 }
 
-/// The seeds that are played; by hand others, as `0..10000`.
+/// Seeds to run; the environment variable overrides them, as in `0..10000`.
 fn seeds() -> std::ops::Range<u64> {
     let asked = std::env::var("HINGESTAGE_KEEPERS_SEEDS").unwrap_or_default();
     let (from, to) = asked.split_once("..").unwrap_or_default();
     from.parse().ok().zip(to.parse().ok()).map_or(0..24, |(from, to)| from..to)
 }
 
-/// Plays seeds on all cores; gives what came of each.
+/// Runs seeds in parallel and returns their results.
 fn play_all(seeds: std::ops::Range<u64>, planted: Planted) -> Vec<(u64, Came)> {
     first_file();
     let queue = Mutex::new(seeds);
@@ -921,7 +920,7 @@
     }
 }
 
-/// Some seed finds it.
+/// Asserts that some seed detects the defect.
 fn is_found(planted: Planted, within: u64) {
     let found = (0..within).step_by(8).any(|from| {
         let all = play_all(from..from + 8, planted);
