--- a/crates/change/src/desk.rs
+++ b/crates/change/src/desk.rs
@@ -7,9 +7,9 @@
 use std::collections::BTreeMap;
 
 /// Maximum number of stored texts.
-const TEXTS: usize = 32;
+const MAX_STORED_TEXTS: usize = 32;
 /// Maximum total size of stored texts, bytes.
-const TEXTS_BYTES: usize = 4 << 20;
+const MAX_STORED_TEXT_BYTES: usize = 4 << 20;
 /// Maximum size of a text, bytes.
 pub const TEXT_MAX: usize = 1 << 20;
 
@@ -128,14 +128,14 @@
 impl Desk {
     /// Applies an entry and returns one reply per command.
     pub fn apply(&mut self, entry: &Entry) -> Vec<Reply> {
-        let replies = entry.orders.iter().map(|order| self.one(entry.at, order)).collect();
-        self.tidy();
+        let replies = entry.orders.iter().map(|order| self.apply_command(entry.at, order)).collect();
+        self.prune_texts();
         replies
     }
 
-    fn one(&mut self, now: Micros, order: &Order) -> Reply {
+    fn apply_command(&mut self, now: Micros, order: &Order) -> Reply {
         if let Order::Begin { figures, version, text } = order {
-            return self.begin(*figures, *version, text);
+            return self.initialize(*figures, *version, text);
         }
         let Some(keeper) = &mut self.keeper else { return Reply::NotBegun };
         let command = match order {
@@ -144,7 +144,7 @@
                 let Figures { lease, error } = keeper.figures();
                 let (lease, error) = (lease as f64 / 1e6, error as f64 / 1e6);
                 return Reply::Refused(format!(
-                    "keepers go by a lease of {lease} s and an error of {error} s"
+                    "keepers use a lease of {lease} s and a clock error of {error} s"
                 ));
             }
             Order::Propose { version, at, deadline, .. } => Command::Propose(*version, *at, *deadline),
@@ -165,7 +165,7 @@
     }
 
     /// Initial keepers may all send this command: only the first has an effect.
-    fn begin(&mut self, figures: Figures, version: Version, text: &str) -> Reply {
+    fn initialize(&mut self, figures: Figures, version: Version, text: &str) -> Reply {
         if self.keeper.is_none() {
             self.keeper = Some(Keeper::new(figures, version));
             self.texts.insert(version.number, (version, text.to_owned()));
@@ -174,15 +174,15 @@
     }
 
     /// Drops the oldest texts beyond the limits, except those of the version in force and the pending one.
-    fn tidy(&mut self) {
+    fn prune_texts(&mut self) {
         let Some(keeper) = &self.keeper else { return };
         let (force, change) = keeper.standing();
-        let under_way = change.map(|change| change.version().number);
+        let pending = change.map(|change| change.version().number);
         let bytes =
             |texts: &BTreeMap<u64, (Version, String)>| texts.values().map(|(_, t)| t.len()).sum::<usize>();
-        while self.texts.len() > TEXTS || bytes(&self.texts) > TEXTS_BYTES {
-            let wanted = |number: &u64| *number == force.number || Some(*number) == under_way;
-            let Some(oldest) = self.texts.keys().copied().find(|number| !wanted(number)) else { return };
+        while self.texts.len() > MAX_STORED_TEXTS || bytes(&self.texts) > MAX_STORED_TEXT_BYTES {
+            let needed = |number: &u64| *number == force.number || Some(*number) == pending;
+            let Some(oldest) = self.texts.keys().copied().find(|number| !needed(number)) else { return };
             self.texts.remove(&oldest);
         }
     }
@@ -237,7 +237,7 @@
     use crate::keeper::tests::{version, FIGURES, S};
     use crate::keeper::Mode;
 
-    fn begin() -> Order {
+    fn initialize() -> Order {
         Order::Begin { figures: FIGURES, version: version(1), text: "one".into() }
     }
 
@@ -258,10 +258,10 @@
     }
 
     #[test]
-    fn it_begins_once_and_answers_nothing_before() {
+    fn only_the_first_initialization_has_an_effect() {
         let mut desk = Desk::default();
         assert_eq!(apply(&mut desk, S, ask(S, None)), Reply::NotBegun);
-        assert_eq!(apply(&mut desk, S, begin()), Reply::Done);
+        assert_eq!(apply(&mut desk, S, initialize()), Reply::Done);
         let other = Order::Begin { figures: FIGURES, version: version(9), text: "nine".into() };
         assert_eq!(apply(&mut desk, S, other), Reply::Done);
         assert_eq!((desk.text(1), desk.text(9)), (Some("one"), None));
@@ -269,9 +269,9 @@
     }
 
     #[test]
-    fn a_gateway_that_goes_by_other_figures_is_told_which() {
+    fn a_request_with_other_lease_settings_is_refused_with_the_expected_ones() {
         let mut desk = Desk::default();
-        apply(&mut desk, S, begin());
+        apply(&mut desk, S, initialize());
         let Order::Ask(question, _) = ask(S, None) else { unreachable!() };
         let other = Figures { lease: 9 * S, ..FIGURES };
         let reply = apply(&mut desk, S, Order::Ask(question, other));
@@ -279,9 +279,9 @@
     }
 
     #[test]
-    fn texts_are_kept_as_far_as_there_is_room_and_always_those_that_count() {
+    fn pruning_keeps_the_texts_in_force_and_pending() {
         let mut desk = Desk::default();
-        apply(&mut desk, S, begin());
+        apply(&mut desk, S, initialize());
         let long = "x".repeat(TEXT_MAX);
         for number in 2..60 {
             let now = number * 20 * S;
@@ -295,9 +295,9 @@
     }
 
     #[test]
-    fn a_state_is_the_same_after_it_was_written_down_and_read_again() {
+    fn state_survives_serialization() {
         let mut desk = Desk::default();
-        apply(&mut desk, S, begin());
+        apply(&mut desk, S, initialize());
         propose(&mut desk, S, 2, "two");
         apply(&mut desk, S, ask(S, Some(2)));
         let again: Desk = serde_json::from_str(&serde_json::to_string(&desk).unwrap()).unwrap();
--- a/crates/change/src/diff.rs
+++ b/crates/change/src/diff.rs
@@ -22,22 +22,22 @@
 /// Lists all differences from `before` to `after`, except the version number.
 pub fn diff(before: &Policy, after: &Policy) -> Vec<Difference> {
     let mut all = Vec::new();
-    both(&mut all, "plan", &before.plans, &after.plans, plan);
-    both(&mut all, "class", &before.classes, &after.classes, class);
-    sets(&mut all, "exempt", &before.exempt, &after.exempt);
-    sets(&mut all, "blocked", &before.blocked, &after.blocked);
-    both(&mut all, "account", &before.overrides, &after.overrides, |before, after| {
-        let said = |o: &crate::Override| format!("plan `{}` until {}", o.plan, date(o.until));
+    compare_maps(&mut all, "plan", &before.plans, &after.plans, plan);
+    compare_maps(&mut all, "class", &before.classes, &after.classes, class);
+    compare_sets(&mut all, "exempt", &before.exempt, &after.exempt);
+    compare_sets(&mut all, "blocked", &before.blocked, &after.blocked);
+    compare_maps(&mut all, "account", &before.overrides, &after.overrides, |before, after| {
+        let describe = |o: &crate::Override| format!("plan `{}` until {}", o.plan, date(o.until));
         if before == after {
             Vec::new()
         } else {
-            vec![format!("{} becomes {}", said(before), said(after))]
+            vec![format!("{} becomes {}", describe(before), describe(after))]
         }
     });
     all
 }
 
-fn both<K: Ord + fmt::Display, V>(
+fn compare_maps<K: Ord + fmt::Display, V>(
     all: &mut Vec<Difference>,
     kind: &str,
     before: &BTreeMap<K, V>,
@@ -59,7 +59,7 @@
     }
 }
 
-fn sets(all: &mut Vec<Difference>, name: &str, before: &BTreeSet<u64>, after: &BTreeSet<u64>) {
+fn compare_sets(all: &mut Vec<Difference>, name: &str, before: &BTreeSet<u64>, after: &BTreeSet<u64>) {
     for (what, accounts) in [("no longer", before - after), ("from now on", after - before)] {
         if !accounts.is_empty() {
             let listed: Vec<String> = accounts.iter().map(u64::to_string).collect();
@@ -69,7 +69,13 @@
 }
 
 /// Adds the difference of a number, if any.
-fn figure(changes: &mut Vec<String>, name: &str, before: Option<f64>, after: Option<f64>, unit: &str) {
+fn compare_numbers(
+    changes: &mut Vec<String>,
+    name: &str,
+    before: Option<f64>,
+    after: Option<f64>,
+    unit: &str,
+) {
     let change = match (before, after) {
         (Some(a), Some(b)) if a != b => format!("{name} {a} to {b}{unit}"),
         (Some(a), None) => format!("{name} {a}{unit} is taken away"),
@@ -84,14 +90,14 @@
     let quota = |plan: &Plan, at: usize| plan.quota.map(|(rate, burst)| [rate, burst][at]);
     let ceiling = |plan: &Plan, at: usize| plan.ceiling.map(|(rate, depth, slack)| [rate, depth, slack][at]);
     for (at, name, unit) in [(0, "quota", " a second"), (1, "store", " units")] {
-        figure(&mut changes, name, quota(before, at), quota(after, at), unit);
+        compare_numbers(&mut changes, name, quota(before, at), quota(after, at), unit);
     }
     for (at, name, unit) in
         [(0, "ceiling", " a second"), (1, "ceiling's store", " units"), (2, "slack", " units")]
     {
-        figure(&mut changes, name, ceiling(before, at), ceiling(after, at), unit);
+        compare_numbers(&mut changes, name, ceiling(before, at), ceiling(after, at), unit);
     }
-    figure(&mut changes, "worth", Some(before.worth), Some(after.worth), "");
+    compare_numbers(&mut changes, "worth", Some(before.worth), Some(after.worth), "");
     changes
 }
 
@@ -99,13 +105,13 @@
     let mut changes = Vec::new();
     let spans = [("aim", before.aim, after.aim), ("give-up", before.give_up, after.give_up)];
     for (name, a, b) in spans {
-        figure(&mut changes, name, Some(a.as_secs_f64()), Some(b.as_secs_f64()), " s");
+        compare_numbers(&mut changes, name, Some(a.as_secs_f64()), Some(b.as_secs_f64()), " s");
     }
     if before.effect != after.effect {
         changes.push(format!("effect {} to {}", before.effect.name(), after.effect.name()));
     }
     let attempts = (f64::from(before.attempts), f64::from(after.attempts));
-    figure(&mut changes, "attempts", Some(attempts.0), Some(attempts.1), "");
+    compare_numbers(&mut changes, "attempts", Some(attempts.0), Some(attempts.1), "");
     changes
 }
 
@@ -118,35 +124,38 @@
         "(policy (form 1) (version 7) (plan ente (quota 40 60) (ceiling 80 100 10)) (plan base)
         (class pull (aim 0.6) (give-up 1.5) (effect idempotent)) (blocked 5 6))";
 
-    fn said(from: &str, to: &str) -> Vec<String> {
+    fn describe(from: &str, to: &str) -> Vec<String> {
         let (before, after) = (read(BEFORE).unwrap(), read(&BEFORE.replace(from, to)).unwrap());
         diff(&before, &after).iter().map(ToString::to_string).collect()
     }
 
     #[test]
-    fn what_changes_is_said_in_words() {
-        assert_eq!(said("(version 7)", "(version 8)"), Vec::<String>::new());
+    fn differences_are_described() {
+        assert_eq!(describe("(version 7)", "(version 8)"), Vec::<String>::new());
         assert_eq!(
-            said("(ceiling 80 100 10)", "(ceiling 60 100 10)"),
+            describe("(ceiling 80 100 10)", "(ceiling 60 100 10)"),
             ["plan `ente`: ceiling 80 to 60 a second"]
         );
-        assert_eq!(said(" (ceiling 80 100 10)", "").len(), 3);
+        assert_eq!(describe(" (ceiling 80 100 10)", "").len(), 3);
         assert_eq!(
-            said("(plan base)", "(plan scuola)"),
+            describe("(plan base)", "(plan scuola)"),
             ["plan `base`: is taken away", "plan `scuola`: is new"]
         );
-        assert_eq!(said("(aim 0.6)", "(aim 0.5)"), ["class `pull`: aim 0.6 to 0.5 s"]);
-        assert_eq!(said("idempotent", "at-most-once"), ["class `pull`: effect idempotent to at-most-once"]);
+        assert_eq!(describe("(aim 0.6)", "(aim 0.5)"), ["class `pull`: aim 0.6 to 0.5 s"]);
+        assert_eq!(
+            describe("idempotent", "at-most-once"),
+            ["class `pull`: effect idempotent to at-most-once"]
+        );
         assert_eq!(
-            said("(blocked 5 6)", "(blocked 6 9)"),
+            describe("(blocked 5 6)", "(blocked 6 9)"),
             ["blocked: no longer 5", "blocked: from now on 9"]
         );
         let until = "(override 4 ente (until \"2026-12-24T00:00:00Z\")) (blocked 5 6)";
-        assert_eq!(said("(blocked 5 6)", until), ["account `4`: is new"]);
+        assert_eq!(describe("(blocked 5 6)", until), ["account `4`: is new"]);
     }
 
     #[test]
-    fn nothing_changes_of_itself_and_all_is_said_both_ways() {
+    fn equal_documents_have_no_differences_and_diff_is_symmetric() {
         let one = read(BEFORE).unwrap();
         assert!(diff(&one, &one).is_empty());
         let other =
--- a/crates/change/src/document.rs
+++ b/crates/change/src/document.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
 /// Version of the document format. Documents with another version are rejected.
-pub const FORM: u32 = 1;
+pub const FORMAT_VERSION: u32 = 1;
 
 /// Limits of a plan.
 #[derive(Clone, Debug, PartialEq)]
@@ -133,7 +133,7 @@
 impl Policy {
     /// Canonical text: sorted, one plan, class or list per line, numbers in their shortest form.
     pub fn text(&self) -> String {
-        let mut text = format!("(policy (form {FORM}) (version {})", self.version);
+        let mut text = format!("(policy (form {FORMAT_VERSION}) (version {})", self.version);
         for (name, plan) in &self.plans {
             let _ = write!(text, "\n  (plan {}", quoted(name));
             if let Some((rate, burst)) = plan.quota {
--- a/crates/change/src/fields.rs
+++ b/crates/change/src/fields.rs
@@ -4,15 +4,16 @@
 use hingestage_form::Form;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
+use std::ops::RangeInclusive;
 
 /// Maximum number of keepers; more would slow down writes without improving availability.
 const KEEPERS_MAX: usize = 9;
 /// Maximum keeper number.
-const NUMBER_MAX: f64 = 1_000.0;
+const MAX_KEEPER_NUMBER: f64 = 1_000.0;
 /// Allowed lease durations, seconds.
-const LEASE: (f64, f64) = (0.2, 3_600.0);
+const LEASE_SECONDS: RangeInclusive<f64> = 0.2..=3_600.0;
 /// Allowed clock errors, seconds.
-const ERROR: (f64, f64) = (0.001, 60.0);
+const CLOCK_ERROR_SECONDS: RangeInclusive<f64> = 0.001..=60.0;
 
 /// Maximum length of a gateway's name, bytes.
 pub const NAME_MAX: usize = 64;
@@ -28,12 +29,12 @@
     /// # Errors
     /// One message that names the field and its place.
     pub fn field(&mut self, field: &Form, head: &str, name: &str) -> Result<bool, String> {
-        let span = |bounds: (f64, f64)| -> Result<Micros, String> {
-            Ok((field.one(name)?.number(name, bounds.0, bounds.1)? * 1e6).round() as Micros)
+        let parse_micros = |bounds: RangeInclusive<f64>| -> Result<Micros, String> {
+            Ok((field.one(name)?.number(name, *bounds.start(), *bounds.end())? * 1e6).round() as Micros)
         };
         match head {
-            "lease" => self.lease = span(LEASE)?,
-            "error" => self.error = span(ERROR)?,
+            "lease" => self.lease = parse_micros(LEASE_SECONDS)?,
+            "error" => self.error = parse_micros(CLOCK_ERROR_SECONDS)?,
             _ => return Ok(false),
         }
         Ok(true)
@@ -56,8 +57,9 @@
 /// # Errors
 /// One message that names the field and its place.
 pub fn number(form: &Form, name: &str) -> Result<u64, String> {
-    form.whole(name, 0.0, NUMBER_MAX)
+    form.whole(name, 0.0, MAX_KEEPER_NUMBER)
 }
+
 /// Parses keeper numbers and addresses, as in `(keepers (1 "127.0.0.1:7001") ...)`.
 ///
 /// # Errors
--- a/crates/change/src/guard.rs
+++ b/crates/change/src/guard.rs
@@ -4,11 +4,11 @@
 use std::fmt;
 
 /// A limit may fall to this fraction without confirmation.
-const FALLS_TO: f64 = 0.5;
+const MIN_LIMIT_RATIO: f64 = 0.5;
 /// A limit may rise to this multiple without confirmation.
-const RISES_TO: f64 = 4.0;
+const MAX_LIMIT_RATIO: f64 = 4.0;
 /// Accounts that may be blocked or exempted at once without confirmation.
-const ACCOUNTS: usize = 20;
+const MAX_NEW_ACCOUNTS: usize = 20;
 
 /// A change that needs confirmation.
 #[derive(Clone, Debug, PartialEq)]
@@ -50,22 +50,23 @@
         all.push(Danger::Version(before.version, after.version));
     }
     for (name, plan) in &after.plans {
-        let nothing =
-            |figures: Option<(f64, f64)>| figures.is_some_and(|(rate, depth)| rate == 0.0 || depth == 0.0);
+        let is_zero =
+            |bucket: Option<(f64, f64)>| bucket.is_some_and(|(rate, depth)| rate == 0.0 || depth == 0.0);
         let was = before.plans.get(name);
-        let is_nothing = |plan: &Plan| nothing(plan.quota) || nothing(plan.ceiling.map(|(r, d, _)| (r, d)));
-        if is_nothing(plan) && !was.is_some_and(is_nothing) {
+        let has_zero_limit =
+            |plan: &Plan| is_zero(plan.quota) || is_zero(plan.ceiling.map(|(r, d, _)| (r, d)));
+        if has_zero_limit(plan) && !was.is_some_and(has_zero_limit) {
             all.push(Danger::Nothing(name.clone()));
         } else if let Some(was) = was {
-            far(&mut all, name, was, plan);
+            compare_limits(&mut all, name, was, plan);
         }
     }
-    all.extend(gone("plan", before.plans.keys(), |name| after.plans.contains_key(name)));
-    all.extend(gone("class", before.classes.keys(), |name| after.classes.contains_key(name)));
+    all.extend(removed("plan", before.plans.keys(), |name| after.plans.contains_key(name)));
+    all.extend(removed("class", before.classes.keys(), |name| after.classes.contains_key(name)));
     for (name, class) in &after.classes {
-        let safer = |effect| effect != crate::Effect::AtMostOnce;
+        let retryable = |effect| effect != crate::Effect::AtMostOnce;
         let was = before.classes.get(name);
-        if was.is_some_and(|was| !safer(was.effect) && safer(class.effect)) {
+        if was.is_some_and(|was| !retryable(was.effect) && retryable(class.effect)) {
             all.push(Danger::Repeats(name.clone()));
         }
     }
@@ -73,30 +74,34 @@
         [("exempt", &before.exempt, &after.exempt), ("blocked", &before.blocked, &after.blocked)]
     {
         let more = after.difference(before).count();
-        if more > ACCOUNTS {
+        if more > MAX_NEW_ACCOUNTS {
             all.push(Danger::Accounts(what, more));
         }
     }
     all
 }
 
-fn gone<'a>(
+fn removed<'a>(
     kind: &'static str,
     before: impl Iterator<Item = &'a String>,
-    there: impl Fn(&String) -> bool,
+    remains: impl Fn(&String) -> bool,
 ) -> Vec<Danger> {
-    before.filter(|name| !there(name)).map(|name| Danger::Gone(kind, name.clone())).collect()
+    before.filter(|name| !remains(name)).map(|name| Danger::Gone(kind, name.clone())).collect()
 }
 
 /// Adds limits of a plan that fall or rise far.
-fn far(all: &mut Vec<Danger>, name: &str, before: &Plan, after: &Plan) {
+fn compare_limits(all: &mut Vec<Danger>, name: &str, before: &Plan, after: &Plan) {
     let quota = |plan: &Plan| plan.quota.map(|(rate, _)| rate);
     let ceiling = |plan: &Plan| plan.ceiling.map(|(rate, ..)| rate);
     for (what, a, b) in [("quota", quota(before), quota(after)), ("ceiling", ceiling(before), ceiling(after))]
     {
         match (a, b) {
-            (Some(a), Some(b)) if b < a * FALLS_TO => all.push(Danger::Falls(name.to_owned(), what, a, b)),
-            (Some(a), Some(b)) if b > a * RISES_TO => all.push(Danger::Rises(name.to_owned(), what, a, b)),
+            (Some(a), Some(b)) if b < a * MIN_LIMIT_RATIO => {
+                all.push(Danger::Falls(name.to_owned(), what, a, b))
+            }
+            (Some(a), Some(b)) if b > a * MAX_LIMIT_RATIO => {
+                all.push(Danger::Rises(name.to_owned(), what, a, b))
+            }
             _ => {}
         }
     }
@@ -117,14 +122,14 @@
     }
 
     #[test]
-    fn a_usual_change_wants_no_word_more() {
+    fn an_ordinary_change_needs_no_confirmation() {
         assert!(found("(quota 40 60)", "(quota 30 60)").is_empty());
         assert!(found("(ceiling 80 100 10)", "(ceiling 160 200 10)").is_empty());
         assert!(found("(plan base)", "(plan base) (plan scuola) (blocked 1 2 3)").is_empty());
     }
 
     #[test]
-    fn a_slip_of_the_hand_is_named() {
+    fn likely_mistakes_need_confirmation() {
         for (from, to, wanted) in [
             ("(quota 40 60)", "(quota 0 60)", "accounts of plan `ente` could have nothing"),
             ("(quota 40 60)", "(quota 4 60)", "plan `ente`: quota falls from 40 to 4"),
--- a/crates/change/src/holder.rs
+++ b/crates/change/src/holder.rs
@@ -16,18 +16,18 @@
     applied: Vec<Version>,
     cannot: Option<u64>,
     /// Time of the first request that reported readiness for a change whose outcome is unknown.
-    promised: Option<Micros>,
+    ready_since: Option<Micros>,
     /// The clock differed too much from the keepers' at the last reply. Until it agrees again, requests only
     /// probe the time, so that no change waits for an unused lease.
-    astray: bool,
+    clock_out_of_range: bool,
 }
 
 impl Holder {
     /// Creates the state of a gateway that has had no reply.
     pub fn new(gateway: &str, life: u64, mode: Mode, figures: Figures) -> Holder {
         let gateway = gateway.to_owned();
-        let (last, applied, cannot, promised, astray) = (None, Vec::new(), None, None, false);
-        Holder { gateway, life, mode, figures, last, applied, cannot, promised, astray }
+        let (last, applied, cannot, ready_since, clock_out_of_range) = (None, Vec::new(), None, None, false);
+        Holder { gateway, life, mode, figures, last, applied, cannot, ready_since, clock_out_of_range }
     }
 
     /// Starts a new incarnation within the same process. Replies are discarded, applied versions are not.
@@ -40,13 +40,13 @@
     /// Returns the next lease request.
     pub fn question(&mut self, now: Micros) -> Question {
         let proposed = self.proposed();
-        let ready = proposed.filter(|version| !self.astray && self.applied.contains(version));
+        let ready = proposed.filter(|version| !self.clock_out_of_range && self.applied.contains(version));
         let ready = ready.map(|version| version.number);
         if ready.is_some() {
-            self.promised.get_or_insert(now);
+            self.ready_since.get_or_insert(now);
         }
         let (gateway, life, mode, cannot) = (self.gateway.clone(), self.life, self.mode, self.cannot);
-        Question { gateway, life, issued: now, mode, ready, cannot, probes: self.astray }
+        Question { gateway, life, issued: now, mode, ready, cannot, probes: self.clock_out_of_range }
     }
 
     fn proposed(&self) -> Option<Version> {
@@ -61,27 +61,27 @@
     pub fn answered(&mut self, now: Micros, answer: Answer) -> Result<(), i64> {
         let error = self.figures.error;
         // The keepers' timestamp lies between sending the request and now.
-        self.astray = true;
+        self.clock_out_of_range = true;
         if answer.told > now.saturating_add(error) {
             return Err((answer.told - now) as i64);
         }
         if answer.told.saturating_add(error) < answer.issued {
             return Err(-((answer.issued - answer.told) as i64));
         }
-        self.astray = false;
+        self.clock_out_of_range = false;
         if answer.leased {
-            self.take(answer);
+            self.accept_reply(answer);
         }
         Ok(())
     }
 
-    fn take(&mut self, answer: Answer) {
+    fn accept_reply(&mut self, answer: Answer) {
         if self.last.is_some_and(|last| answer.issued < last.issued) {
             return;
         }
         // An older request may have been answered before the change was proposed.
-        if answer.change.is_none() && self.promised.is_some_and(|at| answer.issued >= at) {
-            self.promised = None;
+        if answer.change.is_none() && self.ready_since.is_some_and(|at| answer.issued >= at) {
+            self.ready_since = None;
         }
         self.last = Some(answer);
     }
@@ -125,8 +125,9 @@
         let last = self.last?;
         let leased = now < last.issued + self.figures.lease;
         // In mode `serve`, the lease binds while a change's outcome is unknown.
-        let serves_on = self.mode == Mode::Serve && last.change.is_none() && self.promised.is_none();
-        if !leased && !serves_on {
+        let serves_without_lease =
+            self.mode == Mode::Serve && last.change.is_none() && self.ready_since.is_none();
+        if !leased && !serves_without_lease {
             return None;
         }
         let version = match last.change {
@@ -145,7 +146,7 @@
     fn holder(mode: Mode) -> Holder {
         let mut holder = Holder::new("g3", 1, mode, FIGURES);
         assert_eq!(holder.version(0), None, "nothing begins before an answer");
-        holder.take(Answer { issued: S, told: S, force: version(1), change: None, leased: true });
+        holder.accept_reply(Answer { issued: S, told: S, force: version(1), change: None, leased: true });
         assert_eq!(holder.version(S), None, "nor before the version is applied");
         holder.applied(version(1), true);
         holder
@@ -167,27 +168,27 @@
     }
 
     #[test]
-    fn without_a_lease_it_stops_or_serves_on() {
+    fn behavior_without_a_lease_depends_on_the_mode() {
         let (stops, serves) = (holder(Mode::Stop), holder(Mode::Serve));
         assert_eq!((number(&stops, 3 * S - 1), number(&stops, 3 * S)), (Some(1), None));
         assert_eq!((number(&serves, 3 * S - 1), number(&serves, 30 * S)), (Some(1), Some(1)));
     }
 
     #[test]
-    fn a_decided_change_is_gone_by_from_its_instant_on() {
+    fn a_decided_change_takes_effect_at_its_time() {
         let mut holder = holder(Mode::Stop);
-        holder.take(proposed(2 * S));
+        holder.accept_reply(proposed(2 * S));
         assert_eq!((holder.wanted(), holder.question(2 * S).ready), (vec![version(2)], None));
         holder.applied(version(2), true);
         assert_eq!(holder.question(2 * S).ready, Some(2));
         let change = Some(Change::Decided(version(2), 4 * S));
-        holder.take(Answer { issued: 3 * S, told: 3 * S, force: version(1), change, leased: true });
+        holder.accept_reply(Answer { issued: 3 * S, told: 3 * S, force: version(1), change, leased: true });
         assert_eq!((number(&holder, 4 * S - 1), number(&holder, 4 * S)), (Some(1), Some(2)));
         assert_eq!(number(&holder, 5 * S), None, "its lease is over");
     }
 
     #[test]
-    fn one_whose_clock_is_astray_asks_for_no_lease_and_takes_none_until_it_is_right_again() {
+    fn a_clock_out_of_range_only_probes_until_it_agrees_again() {
         let mut holder = Holder::new("g3", 1, Mode::Stop, FIGURES);
         holder.applied(version(1), true);
         let answer = |issued, told, leased| Answer { issued, told, force: version(1), change: None, leased };
@@ -205,40 +206,64 @@
     }
 
     #[test]
-    fn one_that_serves_on_keeps_to_its_lease_while_a_change_is_under_way() {
+    fn mode_serve_keeps_to_its_lease_while_a_change_is_pending() {
         let mut holder = holder(Mode::Serve);
-        holder.take(proposed(2 * S));
+        holder.accept_reply(proposed(2 * S));
         assert_eq!((number(&holder, 4 * S - 1), number(&holder, 4 * S)), (Some(1), None));
-        holder.take(Answer { issued: 5 * S, told: 5 * S, force: version(1), change: None, leased: true });
+        holder.accept_reply(Answer {
+            issued: 5 * S,
+            told: 5 * S,
+            force: version(1),
+            change: None,
+            leased: true,
+        });
         assert_eq!(number(&holder, 50 * S), Some(1));
     }
 
     #[test]
-    fn an_answer_from_before_its_promise_does_not_release_it() {
+    fn a_reply_to_a_request_before_readiness_does_not_clear_it() {
         let mut holder = holder(Mode::Serve);
-        holder.take(proposed(2 * S));
+        holder.accept_reply(proposed(2 * S));
         holder.applied(version(2), true);
         assert_eq!(holder.question(4 * S).ready, Some(2));
         // Sent before readiness was reported, and delayed.
-        holder.take(Answer { issued: 3 * S, told: 3 * S, force: version(1), change: None, leased: true });
+        holder.accept_reply(Answer {
+            issued: 3 * S,
+            told: 3 * S,
+            force: version(1),
+            change: None,
+            leased: true,
+        });
         assert_eq!(number(&holder, 6 * S), None);
-        holder.take(Answer { issued: 4 * S, told: 4 * S, force: version(1), change: None, leased: true });
+        holder.accept_reply(Answer {
+            issued: 4 * S,
+            told: 4 * S,
+            force: version(1),
+            change: None,
+            leased: true,
+        });
         assert_eq!(number(&holder, 60 * S), Some(1));
     }
 
     #[test]
-    fn what_it_cannot_apply_it_says_and_an_older_answer_is_passed_over() {
+    fn a_rejected_version_is_reported_and_older_replies_are_ignored() {
         let mut holder = holder(Mode::Stop);
-        holder.take(proposed(3 * S));
+        holder.accept_reply(proposed(3 * S));
         holder.applied(version(2), false);
         assert_eq!(holder.question(3 * S).cannot, Some(2));
-        holder.take(Answer { issued: 2 * S, told: 2 * S, force: version(1), change: None, leased: true });
+        holder.accept_reply(Answer {
+            issued: 2 * S,
+            told: 2 * S,
+            force: version(1),
+            change: None,
+            leased: true,
+        });
         assert_eq!(holder.question(3 * S).cannot, Some(2));
         assert!(holder.proposed().is_some());
     }
 
     #[test]
-    fn an_answer_by_a_clock_too_far_away_is_not_gone_by() {
+    fn a_reply_from_a_clock_too_far_away_is_an_error() {
         let mut holder = Holder::new("g3", 1, Mode::Stop, FIGURES);
         holder.applied(version(1), true);
         let answer = |told| Answer { issued: 5 * S, told, force: version(1), change: None, leased: true };
@@ -250,24 +275,24 @@
     }
 
     #[test]
-    fn it_is_known_until_when_a_version_holds() {
+    fn the_next_possible_change_of_the_version_is_known() {
         let mut holder = holder(Mode::Stop);
         assert_eq!(holder.holds_until(S), 3 * S, "the lease");
         let change = Some(Change::Decided(version(2), 5 * S / 2));
-        holder.take(Answer { issued: 2 * S, told: 2 * S, force: version(1), change, leased: true });
+        holder.accept_reply(Answer { issued: 2 * S, told: 2 * S, force: version(1), change, leased: true });
         assert_eq!(holder.holds_until(2 * S), 5 * S / 2, "the instant");
         assert_eq!((holder.holds_until(5 * S / 2), holder.holds_until(4 * S)), (4 * S, Micros::MAX));
     }
 
     #[test]
-    fn one_that_begins_anew_is_a_later_life_and_has_no_word_of_the_former_one() {
+    fn a_restart_is_a_later_incarnation_without_a_lease() {
         let mut holder = holder(Mode::Serve);
         holder.begin_anew(S);
         assert_eq!((number(&holder, S), holder.last()), (None, None));
         assert_eq!(holder.question(S).life, S);
         holder.begin_anew(S / 2);
         assert_eq!(holder.question(S).life, S + 1, "later, whatever the clock says");
-        holder.take(Answer { issued: S, told: S, force: version(1), change: None, leased: true });
+        holder.accept_reply(Answer { issued: S, told: S, force: version(1), change: None, leased: true });
         assert_eq!(number(&holder, S), Some(1), "what it had applied it still has");
     }
 }
--- a/crates/change/src/keeper.rs
+++ b/crates/change/src/keeper.rs
@@ -31,17 +31,17 @@
 pub type Micros = u64;
 
 /// Maximum outcomes in the history.
-const HISTORY: usize = 1_000;
+const MAX_HISTORY: usize = 1_000;
 /// Maximum number of gateways.
-const GATEWAYS_MAX: usize = 10_000;
+const MAX_GATEWAYS: usize = 10_000;
 /// Gateways in mode `stop` are removed this long after their lease, µs.
-const FORGOTTEN: Micros = 86_400_000_000;
+const GATEWAY_RETENTION: Micros = 86_400_000_000;
 /// Maximum gateways listed in a message.
-const NAMED: usize = 8;
+const MAX_LISTED_NAMES: usize = 8;
 
 /// Joins names, abbreviating long lists.
-fn some(names: &[String]) -> String {
-    let more = names.len().saturating_sub(NAMED);
+fn list_names(names: &[String]) -> String {
+    let more = names.len().saturating_sub(MAX_LISTED_NAMES);
     let named = names[..names.len() - more].join(", ");
     if more > 0 {
         format!("{named} and {more} more")
@@ -128,12 +128,12 @@
     /// Pending change.
     pub change: Option<Change>,
     /// Whether a lease is granted; not for probes.
-    #[serde(default = "leased")]
+    #[serde(default = "default_leased")]
     pub leased: bool,
 }
 
 /// Older keepers grant a lease with every reply.
-fn leased() -> bool {
+fn default_leased() -> bool {
     true
 }
 
@@ -175,7 +175,7 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-struct Known {
+struct GatewayRecord {
     life: u64,
     mode: Mode,
     /// End of its latest lease, by its own clock.
@@ -213,7 +213,7 @@
     force: Version,
     proposal: Option<Proposal>,
     decided: Option<(Version, Micros)>,
-    gateways: BTreeMap<String, Known>,
+    gateways: BTreeMap<String, GatewayRecord>,
     history: VecDeque<(Version, Fate)>,
 }
 
@@ -235,7 +235,7 @@
                     self.call_off("an operator called it off");
                     Outcome::Done
                 }
-                _ => self.came(number),
+                _ => self.abort_outcome(number),
             },
             Command::DeclareGone(gateway) => match self.gateways.remove(gateway.as_str()) {
                 Some(_) => Outcome::Done,
@@ -243,7 +243,7 @@
             },
             Command::Tick => Outcome::Done,
         };
-        self.settle();
+        self.advance();
         outcome
     }
 
@@ -260,7 +260,8 @@
     /// Gateways that the proposal waits for.
     pub fn waits_for(&self) -> Vec<String> {
         let Some(proposal) = &self.proposal else { return Vec::new() };
-        let waits = |known: &Known| known.ready != Some(proposal.version.number) && !self.is_over(known);
+        let waits =
+            |known: &GatewayRecord| known.ready != Some(proposal.version.number) && !self.lease_ended(known);
         self.gateways.iter().filter(|(_, known)| waits(known)).map(|(gateway, _)| gateway.clone()).collect()
     }
 
@@ -271,7 +272,7 @@
         self.gateways.iter().map(move |(name, known)| {
             let ready = pending.is_some() && known.ready == pending;
             let (asked, until) = (known.until.saturating_sub(lease), known.until);
-            (name.as_str(), Stand { mode: known.mode, asked, until, over: self.is_over(known), ready })
+            (name.as_str(), Stand { mode: known.mode, asked, until, over: self.lease_ended(known), ready })
         })
     }
 
@@ -291,7 +292,7 @@
     }
 
     /// Whether a gateway's lease has ended on any clock.
-    fn is_over(&self, known: &Known) -> bool {
+    fn lease_ended(&self, known: &GatewayRecord) -> bool {
         known.mode == Mode::Stop && known.until.saturating_add(self.figures.error) <= self.now
     }
 
@@ -301,8 +302,9 @@
     }
 
     fn ask(&mut self, question: &Question) -> Outcome {
-        let room = self.gateways.len() < GATEWAYS_MAX || self.gateways.contains_key(&question.gateway);
-        if !room {
+        let has_capacity =
+            self.gateways.len() < MAX_GATEWAYS || self.gateways.contains_key(&question.gateway);
+        if !has_capacity {
             return Outcome::Refused("too many gateways".into());
         }
         if self.gateways.get(&question.gateway).is_some_and(|known| known.life > question.life) {
@@ -324,11 +326,11 @@
             return Outcome::Answer(self.answer(question));
         }
         let until = question.issued.saturating_add(self.figures.lease);
-        let known = Known { life: question.life, mode: question.mode, until, ready: question.ready };
+        let known = GatewayRecord { life: question.life, mode: question.mode, until, ready: question.ready };
         let entry = self.gateways.entry(question.gateway.clone()).or_insert(known.clone());
         // Requests may arrive out of order: keep the latest lease end, and readiness once reported.
         let ready = entry.ready.filter(|_| entry.life == question.life).max(question.ready);
-        *entry = Known { until: entry.until.max(until), ready, ..known };
+        *entry = GatewayRecord { until: entry.until.max(until), ready, ..known };
         Outcome::Answer(self.answer(question))
     }
 
@@ -352,8 +354,12 @@
         if version == self.force {
             return Outcome::Done;
         }
-        if version.number <= self.newest() {
-            return Outcome::Refused(format!("version {} does not follow {}", version.number, self.newest()));
+        if version.number <= self.highest_version() {
+            return Outcome::Refused(format!(
+                "version {} does not follow {}",
+                version.number,
+                self.highest_version()
+            ));
         }
         if deadline <= self.now {
             return Outcome::Refused("its deadline has passed".into());
@@ -363,12 +369,12 @@
     }
 
     /// Highest version number ever used, even if called off: a number never has two contents.
-    fn newest(&self) -> u64 {
+    fn highest_version(&self) -> u64 {
         let given = self.history.iter().map(|(version, _)| version.number).max();
         given.unwrap_or(0).max(self.force.number)
     }
 
-    fn came(&self, number: u64) -> Outcome {
+    fn abort_outcome(&self, number: u64) -> Outcome {
         match self.history.iter().rev().find(|(version, _)| version.number == number) {
             Some((_, Fate::CalledOff(_))) => Outcome::Done,
             Some((_, Fate::InForce(from))) => Outcome::Refused(format!("decided for {from}")),
@@ -376,39 +382,41 @@
         }
     }
 
-    fn note(&mut self, version: Version, fate: Fate) {
+    fn record_outcome(&mut self, version: Version, fate: Fate) {
         self.history.push_back((version, fate));
-        if self.history.len() > HISTORY {
+        if self.history.len() > MAX_HISTORY {
             self.history.pop_front();
         }
     }
 
     fn call_off(&mut self, why: &str) {
         if let Some(proposal) = self.proposal.take() {
-            self.note(proposal.version, Fate::CalledOff(why.to_owned()));
+            self.record_outcome(proposal.version, Fate::CalledOff(why.to_owned()));
         }
     }
 
     /// Decides the proposal or calls it off, and puts a decided version in force when due.
-    fn settle(&mut self) {
+    fn advance(&mut self) {
         if let Some((version, _)) = self.decided.filter(|(_, from)| from + self.figures.error <= self.now) {
             (self.force, self.decided) = (version, None);
         }
         let now = self.now;
-        let gone = |known: &Known| known.mode == Mode::Stop && known.until.saturating_add(FORGOTTEN) <= now;
-        self.gateways.retain(|_, known| !gone(known));
+        let expired = |known: &GatewayRecord| {
+            known.mode == Mode::Stop && known.until.saturating_add(GATEWAY_RETENTION) <= now
+        };
+        self.gateways.retain(|_, known| !expired(known));
         let Some(proposal) = self.proposal.clone() else { return };
         if self.waits_for().is_empty() && !self.gateways.is_empty() {
             let last = self.gateways.values().map(|known| known.until).max().unwrap_or(0);
             let from = proposal.at.max(self.now).max(last) + self.figures.error;
             self.decided = Some((proposal.version, from));
             self.proposal = None;
-            self.note(proposal.version, Fate::InForce(from));
+            self.record_outcome(proposal.version, Fate::InForce(from));
         } else if proposal.deadline <= self.now {
             let waits = self.waits_for();
             let why = match waits.is_empty() {
                 true => "no gateway has asked by the deadline".to_owned(),
-                false => format!("not ready by the deadline: {}", some(&waits)),
+                false => format!("not ready by the deadline: {}", list_names(&waits)),
             };
             self.call_off(&why);
         }
@@ -454,7 +462,7 @@
     }
 
     #[test]
-    fn a_change_is_decided_behind_every_lease_once_all_are_ready() {
+    fn a_change_takes_effect_after_every_granted_lease() {
         let mut keeper = keeper();
         ask(&mut keeper, S, question("g0", S, None));
         ask(&mut keeper, S, question("g1", S, None));
@@ -472,7 +480,7 @@
     }
 
     #[test]
-    fn nobody_waits_for_one_that_asks_only_for_the_time() {
+    fn a_probe_does_not_block_a_change() {
         let mut keeper = keeper();
         ask(&mut keeper, S, question("g0", S, None));
         ask(&mut keeper, S, question("g1", S, None));
@@ -488,7 +496,7 @@
     }
 
     #[test]
-    fn one_that_is_down_is_waited_for_until_its_lease_is_over_and_one_that_serves_on_to_the_deadline() {
+    fn an_unreachable_gateway_blocks_a_change_only_as_long_as_it_may_serve() {
         for (mode, decided) in [(Mode::Stop, true), (Mode::Serve, false)] {
             let mut keeper = keeper();
             ask(&mut keeper, S, Question { mode, ..question("g1", S, None) });
@@ -507,7 +515,7 @@
     }
 
     #[test]
-    fn one_declared_gone_is_waited_for_no_more() {
+    fn a_gateway_declared_gone_does_not_block_a_change() {
         let mut keeper = keeper();
         ask(&mut keeper, S, Question { mode: Mode::Serve, ..question("g1", S, None) });
         propose(&mut keeper, S, 2);
@@ -518,7 +526,7 @@
     }
 
     #[test]
-    fn one_that_cannot_apply_it_calls_it_off() {
+    fn a_gateway_that_cannot_apply_a_version_calls_it_off() {
         let mut keeper = keeper();
         propose(&mut keeper, S, 2);
         ask(&mut keeper, 2 * S, Question { cannot: Some(7), ..question("g0", 2 * S, None) });
@@ -529,7 +537,7 @@
     }
 
     #[test]
-    fn the_same_asked_twice_has_one_effect_and_a_number_has_one_content() {
+    fn proposals_are_idempotent_and_version_numbers_are_never_reused() {
         let mut keeper = keeper();
         ask(&mut keeper, S, question("g0", S, None));
         assert_eq!(propose(&mut keeper, S, 3), Outcome::Done);
@@ -548,7 +556,7 @@
     }
 
     #[test]
-    fn an_earlier_life_is_answered_no_more_and_a_later_one_is_not_ready() {
+    fn an_earlier_incarnation_is_superseded_and_a_later_one_is_not_ready() {
         let mut keeper = keeper();
         propose(&mut keeper, S, 2);
         ask(&mut keeper, S, question("g1", S, None));
@@ -560,20 +568,20 @@
     }
 
     #[test]
-    fn time_never_goes_back_whoever_writes_it() {
+    fn time_never_goes_back_between_commands() {
         let mut keeper = keeper();
         ask(&mut keeper, 9 * S, question("g0", 9 * S, None));
         assert!(matches!(keeper.apply(S, Command::Propose(version(2), 0, 5 * S)), Outcome::Refused(_)));
     }
 
     #[test]
-    fn one_whose_clock_is_ahead_is_told_so_and_one_that_asked_long_ago_is_forgotten() {
+    fn a_clock_ahead_is_refused_and_a_silent_gateway_expires() {
         let mut keeper = keeper();
         let ahead = keeper.apply(S, Command::Ask(question("g0", 2 * S, None)));
         assert!(matches!(&ahead, Outcome::Refused(why) if why.contains("1000 ms ahead")), "{ahead:?}");
         ask(&mut keeper, 2 * S, question("g0", 2 * S, None));
         ask(&mut keeper, 2 * S, Question { mode: Mode::Serve, ..question("g1", 2 * S, None) });
-        keeper.apply(2 * S + 2 * FORGOTTEN, Command::Tick);
+        keeper.apply(2 * S + 2 * GATEWAY_RETENTION, Command::Tick);
         let left: Vec<&str> = keeper.gateways().map(|(name, _)| name).collect();
         assert_eq!(left, ["g1"], "one that serves on may still be serving");
     }
--- a/crates/change/src/read.rs
+++ b/crates/change/src/read.rs
@@ -1,26 +1,26 @@
 //! Parser for policy documents. Errors name the field with line and column.
 
-use crate::document::{Class, Effect, Override, Plan, Policy, FORM};
+use crate::document::{Class, Effect, Override, Plan, Policy, FORMAT_VERSION};
 use hingestage_form::{once, Form};
 use std::collections::BTreeSet;
 use std::time::{Duration, UNIX_EPOCH};
 
 /// Maximum rate, units a second, and maximum capacity, units.
-const UNITS_MAX: f64 = 1e9;
+const MAX_UNITS: f64 = 1e9;
 /// Maximum value of a unit.
-const WORTH_MAX: f64 = 1e6;
+const MAX_WORTH: f64 = 1e6;
 /// Maximum time that a client waits, seconds.
-const WAIT_MAX: f64 = 3_600.0;
+const MAX_WAIT_SECONDS: f64 = 3_600.0;
 /// Maximum attempts of a request.
-const ATTEMPTS_MAX: f64 = 32.0;
+const MAX_ATTEMPTS: f64 = 32.0;
 /// Account numbers are below this.
-const ACCOUNTS: f64 = 8_589_934_592.0;
+const ACCOUNT_NUMBER_LIMIT: f64 = 8_589_934_592.0;
 /// Version numbers are exact in an `f64` up to here.
-const VERSION_MAX: f64 = 9_007_199_254_740_992.0;
+const MAX_VERSION: f64 = 9_007_199_254_740_992.0;
 /// Maximum number of plans, and of classes.
 const NAMES_MAX: usize = 256;
 /// Maximum number of listed accounts.
-const ACCOUNTS_MAX: usize = 10_000;
+const MAX_LISTED_ACCOUNTS: usize = 10_000;
 /// Maximum length of a name, bytes.
 const NAME_MAX: usize = 64;
 
@@ -37,7 +37,7 @@
         if ["form", "version"].contains(&head.as_str()) && !seen.insert(head.clone()) {
             return Err(field.error(&head, "given twice"));
         }
-        one_field(&mut policy, &field, &head)?;
+        parse_field(&mut policy, &field, &head)?;
     }
     for wanted in ["form", "version"] {
         if !seen.contains(wanted) {
@@ -48,21 +48,23 @@
     Ok(policy)
 }
 
-fn one_field(policy: &mut Policy, field: &Form, head: &str) -> Result<(), String> {
+fn parse_field(policy: &mut Policy, field: &Form, head: &str) -> Result<(), String> {
     match head {
-        "form" => match field.one(head)?.whole(head, 0.0, VERSION_MAX)? {
-            form if form == u64::from(FORM) => {}
-            other => return Err(field.error(head, &format!("this build reads form {FORM}, not {other}"))),
+        "form" => match field.one(head)?.whole(head, 0.0, MAX_VERSION)? {
+            form if form == u64::from(FORMAT_VERSION) => {}
+            other => {
+                return Err(field.error(head, &format!("this build reads form {FORMAT_VERSION}, not {other}")))
+            }
         },
-        "version" => policy.version = field.one(head)?.whole(head, 0.0, VERSION_MAX)?,
+        "version" => policy.version = field.one(head)?.whole(head, 0.0, MAX_VERSION)?,
         "plan" => {
-            let (name, rest) = named(field, head)?;
+            let (name, rest) = split_name(field, head)?;
             if policy.plans.insert(name.clone(), plan(field, &rest)?).is_some() {
                 return Err(field.error(head, &format!("`{name}` is given twice")));
             }
         }
         "class" => {
-            let (name, rest) = named(field, head)?;
+            let (name, rest) = split_name(field, head)?;
             if policy.classes.insert(name.clone(), class(field, &rest)?).is_some() {
                 return Err(field.error(head, &format!("`{name}` is given twice")));
             }
@@ -70,7 +72,7 @@
         "exempt" => accounts(&mut policy.exempt, field, head)?,
         "blocked" => accounts(&mut policy.blocked, field, head)?,
         "override" => {
-            let (account, other) = other_plan(field)?;
+            let (account, other) = parse_override(field)?;
             if policy.overrides.insert(account, other).is_some() {
                 return Err(field.error(head, &format!("account {account} is given twice")));
             }
@@ -91,8 +93,8 @@
         }
     }
     let accounts = policy.exempt.len() + policy.blocked.len() + policy.overrides.len();
-    if accounts > ACCOUNTS_MAX {
-        return fault("exempt", format!("{accounts} accounts are too many, {ACCOUNTS_MAX} at most"));
+    if accounts > MAX_LISTED_ACCOUNTS {
+        return fault("exempt", format!("{accounts} accounts are too many, {MAX_LISTED_ACCOUNTS} at most"));
     }
     if let Some(both) = policy.exempt.intersection(&policy.blocked).next() {
         return fault("blocked", format!("account {both} is exempt as well"));
@@ -104,7 +106,7 @@
     Ok(())
 }
 
-fn named<'a>(field: &Form<'a>, head: &str) -> Result<(String, Vec<Form<'a>>), String> {
+fn split_name<'a>(field: &Form<'a>, head: &str) -> Result<(String, Vec<Form<'a>>), String> {
     let mut rest = field.rest()?;
     if rest.is_empty() {
         return Err(field.error(head, "a name is missing"));
@@ -117,15 +119,18 @@
 }
 
 /// Rounds to thousandths, so that the canonical text parses to the same value.
-fn thousandths(form: &Form, name: &str, most: f64) -> Result<f64, String> {
-    Ok((form.number(name, 0.0, most)? * 1e3).round() / 1e3)
+fn parse_thousandths(form: &Form, name: &str, max: f64) -> Result<f64, String> {
+    Ok((form.number(name, 0.0, max)? * 1e3).round() / 1e3)
 }
 
-fn figures<const N: usize>(field: &Form, name: &str) -> Result<[f64; N], String> {
-    let figures: Vec<f64> =
-        field.rest()?.iter().map(|form| thousandths(form, name, UNITS_MAX)).collect::<Result<_, _>>()?;
-    let count = figures.len();
-    figures.try_into().map_err(|_| field.error(name, &format!("{N} values are wanted, {count} are given")))
+fn parse_numbers<const N: usize>(field: &Form, name: &str) -> Result<[f64; N], String> {
+    let numbers: Vec<f64> = field
+        .rest()?
+        .iter()
+        .map(|form| parse_thousandths(form, name, MAX_UNITS))
+        .collect::<Result<_, _>>()?;
+    let count = numbers.len();
+    numbers.try_into().map_err(|_| field.error(name, &format!("{N} values are wanted, {count} are given")))
 }
 
 fn plan(section: &Form, fields: &[Form]) -> Result<Plan, String> {
@@ -133,14 +138,16 @@
     for field in once(fields, "plan", &[]) {
         let (head, name, field) = field?;
         match head.as_str() {
-            "quota" => plan.quota = Some(figures::<2>(&field, &name)?.into()),
-            "ceiling" => plan.ceiling = Some(figures::<3>(&field, &name)?.into()),
-            "worth" => plan.worth = thousandths(&field.one(&name)?, &name, WORTH_MAX)?,
+            "quota" => plan.quota = Some(parse_numbers::<2>(&field, &name)?.into()),
+            "ceiling" => plan.ceiling = Some(parse_numbers::<3>(&field, &name)?.into()),
+            "worth" => plan.worth = parse_thousandths(&field.one(&name)?, &name, MAX_WORTH)?,
             _ => return Err(field.error(&name, "no such field")),
         }
     }
-    let (Some((rate, burst)), Some((most, depth, _))) = (plan.quota, plan.ceiling) else { return Ok(plan) };
-    match most < rate || depth < burst {
+    let (Some((rate, burst)), Some((ceiling_rate, depth, _))) = (plan.quota, plan.ceiling) else {
+        return Ok(plan);
+    };
+    match ceiling_rate < rate || depth < burst {
         true => {
             Err(section.error("plan.ceiling", "is below the quota: no account could have what it may use"))
         }
@@ -155,12 +162,12 @@
         let name = format!("class.{head}");
         let one = field.one(&name)?;
         match head.as_str() {
-            "aim" => aim = Some(span(&one, &name)?),
-            "give-up" => give_up = Some(span(&one, &name)?),
-            "attempts" => attempts = one.number(&name, 1.0, ATTEMPTS_MAX)? as u32,
+            "aim" => aim = Some(parse_seconds(&one, &name)?),
+            "give-up" => give_up = Some(parse_seconds(&one, &name)?),
+            "attempts" => attempts = one.number(&name, 1.0, MAX_ATTEMPTS)? as u32,
             "effect" => {
                 let word = one.text(&name)?;
-                let known = Effect::NAMES.iter().find(|(named, _)| *named == word).map(|(_, effect)| *effect);
+                let known = Effect::NAMES.iter().find(|(name, _)| *name == word).map(|(_, effect)| *effect);
                 effect = Some(known.ok_or_else(|| one.error(&name, &format!("no effect `{word}`")))?);
             }
             _ => return Err(field.error(&name, "no such field")),
@@ -180,13 +187,13 @@
 }
 
 /// Rounds to microseconds, so that the canonical text parses to the same value.
-fn span(form: &Form, field: &str) -> Result<Duration, String> {
-    Ok(Duration::from_micros((form.number(field, 0.001, WAIT_MAX)? * 1e6).round() as u64))
+fn parse_seconds(form: &Form, field: &str) -> Result<Duration, String> {
+    Ok(Duration::from_micros((form.number(field, 0.001, MAX_WAIT_SECONDS)? * 1e6).round() as u64))
 }
 
 fn accounts(set: &mut BTreeSet<u64>, field: &Form, head: &str) -> Result<(), String> {
     for form in field.rest()? {
-        let account = form.whole(head, 0.0, ACCOUNTS - 1.0)?;
+        let account = form.whole(head, 0.0, ACCOUNT_NUMBER_LIMIT - 1.0)?;
         if !set.insert(account) {
             return Err(form.error(head, &format!("account {account} is given twice")));
         }
@@ -194,12 +201,12 @@
     Ok(())
 }
 
-fn other_plan(field: &Form) -> Result<(u64, Override), String> {
+fn parse_override(field: &Form) -> Result<(u64, Override), String> {
     let rest = field.rest()?;
     let [account, plan, until] = rest.as_slice() else {
         return Err(field.error("override", "an account, a plan and `(until \"DATE\")` are wanted"));
     };
-    let account = account.whole("override", 0.0, ACCOUNTS - 1.0)?;
+    let account = account.whole("override", 0.0, ACCOUNT_NUMBER_LIMIT - 1.0)?;
     let plan = plan.text("override")?.to_owned();
     if until.head()? != "until" {
         return Err(until.error("override", "`(until \"DATE\")` is wanted here"));
@@ -218,7 +225,7 @@
     use super::*;
     use proptest::prelude::*;
 
-    pub const USUAL: &str = "(policy (form 1) (version 7)
+    pub const VALID_DOCUMENT: &str = "(policy (form 1) (version 7)
       (plan \"ente\" (quota 40 60) (ceiling 80 100 10) (worth 1.4))
       (plan \"base\" (quota 2 8))
       (class \"pull\" (aim 0.6) (give-up 1.5) (effect idempotent) (attempts 6))
@@ -228,7 +235,7 @@
 
     #[test]
     fn every_field_is_read() {
-        let policy = read(USUAL).unwrap();
+        let policy = read(VALID_DOCUMENT).unwrap();
         assert_eq!((policy.version, policy.plans.len(), policy.classes.len()), (7, 2, 2));
         assert_eq!(policy.plans["ente"].ceiling, Some((80.0, 100.0, 10.0)));
         assert_eq!(policy.classes["push"].attempts, 1);
@@ -236,18 +243,22 @@
     }
 
     #[test]
-    fn the_canonical_text_says_the_same_and_so_does_its_digest() {
-        let policy = read(USUAL).unwrap();
+    fn the_canonical_text_parses_to_an_equal_document_and_digest() {
+        let policy = read(VALID_DOCUMENT).unwrap();
         let again = read(&policy.text()).unwrap();
         assert_eq!((&again, again.text(), again.digest()), (&policy, policy.text(), policy.digest()));
-        let other = USUAL.replace("(exempt 3 1) (blocked 99)", "(blocked 99)\n(exempt 1) (exempt 3)");
+        let other =
+            VALID_DOCUMENT.replace("(exempt 3 1) (blocked 99)", "(blocked 99)\n(exempt 1) (exempt 3)");
         assert_eq!(read(&other).unwrap().digest(), policy.digest(), "order and lines say nothing");
-        assert_ne!(read(&USUAL.replace("(quota 2 8)", "(quota 2 9)")).unwrap().digest(), policy.digest());
+        assert_ne!(
+            read(&VALID_DOCUMENT.replace("(quota 2 8)", "(quota 2 9)")).unwrap().digest(),
+            policy.digest()
+        );
     }
 
     #[test]
-    fn every_fault_is_named_with_its_field_and_place() {
-        let with = |from: &str, to: &str| USUAL.replace(from, to);
+    fn errors_name_the_field_and_position() {
+        let with = |from: &str, to: &str| VALID_DOCUMENT.replace(from, to);
         for (text, wanted) in [
             (with("(form 1)", "(form 2)"), "field `form`: this build reads form 1, not 2"),
             (with("(form 1) ", ""), "field `form`: missing"),
@@ -280,11 +291,11 @@
 
     proptest! {
         #[test]
-        fn whatever_is_read_is_read_again_as_the_same(
+        fn canonical_text_round_trips(
             rate in 0u64..1_000_000_000_000, burst in 0u64..1_000_000_000_000, aim in 1u64..2_000, account in 0u64..1 << 33,
             until in 0u64..4_000_000_000, name in "[a-z\"\\\\ é]{1,20}",
         ) {
-            let mut policy = read(USUAL).unwrap();
+            let mut policy = read(VALID_DOCUMENT).unwrap();
             let (rate, burst) = (rate as f64 / 1e3, burst as f64 / 1e3);
             policy.plans.insert(name.clone(), Plan { quota: Some((rate, burst)), ceiling: None, worth: 0.1 });
             policy.classes.get_mut("push").unwrap().aim = Duration::from_millis(aim);
@@ -293,7 +304,7 @@
         }
 
         #[test]
-        fn no_text_is_a_panic(text in "[()a-z0-9\" .\\\\-]{0,200}") {
+        fn no_text_causes_a_panic(text in "[()a-z0-9\" .\\\\-]{0,200}") {
             let _ = read(&format!("(policy (form 1) {text}"));
         }
     }
--- a/crates/enforce/src/lib.rs
+++ b/crates/enforce/src/lib.rs
@@ -30,8 +30,8 @@
     /// A plan or class of the settings is missing from the document, or the gateway does not support what it
     /// asks for.
     pub fn new(policy: &Policy, settings: &Settings, names: &Names) -> Result<Rules, String> {
-        if let Some(strange) = policy.classes.keys().find(|name| !names.classes.contains(name)) {
-            return Err(format!("class `{strange}` is not one of this gateway's settings"));
+        if let Some(unknown) = policy.classes.keys().find(|name| !names.classes.contains(name)) {
+            return Err(format!("class `{unknown}` is not one of this gateway's settings"));
         }
         let known = names.classes.iter().zip(&settings.classes);
         let classes =
@@ -49,14 +49,14 @@
             .enumerate()
             .map(|(at, name)| plan(&policy.plans[*name], settings.plans.get(at)))
             .collect();
-        let free = limited.iter().map(|plan| Plan { rate: 0.0, burst: 0.0, open: 0.0, ..plan.clone() });
-        let place = |name: &String| order.iter().position(|known| *known == name);
+        let unlimited = limited.iter().map(|plan| Plan { rate: 0.0, burst: 0.0, open: 0.0, ..plan.clone() });
+        let plan_index = |name: &String| order.iter().position(|known| *known == name);
         let overrides = policy.overrides.iter();
         let overrides =
-            overrides.filter_map(|(account, o)| Some((*account, (place(&o.plan)?, o.until)))).collect();
+            overrides.filter_map(|(account, o)| Some((*account, (plan_index(&o.plan)?, o.until)))).collect();
         let (plans, exempt, blocked) = (limited.len(), policy.exempt.clone(), policy.blocked.clone());
-        let plans_and_free = limited.iter().cloned().chain(free).collect();
-        Ok(Rules { terms: Terms { classes, plans: plans_and_free }, plans, exempt, blocked, overrides })
+        let all_plans = limited.iter().cloned().chain(unlimited).collect();
+        Ok(Rules { terms: Terms { classes, plans: all_plans }, plans, exempt, blocked, overrides })
     }
 
     /// Classes and plans for request decisions.
@@ -75,14 +75,14 @@
     }
 
     /// Effective plan of an account at a time, µs; `None` if the account is blocked or its plan unknown.
-    pub fn plan_of(&self, account: u64, comes_with: PlanId, now: Micros) -> Option<PlanId> {
+    pub fn plan_of(&self, account: u64, default_plan: PlanId, now: Micros) -> Option<PlanId> {
         if self.blocked.contains(&account) {
             return None;
         }
         let other = self.overrides.get(&account).filter(|(_, until)| now / 1_000_000 < *until);
-        let plan = other.map_or(comes_with.0, |(plan, _)| *plan);
-        let free = if self.exempt.contains(&account) { self.plans } else { 0 };
-        (plan < self.plans).then_some(PlanId(plan + free))
+        let plan = other.map_or(default_plan.0, |(plan, _)| *plan);
+        let unlimited = if self.exempt.contains(&account) { self.plans } else { 0 };
+        (plan < self.plans).then_some(PlanId(plan + unlimited))
     }
 }
 
@@ -150,7 +150,7 @@
     }
 
     #[test]
-    fn plans_and_classes_stand_in_the_order_of_the_settings() {
+    fn plans_and_classes_follow_the_order_of_the_settings() {
         let terms = rules(DOCUMENT).unwrap().terms();
         assert_eq!(terms.classes.iter().map(|class| class.attempts).collect::<Vec<_>>(), [1, 3]);
         assert_eq!(
@@ -174,7 +174,7 @@
     }
 
     #[test]
-    fn an_account_has_the_plan_that_holds_for_it() {
+    fn the_effective_plan_of_an_account_respects_lists_and_overrides() {
         let rules = rules(DOCUMENT).unwrap();
         let of = |account, now| rules.plan_of(account, PlanId(1), now).map(|plan| plan.0);
         assert_eq!((of(1, 0), of(3, 0), of(99, 0)), (Some(1), Some(4), None));
@@ -183,7 +183,7 @@
     }
 
     #[test]
-    fn what_a_gateway_cannot_do_it_says() {
+    fn unsupported_documents_are_rejected() {
         for (from, to, wanted) in [
             (
                 "(plan \"base\" (quota 2 8))",
--- a/crates/keep/src/call.rs
+++ b/crates/keep/src/call.rs
@@ -15,13 +15,13 @@
 /// A client for one address that reuses its connection between calls.
 pub struct Way {
     at: SocketAddr,
-    kept: Option<SendRequest<Full<Bytes>>>,
+    pooled: Option<SendRequest<Full<Bytes>>>,
 }
 
 impl Way {
     /// A client without a connection yet.
     pub fn new(at: SocketAddr) -> Way {
-        Way { at, kept: None }
+        Way { at, pooled: None }
     }
 
     /// Sends one request. Reconnects first if the pooled connection has closed. A call that is dropped before
@@ -36,9 +36,9 @@
         body: Vec<u8>,
     ) -> Result<(StatusCode, Bytes), String> {
         let error = |e: hyper::Error| format!("{}: {e}", self.at);
-        let mut send = match self.kept.take() {
-            Some(mut kept) => match kept.ready().await {
-                Ok(()) => kept,
+        let mut send = match self.pooled.take() {
+            Some(mut pooled) => match pooled.ready().await {
+                Ok(()) => pooled,
                 Err(_) => connect(self.at).await?,
             },
             None => connect(self.at).await?,
@@ -49,7 +49,7 @@
         let status = answer.status();
         let body = Limited::new(answer.into_body(), BODY_MAX).collect().await;
         let body = body.map_err(|e| format!("{}: {e}", self.at))?.to_bytes();
-        self.kept = Some(send);
+        self.pooled = Some(send);
         Ok((status, body))
     }
 }
--- a/crates/keep/src/client.rs
+++ b/crates/keep/src/client.rs
@@ -12,9 +12,9 @@
 use tokio::time::{sleep, timeout, Instant};
 
 /// Timeout of one call.
-const CALL: Duration = Duration::from_secs(3);
+const CALL_TIMEOUT: Duration = Duration::from_secs(3);
 /// Delay before retrying after all keepers have failed.
-const PAUSE: Duration = Duration::from_millis(100);
+const RETRY_DELAY: Duration = Duration::from_millis(100);
 
 /// Error of a call.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -31,14 +31,14 @@
 pub struct Keepers {
     at: BTreeMap<u64, SocketAddr>,
     /// Total time for retries.
-    patience: Duration,
+    retry_timeout: Duration,
     leader: Option<u64>,
 }
 
 impl Keepers {
     /// Creates a client for keepers by number, which retries each call for at most `patience`.
-    pub fn new(at: BTreeMap<u64, SocketAddr>, patience: Duration) -> Keepers {
-        Keepers { at, patience, leader: None }
+    pub fn new(at: BTreeMap<u64, SocketAddr>, retry_timeout: Duration) -> Keepers {
+        Keepers { at, retry_timeout, leader: None }
     }
 
     /// Calls the keepers until one answers. The call must be idempotent.
@@ -52,19 +52,23 @@
         what: &impl Serialize,
     ) -> Result<A, Failed> {
         let body = serde_json::to_vec(what).map_err(|e| Failed::Refused(e.to_string()))?;
-        let until = Instant::now() + self.patience;
-        let mut last = "no keeper leads".to_owned();
+        let until = Instant::now() + self.retry_timeout;
+        let mut last = "no keeper is the leader".to_owned();
         loop {
-            for number in self.order() {
-                match timeout(CALL, Way::new(self.at[&number]).call(method.clone(), path, body.clone())).await
+            for number in self.call_order() {
+                match timeout(
+                    CALL_TIMEOUT,
+                    Way::new(self.at[&number]).call(method.clone(), path, body.clone()),
+                )
+                .await
                 {
                     Ok(Ok((StatusCode::OK, answer))) => {
                         self.leader = Some(number);
                         return serde_json::from_slice(&answer).map_err(|e| Failed::Unknown(e.to_string()));
                     }
                     Ok(Ok((StatusCode::MISDIRECTED_REQUEST, answer))) => {
-                        let elsewhere: Elsewhere = serde_json::from_slice(&answer).unwrap_or_default();
-                        self.leader = elsewhere.leader.filter(|leader| *leader != number);
+                        let not_leader: Elsewhere = serde_json::from_slice(&answer).unwrap_or_default();
+                        self.leader = not_leader.leader.filter(|leader| *leader != number);
                         if self.leader.is_some() {
                             break;
                         }
@@ -88,15 +92,15 @@
             if Instant::now() >= until {
                 return Err(Failed::Unknown(last));
             }
-            sleep(PAUSE).await;
+            sleep(RETRY_DELAY).await;
         }
     }
 
     /// Keepers in the order to try, the last known leader first.
-    fn order(&self) -> Vec<u64> {
+    fn call_order(&self) -> Vec<u64> {
         let leads = |number: &u64| Some(*number) == self.leader;
-        let mut order: Vec<u64> = self.at.keys().copied().collect();
-        order.sort_by_key(|number| !leads(number));
-        order
+        let mut call_order: Vec<u64> = self.at.keys().copied().collect();
+        call_order.sort_by_key(|number| !leads(number));
+        call_order
     }
 }
--- a/crates/keep/src/config.rs
+++ b/crates/keep/src/config.rs
@@ -6,11 +6,12 @@
 use hingestage_form::{once, Form};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
+use std::ops::RangeInclusive;
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
 /// Allowed heartbeat intervals, seconds.
-const HEARTBEAT: (f64, f64) = (0.01, 10.0);
+const HEARTBEAT_SECONDS: RangeInclusive<f64> = 0.01..=10.0;
 
 /// Validated configuration of a keeper.
 #[derive(Clone, Debug, PartialEq)]
@@ -46,19 +47,19 @@
     /// # Errors
     /// One message that names the field and its place.
     pub fn parse(text: &str) -> Result<Config, String> {
-        let whole = hingestage_form::read(text)?;
-        let section = &whole.sole("keeper")?;
-        let mut read = Read::default();
+        let parsed = hingestage_form::read(text)?;
+        let section = &parsed.sole("keeper")?;
+        let mut partial = PartialConfig::default();
         for field in once(&section.rest()?, "keeper", &[]) {
             let (head, name, field) = field?;
-            read.field(&field, &head, &name)?;
+            partial.parse_field(&field, &head, &name)?;
         }
-        read.whole(section)
+        partial.finish(section)
     }
 }
 
 /// Fields parsed so far.
-struct Read {
+struct PartialConfig {
     number: Option<u64>,
     listen: Option<SocketAddr>,
     folder: Option<PathBuf>,
@@ -68,15 +69,15 @@
     heartbeat: Duration,
 }
 
-impl Default for Read {
-    fn default() -> Read {
+impl Default for PartialConfig {
+    fn default() -> PartialConfig {
         let (heartbeat, keepers, figures) = (Duration::from_millis(100), BTreeMap::new(), Figures::usual());
-        Read { number: None, listen: None, folder: None, keepers, figures, first: None, heartbeat }
+        PartialConfig { number: None, listen: None, folder: None, keepers, figures, first: None, heartbeat }
     }
 }
 
-impl Read {
-    fn field(&mut self, field: &Form, head: &str, name: &str) -> Result<(), String> {
+impl PartialConfig {
+    fn parse_field(&mut self, field: &Form, head: &str, name: &str) -> Result<(), String> {
         match head {
             "number" => self.number = Some(number(&field.one(name)?, name)?),
             "listen" => self.listen = Some(address(&field.one(name)?, name)?),
@@ -84,7 +85,8 @@
             "first" => self.first = Some(field.one(name)?.text(name)?.into()),
             "keepers" => self.keepers = keepers(field, name)?,
             "heartbeat" => {
-                let seconds = field.one(name)?.number(name, HEARTBEAT.0, HEARTBEAT.1)?;
+                let seconds =
+                    field.one(name)?.number(name, *HEARTBEAT_SECONDS.start(), *HEARTBEAT_SECONDS.end())?;
                 self.heartbeat = Duration::from_secs_f64(seconds);
             }
             _ if self.figures.field(field, head, name)? => {}
@@ -93,7 +95,7 @@
         Ok(())
     }
 
-    fn whole(self, section: &Form) -> Result<Config, String> {
+    fn finish(self, section: &Form) -> Result<Config, String> {
         let missing = |field: &str| section.error(&format!("keeper.{field}"), "missing");
         let number = self.number.ok_or_else(|| missing("number"))?;
         let folder = self.folder.ok_or_else(|| missing("folder"))?;
@@ -111,12 +113,12 @@
 mod tests {
     use super::*;
 
-    const USUAL: &str = "(keeper (number 1) (folder \"/var/lib/x\") (first \"policy.lisp\")
+    const VALID_CONFIG: &str = "(keeper (number 1) (folder \"/var/lib/x\") (first \"policy.lisp\")
       (keepers (0 \"127.0.0.1:7000\") (1 \"127.0.0.1:7001\") (2 \"127.0.0.1:7002\")))";
 
     #[test]
     fn every_field_is_read() {
-        let more = USUAL.replace(
+        let more = VALID_CONFIG.replace(
             "(number 1)",
             "(number 1) (listen \"127.0.0.1:9\") (lease 3) (error 0.1) (heartbeat 0.2)",
         );
@@ -124,18 +126,22 @@
         assert_eq!((config.number, config.listen.port(), config.keepers.len()), (1, 9, 3));
         assert_eq!(config.figures, Figures { lease: 3_000_000, error: 100_000 });
         assert_eq!(config.heartbeat, Duration::from_millis(200));
-        assert_eq!(Config::parse(USUAL).unwrap().listen.port(), 7001, "where others reach it, unless said");
+        assert_eq!(
+            Config::parse(VALID_CONFIG).unwrap().listen.port(),
+            7001,
+            "where others reach it, unless said"
+        );
     }
 
     #[test]
-    fn the_shipped_example_is_good() {
+    fn the_shipped_example_is_valid() {
         let text = include_str!("../../../deploy/keeper.example.lisp");
         assert_eq!(Config::parse(text).unwrap().keepers.len(), 3);
     }
 
     #[test]
-    fn every_fault_is_named_with_its_field_and_place() {
-        let with = |from: &str, to: &str| USUAL.replace(from, to);
+    fn errors_name_the_field_and_position() {
+        let with = |from: &str, to: &str| VALID_CONFIG.replace(from, to);
         for (text, wanted) in [
             (with("(number 1)", "(number 1) (colour 1)"), "1:20: field `keeper.colour`: no such field"),
             (with("(number 1)", "(number 1) (number 1)"), "field `keeper.number`: given twice"),
--- a/crates/keep/src/disk.rs
+++ b/crates/keep/src/faulty_disk.rs
@@ -1,9 +1,9 @@
 //! Tests of the store on a simulated disk with torn writes, a full disk and crashes. Acknowledged writes must
 //! survive; the write in progress must be there whole or not at all.
 
-use crate::kinds::{Entry, Kinds, Place, SnapshotMeta};
-use crate::machine::Machine;
-use crate::store::{Kept, New, Store};
+use crate::raft_types::{Entry, LogPosition, SnapshotMeta, TypeConfig};
+use crate::state_machine::PolicyStateMachine;
+use crate::store::{New, Store, StoredSnapshot};
 use fastrand::Rng;
 use hingestage_change::desk::{Entry as Orders, Order};
 use openraft::storage::{RaftLogStorage, RaftLogStorageExt};
@@ -14,32 +14,32 @@
 use std::sync::{Arc, Mutex};
 
 /// A disk with `skips_syncs` performs one in this many syncs.
-const HONEST: u32 = 8;
+const SYNC_EVERY: u32 = 8;
 
 #[derive(Debug, Default)]
-struct Platter {
+struct DiskState {
     /// Contents that survive a crash.
     durable: Vec<u8>,
     /// Contents as read back, including writes that are not synced yet.
-    seen: Vec<u8>,
+    contents: Vec<u8>,
     /// Writes since the last sync.
     pending: Vec<Change>,
     /// Writes that still succeed before the disk is full.
-    left: Option<usize>,
+    writes_left: Option<usize>,
     /// Most syncs return success without writing anything.
-    lies: bool,
-    asked: u32,
+    skips_syncs: bool,
+    syncs: u32,
 }
 
 #[derive(Clone, Debug)]
 enum Change {
-    Length(usize),
+    Resize(usize),
     Write(usize, Vec<u8>),
 }
 
 fn apply(bytes: &mut Vec<u8>, change: &Change) {
     match change {
-        Change::Length(length) => bytes.resize(*length, 0),
+        Change::Resize(length) => bytes.resize(*length, 0),
         Change::Write(at, data) => {
             let end = at + data.len();
             if bytes.len() < end {
@@ -52,33 +52,37 @@
 
 /// A simulated disk whose contents can be read after a crash.
 #[derive(Clone, Debug, Default)]
-pub struct Disk(Arc<Mutex<Platter>>);
+pub struct Disk(Arc<Mutex<DiskState>>);
 
 impl Disk {
-    fn holding(bytes: Vec<u8>) -> Disk {
-        Disk(Arc::new(Mutex::new(Platter { durable: bytes.clone(), seen: bytes, ..Platter::default() })))
+    fn with_contents(bytes: Vec<u8>) -> Disk {
+        Disk(Arc::new(Mutex::new(DiskState {
+            durable: bytes.clone(),
+            contents: bytes,
+            ..DiskState::default()
+        })))
     }
 
     /// Makes writes fail after this many more.
-    pub fn fails_after(&self, changes: usize) {
-        self.0.lock().unwrap().left = Some(changes);
+    pub fn fail_after(&self, changes: usize) {
+        self.0.lock().unwrap().writes_left = Some(changes);
     }
 
     /// Makes writes succeed again.
-    pub fn has_room(&self) {
-        self.0.lock().unwrap().left = None;
+    pub fn clear_failure(&self) {
+        self.0.lock().unwrap().writes_left = None;
     }
 
     /// Sets whether most syncs are skipped.
-    pub fn lies(&self, lies: bool) {
-        self.0.lock().unwrap().lies = lies;
+    pub fn skips_syncs(&self, skips_syncs: bool) {
+        self.0.lock().unwrap().skips_syncs = skips_syncs;
     }
 
     /// Returns the disk after a crash: all synced writes, and any subset of the others, possibly torn.
     pub fn crash(&self, rng: &mut Rng) -> Disk {
-        let platter = self.0.lock().unwrap();
-        let mut bytes = platter.durable.clone();
-        let pending = if platter.lies { &[][..] } else { &platter.pending };
+        let state = self.0.lock().unwrap();
+        let mut bytes = state.durable.clone();
+        let pending = if state.skips_syncs { &[][..] } else { &state.pending };
         for change in pending {
             match (rng.u32(..3), change) {
                 (0, _) => {}
@@ -89,48 +93,48 @@
                 _ => apply(&mut bytes, change),
             }
         }
-        let left = Disk::holding(bytes);
-        left.lies(platter.lies);
+        let left = Disk::with_contents(bytes);
+        left.skips_syncs(state.skips_syncs);
         left
     }
 
     fn change(&self, change: Change) -> Result<(), Error> {
-        let mut platter = self.0.lock().unwrap();
-        match &mut platter.left {
+        let mut state = self.0.lock().unwrap();
+        match &mut state.writes_left {
             Some(0) => return Err(Error::new(ErrorKind::StorageFull, "the disk is full")),
             Some(left) => *left -= 1,
             None => {}
         }
-        apply(&mut platter.seen, &change);
-        platter.pending.push(change);
+        apply(&mut state.contents, &change);
+        state.pending.push(change);
         Ok(())
     }
 }
 
 impl StorageBackend for Disk {
     fn len(&self) -> Result<u64, Error> {
-        Ok(self.0.lock().unwrap().seen.len() as u64)
+        Ok(self.0.lock().unwrap().contents.len() as u64)
     }
 
     fn read(&self, offset: u64, len: usize) -> Result<Vec<u8>, Error> {
-        let platter = self.0.lock().unwrap();
-        let bytes = platter.seen.get(offset as usize..offset as usize + len);
+        let state = self.0.lock().unwrap();
+        let bytes = state.contents.get(offset as usize..offset as usize + len);
         bytes.map(<[u8]>::to_vec).ok_or_else(|| ErrorKind::UnexpectedEof.into())
     }
 
     fn set_len(&self, len: u64) -> Result<(), Error> {
-        self.change(Change::Length(len as usize))
+        self.change(Change::Resize(len as usize))
     }
 
     fn sync_data(&self, _eventual: bool) -> Result<(), Error> {
-        let mut platter = self.0.lock().unwrap();
-        if platter.left == Some(0) {
+        let mut state = self.0.lock().unwrap();
+        if state.writes_left == Some(0) {
             return Err(Error::new(ErrorKind::StorageFull, "the disk is full"));
         }
-        platter.asked += 1;
-        if !platter.lies || platter.asked.is_multiple_of(HONEST) {
-            let pending = std::mem::take(&mut platter.pending);
-            pending.iter().for_each(|change| apply(&mut platter.durable, change));
+        state.syncs += 1;
+        if !state.skips_syncs || state.syncs.is_multiple_of(SYNC_EVERY) {
+            let pending = std::mem::take(&mut state.pending);
+            pending.iter().for_each(|change| apply(&mut state.durable, change));
         }
         Ok(())
     }
@@ -140,31 +144,36 @@
     }
 }
 
-fn place(term: u64, index: u64) -> Place {
+fn log_id(term: u64, index: u64) -> LogPosition {
     LogId::new(CommittedLeaderId::new(term, 0), index)
 }
 
 fn entry(term: u64, index: u64) -> Entry {
     let orders = Orders { at: index, orders: vec![Order::DeclareGone("x".repeat(index as usize % 900))] };
-    Entry { log_id: place(term, index), payload: EntryPayload::Normal(orders) }
+    Entry { log_id: log_id(term, index), payload: EntryPayload::Normal(orders) }
 }
 
 /// Expected contents of a store.
 #[derive(Clone, Debug, Default, PartialEq)]
-struct Model {
+struct ExpectedState {
     vote: Option<(u64, u64)>,
     entries: Vec<(u64, u64)>,
     purged: Option<u64>,
     snapshot: Option<Vec<u8>>,
 }
 
-impl Model {
-    async fn of(store: &mut Store) -> Model {
+impl ExpectedState {
+    async fn of(store: &mut Store) -> ExpectedState {
         let vote = store.read_vote().await.unwrap().map(|vote| (vote.leader_id.term, vote.leader_id.node_id));
         let entries = store.try_get_log_entries(0..u64::MAX).await.unwrap();
         let entries = entries.iter().map(|entry| (entry.log_id.leader_id.term, entry.log_id.index)).collect();
-        let purged = store.get_log_state().await.unwrap().last_purged_log_id.map(|place| place.index);
-        Model { vote, entries, purged, snapshot: store.snapshot().unwrap().map(|kept| kept.state) }
+        let purged = store.get_log_state().await.unwrap().last_purged_log_id.map(|log_id| log_id.index);
+        ExpectedState {
+            vote,
+            entries,
+            purged,
+            snapshot: store.snapshot().unwrap().map(|snapshot| snapshot.state),
+        }
     }
 
     fn next(&self) -> u64 {
@@ -173,7 +182,12 @@
 }
 
 /// Performs a random operation. Returns the contents expected if it succeeds, and whether it did.
-async fn step(store: &mut Store, model: &Model, rng: &mut Rng, n: u64) -> (Model, bool) {
+async fn random_operation(
+    store: &mut Store,
+    model: &ExpectedState,
+    rng: &mut Rng,
+    n: u64,
+) -> (ExpectedState, bool) {
     let mut after = model.clone();
     let done = match rng.u32(..8) {
         0 => {
@@ -183,20 +197,20 @@
         1 => {
             let state = vec![n as u8; rng.usize(1..9_000)];
             after.snapshot = Some(state.clone());
-            store.keep(&Kept { meta: SnapshotMeta::default(), state })
+            store.save_snapshot(&StoredSnapshot { meta: SnapshotMeta::default(), state })
         }
         2 if model.entries.len() > 4 => {
             let (term, index) = model.entries[model.entries.len() - 2];
             after.entries.truncate(model.entries.len() - 2);
-            store.truncate(place(term, index)).await
+            store.truncate(log_id(term, index)).await
         }
         3 if model.entries.len() > 4 => {
             let (term, index) = model.entries[1];
             after.entries.drain(..2);
             after.purged = Some(index);
-            store.purge(place(term, index)).await
+            store.purge(log_id(term, index)).await
         }
-        4 => store.save_committed(Some(place(n, model.next()))).await,
+        4 => store.save_committed(Some(log_id(n, model.next()))).await,
         _ => {
             let first = model.next();
             let new: Vec<u64> = (first..first + rng.u64(1..4)).collect();
@@ -209,12 +223,16 @@
 
 /// Runs random operations until the disk fails. Returns the expected contents before and after the operation
 /// that failed.
-async fn until_it_fails(disk: &Disk, changes: usize, rng: &mut Rng) -> Option<(Model, Model)> {
-    let mut store = Store::on(disk.clone(), Some(New::Begins)).unwrap();
-    disk.fails_after(changes);
-    let mut model = Model::default();
+async fn run_until_failure(
+    disk: &Disk,
+    changes: usize,
+    rng: &mut Rng,
+) -> Option<(ExpectedState, ExpectedState)> {
+    let mut store = Store::with_backend(disk.clone(), Some(New::Begins)).unwrap();
+    disk.fail_after(changes);
+    let mut model = ExpectedState::default();
     for n in 1..60 {
-        let (after, done) = step(&mut store, &model, rng, n).await;
+        let (after, done) = random_operation(&mut store, &model, rng, n).await;
         if !done {
             return Some((model, after));
         }
@@ -224,21 +242,21 @@
 }
 
 #[tokio::test]
-async fn what_was_promised_outlives_a_crash_at_any_write() {
+async fn acknowledged_writes_survive_a_crash_at_any_write() {
     let mut failed = 0;
     for seed in 0..400 {
         let mut rng = Rng::with_seed(seed);
         let (disk, changes) = (Disk::default(), rng.usize(..200));
-        let Some((before, after)) = until_it_fails(&disk, changes, &mut rng).await else { continue };
+        let Some((before, after)) = run_until_failure(&disk, changes, &mut rng).await else { continue };
         failed += 1;
         for _ in 0..3 {
-            let mut store = Store::on(disk.crash(&mut rng), None).unwrap();
-            let found = Model::of(&mut store).await;
+            let mut store = Store::with_backend(disk.crash(&mut rng), None).unwrap();
+            let found = ExpectedState::of(&mut store).await;
             assert!(
                 found == before || found == after,
                 "seed {seed}: {found:?}\nbefore {before:?}\nafter {after:?}"
             );
-            assert!(store.begins().unwrap());
+            assert!(store.bootstraps().unwrap());
         }
     }
     assert!(failed > 200, "{failed} runs met a failing disk");
@@ -246,10 +264,10 @@
 
 /// redb panics on some damaged files; opening such a store must return an error instead.
 #[test]
-fn a_store_that_its_library_cannot_bear_is_damaged_and_no_panic() {
+fn a_panic_of_the_database_while_opening_is_an_error() {
     #[derive(Debug)]
-    struct Unbearable;
-    impl StorageBackend for Unbearable {
+    struct PanickingBackend;
+    impl StorageBackend for PanickingBackend {
         fn len(&self) -> Result<u64, Error> {
             panic!("no such page")
         }
@@ -270,28 +288,28 @@
             panic!("no such page")
         }
     }
-    let opened = Store::on(Unbearable, None).map(drop);
+    let opened = Store::with_backend(PanickingBackend, None).map(drop);
     assert!(opened.unwrap_err().contains("--join"));
 }
 
 #[tokio::test]
-async fn a_store_that_failed_once_takes_nothing_more() {
+async fn a_store_rejects_writes_after_a_failure() {
     let mut rng = Rng::with_seed(7);
     let disk = Disk::default();
-    let mut store = Store::on(disk.clone(), Some(New::Joins)).unwrap();
+    let mut store = Store::with_backend(disk.clone(), Some(New::Joins)).unwrap();
     store.save_vote(&Vote::new(1, 0)).await.unwrap();
-    disk.fails_after(0);
+    disk.fail_after(0);
     assert!(store.save_vote(&Vote::new(2, 0)).await.is_err());
     // Writes succeed again, but after a failed write the contents of the disk are unknown.
-    disk.0.lock().unwrap().left = None;
+    disk.0.lock().unwrap().writes_left = None;
     assert!(store.save_vote(&Vote::new(3, 0)).await.is_err());
-    let mut again = Store::on(disk.crash(&mut rng), None).unwrap();
+    let mut again = Store::with_backend(disk.crash(&mut rng), None).unwrap();
     assert_eq!(again.read_vote().await.unwrap(), Some(Vote::new(1, 0)));
-    assert!(!again.begins().unwrap());
+    assert!(!again.bootstraps().unwrap());
 }
 
 #[test]
-fn a_folder_with_a_store_is_no_new_one_and_one_without_is_no_old_one() {
+fn a_store_is_created_only_where_asked_and_never_overwritten() {
     let folder =
         std::env::temp_dir().join(format!("hingestage-keep-{}-{:x}", std::process::id(), fastrand::u64(..)));
     std::fs::create_dir_all(&folder).unwrap();
@@ -307,15 +325,15 @@
 
 struct Builder;
 
-impl StoreBuilder<Kinds, Store, Machine> for Builder {
-    async fn build(&self) -> Result<((), Store, Machine), StorageError<u64>> {
-        let store = Store::on(Disk::default(), Some(New::Begins)).unwrap();
-        Ok(((), store.clone(), Machine::open(store)?))
+impl StoreBuilder<TypeConfig, Store, PolicyStateMachine> for Builder {
+    async fn build(&self) -> Result<((), Store, PolicyStateMachine), StorageError<u64>> {
+        let store = Store::with_backend(Disk::default(), Some(New::Begins)).unwrap();
+        Ok(((), store.clone(), PolicyStateMachine::open(store)?))
     }
 }
 
 /// Runs openraft's own test suite for storage implementations.
 #[test]
-fn the_store_is_what_the_log_wants() {
+fn the_store_passes_the_raft_storage_suite() {
     Suite::test_all(Builder).unwrap();
 }
--- a/crates/keep/src/lib.rs
+++ b/crates/keep/src/lib.rs
@@ -9,15 +9,15 @@
 pub mod client;
 pub mod config;
 #[cfg(test)]
-mod disk;
-mod kinds;
-mod machine;
+mod faulty_disk;
 mod network;
-mod seat;
+mod node;
+mod raft_types;
 mod service;
-mod store;
 #[cfg(test)]
-mod world;
+mod simulation;
+mod state_machine;
+mod store;
 
 pub use service::{run, Start};
 pub use store::{New, Store};
--- a/crates/keep/src/network.rs
+++ b/crates/keep/src/network.rs
@@ -1,7 +1,7 @@
 //! Raft transport between keepers over HTTP.
 
 use crate::call::Way;
-use crate::kinds::{Kinds, Number};
+use crate::raft_types::{KeeperNumber, TypeConfig};
 use hyper::{Method, StatusCode};
 use openraft::error::{InstallSnapshotError, NetworkError, RPCError, RaftError, RemoteError, Unreachable};
 use openraft::network::{RPCOption, RaftNetwork, RaftNetworkFactory};
@@ -19,27 +19,27 @@
 /// Addresses of the keepers, from this keeper's configuration.
 pub struct Network {
     /// Addresses by keeper number.
-    pub keepers: BTreeMap<Number, SocketAddr>,
+    pub keepers: BTreeMap<KeeperNumber, SocketAddr>,
 }
 
 /// Connection to one keeper.
-pub struct To {
-    number: Number,
-    way: Option<Way>,
+pub struct Peer {
+    number: KeeperNumber,
+    connection: Option<Way>,
 }
 
-impl RaftNetworkFactory<Kinds> for Network {
-    type Network = To;
+impl RaftNetworkFactory<TypeConfig> for Network {
+    type Network = Peer;
 
-    async fn new_client(&mut self, target: Number, _node: &BasicNode) -> To {
-        To { number: target, way: self.keepers.get(&target).copied().map(Way::new) }
+    async fn new_client(&mut self, target: KeeperNumber, _node: &BasicNode) -> Peer {
+        Peer { number: target, connection: self.keepers.get(&target).copied().map(Way::new) }
     }
 }
 
-type Failure<E = openraft::error::Infallible> = RPCError<Number, BasicNode, RaftError<Number, E>>;
+type Failure<E = openraft::error::Infallible> = RPCError<KeeperNumber, BasicNode, RaftError<KeeperNumber, E>>;
 
-impl To {
-    async fn word<Q, A, E>(&mut self, path: &str, word: &Q, option: &RPCOption) -> Result<A, Failure<E>>
+impl Peer {
+    async fn send<Q, A, E>(&mut self, path: &str, request: &Q, option: &RPCOption) -> Result<A, Failure<E>>
     where
         Q: Serialize,
         A: DeserializeOwned,
@@ -47,11 +47,11 @@
     {
         let unreachable =
             |what: String| RPCError::Unreachable(Unreachable::new(&std::io::Error::other(what)));
-        let Some(way) = &mut self.way else {
+        let Some(connection) = &mut self.connection else {
             return Err(unreachable(format!("keeper {} is not in this keeper's file", self.number)));
         };
-        let body = serde_json::to_vec(word).map_err(|e| RPCError::Network(NetworkError::new(&e)))?;
-        let answer = tokio::time::timeout(option.hard_ttl(), way.call(Method::POST, path, body)).await;
+        let body = serde_json::to_vec(request).map_err(|e| RPCError::Network(NetworkError::new(&e)))?;
+        let answer = tokio::time::timeout(option.hard_ttl(), connection.call(Method::POST, path, body)).await;
         let (status, body) = match answer {
             Ok(Ok(answer)) => answer,
             Ok(Err(what)) => return Err(unreachable(what)),
@@ -60,34 +60,34 @@
         if status != StatusCode::OK {
             return Err(unreachable(format!("keeper {}: {}", self.number, String::from_utf8_lossy(&body))));
         }
-        let answer: Result<A, RaftError<Number, E>> =
+        let answer: Result<A, RaftError<KeeperNumber, E>> =
             serde_json::from_slice(&body).map_err(|e| RPCError::Network(NetworkError::new(&e)))?;
         answer.map_err(|e| RPCError::RemoteError(RemoteError::new(self.number, e)))
     }
 }
 
-impl RaftNetwork<Kinds> for To {
+impl RaftNetwork<TypeConfig> for Peer {
     async fn append_entries(
         &mut self,
-        rpc: AppendEntriesRequest<Kinds>,
+        rpc: AppendEntriesRequest<TypeConfig>,
         option: RPCOption,
-    ) -> Result<AppendEntriesResponse<Number>, Failure> {
-        self.word("/raft/append", &rpc, &option).await
+    ) -> Result<AppendEntriesResponse<KeeperNumber>, Failure> {
+        self.send("/raft/append", &rpc, &option).await
     }
 
     async fn install_snapshot(
         &mut self,
-        rpc: InstallSnapshotRequest<Kinds>,
+        rpc: InstallSnapshotRequest<TypeConfig>,
         option: RPCOption,
-    ) -> Result<InstallSnapshotResponse<Number>, Failure<InstallSnapshotError>> {
-        self.word("/raft/snapshot", &rpc, &option).await
+    ) -> Result<InstallSnapshotResponse<KeeperNumber>, Failure<InstallSnapshotError>> {
+        self.send("/raft/snapshot", &rpc, &option).await
     }
 
     async fn vote(
         &mut self,
-        rpc: VoteRequest<Number>,
+        rpc: VoteRequest<KeeperNumber>,
         option: RPCOption,
-    ) -> Result<VoteResponse<Number>, Failure> {
-        self.word("/raft/vote", &rpc, &option).await
+    ) -> Result<VoteResponse<KeeperNumber>, Failure> {
+        self.send("/raft/vote", &rpc, &option).await
     }
 }
--- a/crates/keep/src/seat.rs
+++ b/crates/keep/src/node.rs
@@ -2,8 +2,8 @@
 //! and serves calls. Network and clock are passed in, so that tests can simulate them.
 
 use crate::config::Config;
-use crate::kinds::{Kinds, Raft};
-use crate::machine::Machine;
+use crate::raft_types::{Raft, TypeConfig};
+use crate::state_machine::PolicyStateMachine;
 use crate::store::Store;
 use hingestage_change::desk::{Asked, Entry, Order, Proposed, Reply, Report, TEXT_MAX};
 use hingestage_change::fields::NAME_MAX;
@@ -21,79 +21,81 @@
 use tokio::time::{sleep, timeout};
 
 /// Log entries between snapshots.
-const SNAPSHOT: (u64, u64) = (2_000, 200);
+const SNAPSHOT_INTERVAL: u64 = 2_000;
+/// Log entries retained behind a snapshot for slow followers.
+const RETAINED_ENTRIES: u64 = 200;
 /// Maximum entries in one append request; each may hold a text of maximum size.
-const PAYLOAD: u64 = 32;
+const MAX_APPEND_ENTRIES: u64 = 32;
 /// Maximum commands in one log entry.
-const BATCH: usize = 512;
+const MAX_BATCH: usize = 512;
 /// Maximum queued commands; further calls are rejected.
-const WAITING: usize = 4_096;
+const QUEUE_CAPACITY: usize = 4_096;
 /// Timeout of a log write, after which its outcome is unknown.
-pub const WRITTEN: Duration = Duration::from_secs(2);
+pub const WRITE_TIMEOUT: Duration = Duration::from_secs(2);
 /// Interval of ticks, which advance the state's clock while a change is pending.
-const TICK: Duration = Duration::from_millis(100);
+const TICK_INTERVAL: Duration = Duration::from_millis(100);
 
 /// A queued command and where to send its reply.
-type Waiting = (Order, oneshot::Sender<Result<Reply, Refusal>>);
+type QueuedCommand = (Order, oneshot::Sender<Result<Reply, CallError>>);
 
 /// Error of a call.
 #[derive(Clone, Debug)]
-pub enum Refusal {
+pub enum CallError {
     /// This keeper does not lead; the leader's number if known.
-    Elsewhere(Option<u64>),
+    NotLeader(Option<u64>),
     /// The outcome is unknown.
-    Unknown(String),
+    OutcomeUnknown(String),
     /// Rejected, with a status and a reason.
-    Wrong(StatusCode, String),
+    Rejected(StatusCode, String),
 }
 
 /// Result of a Raft call.
-pub type Word<A> = Result<A, RaftError<u64>>;
+pub type RaftResult<A> = Result<A, RaftError<u64>>;
 
 /// Clock: monotonic Unix time, µs.
-pub type Now = Arc<dyn Fn() -> Micros + Send + Sync>;
+pub type TimeSource = Arc<dyn Fn() -> Micros + Send + Sync>;
 
 /// A running Raft node.
-pub struct Seat {
+pub struct Node {
     /// Its configuration.
     pub config: Config,
-    now: Now,
+    now: TimeSource,
     /// Handle of the Raft node.
     pub raft: Raft,
-    machine: Machine,
-    orders: mpsc::Sender<Waiting>,
+    state_machine: PolicyStateMachine,
+    orders: mpsc::Sender<QueuedCommand>,
 }
 
-impl Seat {
+impl Node {
     /// Starts a node with a store and a network.
     ///
     /// # Errors
     /// The store can't be read, or the Raft node can't be started.
     pub async fn open(
         config: Config,
-        settings: openraft::Config,
+        raft_config: openraft::Config,
         store: Store,
-        network: impl RaftNetworkFactory<Kinds>,
-        now: Now,
-    ) -> Result<Arc<Seat>, String> {
-        let begins = store.begins().map_err(|e| e.to_string())?;
-        let machine = Machine::open(store.clone()).map_err(|e| e.to_string())?;
-        let settings = Arc::new(settings.validate().map_err(|e| e.to_string())?);
-        let raft = Raft::new(config.number, settings, network, store, machine.clone()).await;
+        network: impl RaftNetworkFactory<TypeConfig>,
+        now: TimeSource,
+    ) -> Result<Arc<Node>, String> {
+        let bootstraps = store.bootstraps().map_err(|e| e.to_string())?;
+        let state_machine = PolicyStateMachine::open(store.clone()).map_err(|e| e.to_string())?;
+        let raft_config = Arc::new(raft_config.validate().map_err(|e| e.to_string())?);
+        let raft = Raft::new(config.number, raft_config, network, store, state_machine.clone()).await;
         let raft = raft.map_err(|e| e.to_string())?;
-        if begins && !raft.is_initialized().await.map_err(|e| e.to_string())? {
+        if bootstraps && !raft.is_initialized().await.map_err(|e| e.to_string())? {
             // Every initial keeper does this with the same members, so it initializes one cluster.
             let members: BTreeMap<u64, BasicNode> =
                 config.keepers.keys().map(|number| (*number, BasicNode::default())).collect();
             if let Err(e) = raft.initialize(members).await {
-                tracing::info!("not begun here: {e}");
+                tracing::info!("the cluster is not initialized by this keeper: {e}");
             }
         }
-        let (orders, waiting) = mpsc::channel(WAITING);
-        let seat = Arc::new(Seat { config, now, raft, machine, orders });
-        tokio::spawn(seat.clone().write(waiting));
-        tokio::spawn(seat.clone().tick());
-        Ok(seat)
+        let (orders, waiting) = mpsc::channel(QUEUE_CAPACITY);
+        let node = Arc::new(Node { config, now, raft, state_machine, orders });
+        tokio::spawn(node.clone().run_writer(waiting));
+        tokio::spawn(node.clone().run_ticker());
+        Ok(node)
     }
 
     /// Completes with the reason once the Raft node has failed.
@@ -101,10 +103,10 @@
         let mut metrics = self.raft.metrics();
         loop {
             if let Err(e) = &metrics.borrow().running_state {
-                return format!("the log takes no more: {e}");
+                return format!("the Raft node has failed: {e}");
             }
             if metrics.changed().await.is_err() {
-                return "the log has ended".into();
+                return "the Raft node has stopped".into();
             }
         }
     }
@@ -114,33 +116,33 @@
         (self.now)()
     }
 
-    fn leads(&self) -> bool {
+    fn is_leader(&self) -> bool {
         self.raft.metrics().borrow().current_leader == Some(self.config.number)
     }
 
     /// Writes queued commands. All that arrive during a write go into the next entry, so entries are limited
     /// by the disk rather than by calls.
-    async fn write(self: Arc<Self>, mut waiting: mpsc::Receiver<Waiting>) {
+    async fn run_writer(self: Arc<Self>, mut waiting: mpsc::Receiver<QueuedCommand>) {
         let mut batch = Vec::new();
-        while waiting.recv_many(&mut batch, BATCH).await > 0 {
+        while waiting.recv_many(&mut batch, MAX_BATCH).await > 0 {
             let (orders, replies): (Vec<Order>, Vec<_>) = batch.drain(..).unzip();
             let entry = Entry { at: self.now(), orders };
-            let written = timeout(WRITTEN, self.raft.client_write(entry)).await;
-            let refusal = match written {
+            let written = timeout(WRITE_TIMEOUT, self.raft.client_write(entry)).await;
+            let error = match written {
                 Ok(Ok(done)) => {
                     for (reply, to) in done.data.into_iter().zip(replies) {
                         let _ = to.send(Ok(reply));
                     }
                     continue;
                 }
-                Ok(Err(RaftError::APIError(ClientWriteError::ForwardToLeader(elsewhere)))) => {
-                    Refusal::Elsewhere(elsewhere.leader_id)
+                Ok(Err(RaftError::APIError(ClientWriteError::ForwardToLeader(forward)))) => {
+                    CallError::NotLeader(forward.leader_id)
                 }
-                Ok(Err(e)) => Refusal::Unknown(e.to_string()),
-                Err(_) => Refusal::Unknown("not written in time; it may be yet".into()),
+                Ok(Err(e)) => CallError::OutcomeUnknown(e.to_string()),
+                Err(_) => CallError::OutcomeUnknown("the write timed out; it may still take effect".into()),
             };
             for to in replies {
-                let _ = to.send(Err(refusal.clone()));
+                let _ = to.send(Err(error.clone()));
             }
         }
     }
@@ -149,40 +151,45 @@
     ///
     /// # Errors
     /// The command was refused, or its outcome is unknown.
-    pub async fn order(&self, order: Order) -> Result<Reply, Refusal> {
+    pub async fn submit(&self, command: Order) -> Result<Reply, CallError> {
         let (to, reply) = oneshot::channel();
-        if self.orders.try_send((order, to)).is_err() {
-            return Err(Refusal::Unknown("too much waits to be written".into()));
+        if self.orders.try_send((command, to)).is_err() {
+            return Err(CallError::OutcomeUnknown("the write queue is full".into()));
         }
-        let reply = reply.await.unwrap_or_else(|_| Err(Refusal::Unknown("the keeper ends".into())));
+        let reply = reply
+            .await
+            .unwrap_or_else(|_| Err(CallError::OutcomeUnknown("the keeper is shutting down".into())));
         match reply? {
-            Reply::NotBegun => Err(not_begun()),
-            Reply::Refused(why) => Err(Refusal::Wrong(StatusCode::CONFLICT, why)),
-            Reply::Superseded => Err(Refusal::Wrong(StatusCode::GONE, "a later life has asked".into())),
+            Reply::NotBegun => Err(not_initialized()),
+            Reply::Refused(why) => Err(CallError::Rejected(StatusCode::CONFLICT, why)),
+            Reply::Superseded => Err(CallError::Rejected(
+                StatusCode::GONE,
+                "a later incarnation of the gateway is known".into(),
+            )),
             reply => Ok(reply),
         }
     }
 
     /// Initializes the state if needed, and writes ticks while a change is pending.
-    async fn tick(self: Arc<Self>) {
+    async fn run_ticker(self: Arc<Self>) {
         loop {
-            sleep(TICK).await;
-            if !self.leads() {
+            sleep(TICK_INTERVAL).await;
+            if !self.is_leader() {
                 continue;
             }
-            let (begun, waits) = self.machine.look(|desk| (desk.has_begun(), desk.waits()));
+            let (begun, waits) = self.state_machine.with_state(|state| (state.has_begun(), state.waits()));
             if !begun {
-                match self.first() {
-                    Ok(order) => drop(self.order(order).await),
-                    Err(what) => tracing::error!("the log can't begin: {what}"),
+                match self.initial_command() {
+                    Ok(command) => drop(self.submit(command).await),
+                    Err(what) => tracing::error!("can't initialize the state: {what}"),
                 }
             } else if waits {
-                let _ = self.order(Order::Tick).await;
+                let _ = self.submit(Order::Tick).await;
             }
         }
     }
 
-    fn first(&self) -> Result<Order, String> {
+    fn initial_command(&self) -> Result<Order, String> {
         let policy = hingestage_form::load(&self.config.first, read)?;
         let version = Version { number: policy.version, digest: policy.digest() };
         Ok(Order::Begin { figures: self.config.figures, version, text: policy.text() })
@@ -193,33 +200,33 @@
     ///
     /// # Errors
     /// An entry's timestamp is too far ahead.
-    pub async fn append(
+    pub async fn append_entries(
         &self,
-        word: AppendEntriesRequest<Kinds>,
-    ) -> Result<Word<AppendEntriesResponse<u64>>, Refusal> {
+        request: AppendEntriesRequest<TypeConfig>,
+    ) -> Result<RaftResult<AppendEntriesResponse<u64>>, CallError> {
         let latest = self.now() + self.config.figures.error;
-        let ahead = |entry: &crate::kinds::Entry| match &entry.payload {
+        let ahead = |entry: &crate::raft_types::Entry| match &entry.payload {
             EntryPayload::Normal(entry) => entry.at > latest,
             _ => false,
         };
-        if word.entries.iter().any(ahead) {
+        if request.entries.iter().any(ahead) {
             tracing::error!(
-                "the clock of the keeper that leads is ahead of this one's by more than clocks may be"
+                "the leader's clock is ahead of this keeper's by more than the allowed clock error"
             );
-            return Err(Refusal::Wrong(StatusCode::CONFLICT, "your clock is ahead".into()));
+            return Err(CallError::Rejected(StatusCode::CONFLICT, "the leader's clock is ahead".into()));
         }
-        Ok(self.raft.append_entries(word).await)
+        Ok(self.raft.append_entries(request).await)
     }
 
     /// Serves a gateway's lease request.
     ///
     /// # Errors
     /// The request is invalid, refused or not served here.
-    pub async fn ask(&self, asked: Asked) -> Result<Reply, Refusal> {
+    pub async fn request_lease(&self, asked: Asked) -> Result<Reply, CallError> {
         if !(1..=NAME_MAX).contains(&asked.question.gateway.len()) {
-            return Err(wrong(&format!("a gateway's name has 1 to {NAME_MAX} bytes")));
+            return Err(bad_request(&format!("a gateway's name has 1 to {NAME_MAX} bytes")));
         }
-        self.order(Order::Ask(asked.question, asked.figures)).await
+        self.submit(Order::Ask(asked.question, asked.figures)).await
     }
 
     /// Validates and proposes a policy document. Only the leader parses it, so other keepers may run builds
@@ -227,25 +234,25 @@
     ///
     /// # Errors
     /// The document is invalid or dangerous, the proposal is refused, or its outcome is unknown.
-    pub async fn propose(&self, proposed: Proposed) -> Result<Version, Refusal> {
+    pub async fn propose(&self, proposed: Proposed) -> Result<Version, CallError> {
         if proposed.text.len() > TEXT_MAX {
-            return Err(wrong("the document is too long"));
+            return Err(bad_request("the document is too long"));
         }
-        let policy = read(&proposed.text).map_err(|e| wrong(&e))?;
-        self.up_to_date().await?;
-        let before = self.machine.look(|desk| desk.in_force().and_then(|text| read(text).ok()));
-        let before = before.ok_or_else(not_begun)?;
+        let policy = read(&proposed.text).map_err(|e| bad_request(&e))?;
+        self.ensure_up_to_date().await?;
+        let before = self.state_machine.with_state(|state| state.in_force().and_then(|text| read(text).ok()));
+        let before = before.ok_or_else(not_initialized)?;
         // The log itself rejects version numbers that do not increase.
-        let slip = |danger: &Danger| !matches!(danger, Danger::Version(..));
-        let dangers: Vec<Danger> = dangers(&before, &policy).into_iter().filter(slip).collect();
+        let needs_confirmation = |danger: &Danger| !matches!(danger, Danger::Version(..));
+        let dangers: Vec<Danger> = dangers(&before, &policy).into_iter().filter(needs_confirmation).collect();
         if !dangers.is_empty() && !proposed.despite {
             let all: Vec<String> = dangers.iter().map(ToString::to_string).collect();
-            return Err(Refusal::Wrong(StatusCode::PRECONDITION_REQUIRED, all.join("\n")));
+            return Err(CallError::Rejected(StatusCode::PRECONDITION_REQUIRED, all.join("\n")));
         }
         let version = Version { number: policy.version, digest: policy.digest() };
         let deadline = self.now() + proposed.within;
-        let order = Order::Propose { version, text: policy.text(), at: proposed.at, deadline };
-        self.order(order).await?;
+        let command = Order::Propose { version, text: policy.text(), at: proposed.at, deadline };
+        self.submit(command).await?;
         Ok(version)
     }
 
@@ -253,18 +260,18 @@
     ///
     /// # Errors
     /// A keeper is not configured here, or the membership can't be changed now.
-    pub async fn keepers(&self, numbers: BTreeSet<u64>) -> Result<(), Refusal> {
-        if let Some(stranger) = numbers.iter().find(|number| !self.config.keepers.contains_key(number)) {
-            return Err(wrong(&format!("keeper {stranger} is not in the file of the keeper that leads")));
+    pub async fn change_members(&self, numbers: BTreeSet<u64>) -> Result<(), CallError> {
+        if let Some(unknown) = numbers.iter().find(|number| !self.config.keepers.contains_key(number)) {
+            return Err(bad_request(&format!("keeper {unknown} is not in the leader's configuration")));
         }
-        let elsewhere = |e: RaftError<u64, ClientWriteError<u64, BasicNode>>| match e {
-            RaftError::APIError(ClientWriteError::ForwardToLeader(to)) => Refusal::Elsewhere(to.leader_id),
+        let to_call_error = |e: RaftError<u64, ClientWriteError<u64, BasicNode>>| match e {
+            RaftError::APIError(ClientWriteError::ForwardToLeader(to)) => CallError::NotLeader(to.leader_id),
             // A new leader sees the previous change as in progress: retry.
             RaftError::APIError(ClientWriteError::ChangeMembershipError(
                 e @ ChangeMembershipError::InProgress(_),
-            )) => Refusal::Unknown(e.to_string()),
-            RaftError::APIError(e) => Refusal::Wrong(StatusCode::CONFLICT, e.to_string()),
-            e => Refusal::Unknown(e.to_string()),
+            )) => CallError::OutcomeUnknown(e.to_string()),
+            RaftError::APIError(e) => CallError::Rejected(StatusCode::CONFLICT, e.to_string()),
+            e => CallError::OutcomeUnknown(e.to_string()),
         };
         let known: Vec<u64> = {
             let metrics = self.raft.metrics();
@@ -272,21 +279,21 @@
             metrics.membership_config.nodes().map(|(number, _)| *number).collect()
         };
         for number in numbers.iter().filter(|number| !known.contains(number)) {
-            self.raft.add_learner(*number, BasicNode::default(), true).await.map_err(elsewhere)?;
+            self.raft.add_learner(*number, BasicNode::default(), true).await.map_err(to_call_error)?;
         }
-        self.raft.change_membership(numbers, false).await.map_err(elsewhere)?;
+        self.raft.change_membership(numbers, false).await.map_err(to_call_error)?;
         Ok(())
     }
 
     /// Waits until all entries committed before this call are applied here.
-    async fn up_to_date(&self) -> Result<(), Refusal> {
-        match timeout(WRITTEN, self.raft.ensure_linearizable()).await {
+    async fn ensure_up_to_date(&self) -> Result<(), CallError> {
+        match timeout(WRITE_TIMEOUT, self.raft.ensure_linearizable()).await {
             Ok(Ok(_)) => Ok(()),
             Ok(Err(RaftError::APIError(openraft::error::CheckIsLeaderError::ForwardToLeader(to)))) => {
-                Err(Refusal::Elsewhere(to.leader_id))
+                Err(CallError::NotLeader(to.leader_id))
             }
-            Ok(Err(e)) => Err(Refusal::Unknown(e.to_string())),
-            Err(_) => Err(Refusal::Unknown("no majority of keepers answers".into())),
+            Ok(Err(e)) => Err(CallError::OutcomeUnknown(e.to_string())),
+            Err(_) => Err(CallError::OutcomeUnknown("no majority of keepers responds".into())),
         }
     }
 
@@ -294,42 +301,42 @@
     ///
     /// # Errors
     /// This keeper does not lead, or no majority answers.
-    pub async fn status(&self) -> Result<Report, Refusal> {
-        self.up_to_date().await?;
-        self.machine.look(|desk| desk.report()).ok_or_else(not_begun)
+    pub async fn status(&self) -> Result<Report, CallError> {
+        self.ensure_up_to_date().await?;
+        self.state_machine.with_state(|state| state.report()).ok_or_else(not_initialized)
     }
 
     /// The text of a version. Any keeper may serve it, as callers verify the digest.
     ///
     /// # Errors
     /// No such version is stored here.
-    pub fn text(&self, number: u64) -> Result<String, Refusal> {
-        let found = self.machine.look(|desk| desk.text(number).map(str::to_owned));
-        let missing = || Refusal::Wrong(StatusCode::NOT_FOUND, "no such version is kept here".into());
+    pub fn text(&self, number: u64) -> Result<String, CallError> {
+        let found = self.state_machine.with_state(|state| state.text(number).map(str::to_owned));
+        let missing = || CallError::Rejected(StatusCode::NOT_FOUND, "this keeper has no such version".into());
         found.ok_or_else(missing)
     }
 }
 
 /// Raft settings of a keeper.
-pub fn settings(config: &Config) -> openraft::Config {
+pub fn raft_settings(config: &Config) -> openraft::Config {
     let heartbeat = config.heartbeat.as_millis() as u64;
     openraft::Config {
         cluster_name: "hingestage".into(),
         heartbeat_interval: heartbeat,
         election_timeout_min: 4 * heartbeat,
         election_timeout_max: 8 * heartbeat,
-        max_payload_entries: PAYLOAD,
-        snapshot_policy: SnapshotPolicy::LogsSinceLast(SNAPSHOT.0),
-        max_in_snapshot_log_to_keep: SNAPSHOT.1,
+        max_payload_entries: MAX_APPEND_ENTRIES,
+        snapshot_policy: SnapshotPolicy::LogsSinceLast(SNAPSHOT_INTERVAL),
+        max_in_snapshot_log_to_keep: RETAINED_ENTRIES,
         ..openraft::Config::default()
     }
 }
 
 /// An error for an invalid call.
-pub fn wrong(what: &str) -> Refusal {
-    Refusal::Wrong(StatusCode::BAD_REQUEST, what.to_owned())
+pub fn bad_request(what: &str) -> CallError {
+    CallError::Rejected(StatusCode::BAD_REQUEST, what.to_owned())
 }
 
-fn not_begun() -> Refusal {
-    Refusal::Unknown("nothing has begun yet".into())
+fn not_initialized() -> CallError {
+    CallError::OutcomeUnknown("the policy store is not initialized yet".into())
 }
--- a/crates/keep/src/service.rs
+++ b/crates/keep/src/service.rs
@@ -3,7 +3,7 @@
 use crate::call::BODY_MAX;
 use crate::config::Config;
 use crate::network::Network;
-use crate::seat::{settings, wrong, Refusal, Seat, WRITTEN};
+use crate::node::{bad_request, raft_settings, CallError, Node, WRITE_TIMEOUT};
 use crate::store::{New, Store};
 use hingestage_change::desk::{Elsewhere, Order};
 use hingestage_platform::{Clock, Platform, Tokio};
@@ -24,12 +24,12 @@
 use tokio::time::{sleep, timeout};
 
 /// Maximum concurrent connections; further ones wait to be accepted.
-const CALLS: usize = 256;
+const MAX_CONNECTIONS: usize = 256;
 /// Timeout of idle connections and of reading a request body. Longer than many heartbeats, and short enough
 /// that idle clients free their connections soon.
-const QUIET: Duration = Duration::from_secs(4);
+const IDLE_TIMEOUT: Duration = Duration::from_secs(4);
 /// Delay after a failed `accept`, such as when file descriptors run out.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
 /// How a keeper starts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -43,8 +43,8 @@
 }
 
 /// Serves HTTP calls to a node.
-struct Keeper {
-    seat: Arc<Seat>,
+struct Server {
+    node: Arc<Node>,
 }
 
 /// Runs a keeper until `stop` completes or its store fails.
@@ -65,54 +65,54 @@
     let listener = listener.map_err(|e| format!("field `keeper.listen`: {}: {e}", config.listen))?;
     let network = Network { keepers: config.keepers.clone() };
     let clock = Clock::new(&Tokio);
-    let settings = settings(&config);
+    let raft_config = raft_settings(&config);
     let now = Arc::new(move || clock.micros(Tokio.now()));
-    let seat = Seat::open(config, settings, store, network, now).await?;
-    let keeper = Arc::new(Keeper { seat: seat.clone() });
-    tracing::info!(number = seat.config.number, at = %seat.config.listen, "keeps");
-    let accepting = tokio::spawn(keeper.accept(listener));
-    let failed = seat.clone().failed();
+    let node = Node::open(config, raft_config, store, network, now).await?;
+    let server = Arc::new(Server { node: node.clone() });
+    tracing::info!(number = node.config.number, at = %node.config.listen, "keeps");
+    let accepting = tokio::spawn(server.accept(listener));
+    let failed = node.clone().failed();
     let ended = tokio::select! {
         () = stop => Ok(()),
         what = failed => Err(what),
     };
     accepting.abort();
-    let _ = timeout(WRITTEN, seat.raft.shutdown()).await;
+    let _ = timeout(WRITE_TIMEOUT, node.raft.shutdown()).await;
     ended
 }
 
-impl Keeper {
+impl Server {
     async fn accept(self: Arc<Self>, listener: TcpListener) {
-        let room = Arc::new(Semaphore::new(CALLS));
+        let permits = Arc::new(Semaphore::new(MAX_CONNECTIONS));
         loop {
-            let Ok(place) = room.clone().acquire_owned().await else { return };
+            let Ok(permit) = permits.clone().acquire_owned().await else { return };
             match listener.accept().await {
                 Ok((stream, _)) => {
-                    let keeper = self.clone();
-                    let places = room.clone();
+                    let server = self.clone();
+                    let permits = permits.clone();
                     tokio::spawn(async move {
-                        keeper.serve(stream, &places).await;
-                        drop(place);
+                        server.serve(stream, &permits).await;
+                        drop(permit);
                     });
                 }
                 Err(e) => {
                     tracing::warn!("accept: {e}");
-                    sleep(ACCEPT_PAUSE).await;
+                    sleep(ACCEPT_RETRY_DELAY).await;
                 }
             }
         }
     }
 
-    async fn serve(self: Arc<Self>, stream: TcpStream, places: &Semaphore) {
+    async fn serve(self: Arc<Self>, stream: TcpStream, permits: &Semaphore) {
         let _ = stream.set_nodelay(true);
-        let (heard, mut hears) = mpsc::channel::<()>(1);
+        let (activity_tx, mut activity_rx) = mpsc::channel::<()>(1);
         let service = service_fn(|request: Request<Incoming>| {
-            let _ = heard.try_send(());
-            let keeper = self.clone();
+            let _ = activity_tx.try_send(());
+            let server = self.clone();
             async move {
-                let mut answer = keeper.answer(request).await;
+                let mut answer = server.answer(request).await;
                 // Close the connection when others are waiting for a permit.
-                if places.available_permits() == 0 {
+                if permits.available_permits() == 0 {
                     answer.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
                 }
                 Ok::<_, Infallible>(answer)
@@ -124,62 +124,69 @@
             // A protocol error or a timeout ends only this connection.
             tokio::select! {
                 ended = conn.as_mut() => return drop(ended),
-                Some(()) = hears.recv() => {}
-                () = sleep(QUIET) => return,
+                Some(()) = activity_rx.recv() => {}
+                () = sleep(IDLE_TIMEOUT) => return,
             }
         }
     }
 
     async fn answer(&self, request: Request<Incoming>) -> Response<Full<Bytes>> {
         let (head, body) = request.into_parts();
-        let body = match timeout(QUIET, Limited::new(body, BODY_MAX).collect()).await {
+        let body = match timeout(IDLE_TIMEOUT, Limited::new(body, BODY_MAX).collect()).await {
             Ok(Ok(body)) => body.to_bytes(),
-            _ => return text(StatusCode::BAD_REQUEST, "no whole body"),
+            _ => return text(StatusCode::BAD_REQUEST, "incomplete body"),
         };
         let post = head.method == Method::POST;
         let answer = match (post, head.uri.path()) {
             (false, "/up") => return text(StatusCode::OK, "keeps"),
-            (true, "/raft/append") => async { done(&self.seat.append(json(&body)?).await?) }.await,
-            (true, "/raft/vote") => async { done(&self.seat.raft.vote(json(&body)?).await) }.await,
+            (true, "/raft/append") => {
+                async { ok_json(&self.node.append_entries(parse_json(&body)?).await?) }.await
+            }
+            (true, "/raft/vote") => async { ok_json(&self.node.raft.vote(parse_json(&body)?).await) }.await,
             (true, "/raft/snapshot") => {
-                async { done(&self.seat.raft.install_snapshot(json(&body)?).await) }.await
+                async { ok_json(&self.node.raft.install_snapshot(parse_json(&body)?).await) }.await
+            }
+            (true, "/ask") => async { ok_json(&self.node.request_lease(parse_json(&body)?).await?) }.await,
+            (true, "/propose") => async { ok_json(&self.node.propose(parse_json(&body)?).await?) }.await,
+            (true, "/abort") => self.submit_command(parse_json(&body).map(Order::CallOff)).await,
+            (true, "/gone") => self.submit_command(parse_json(&body).map(Order::DeclareGone)).await,
+            (true, "/keepers") => {
+                async { ok_json(&self.node.change_members(parse_json(&body)?).await?) }.await
             }
-            (true, "/ask") => async { done(&self.seat.ask(json(&body)?).await?) }.await,
-            (true, "/propose") => async { done(&self.seat.propose(json(&body)?).await?) }.await,
-            (true, "/abort") => self.told(json(&body).map(Order::CallOff)).await,
-            (true, "/gone") => self.told(json(&body).map(Order::DeclareGone)).await,
-            (true, "/keepers") => async { done(&self.seat.keepers(json(&body)?).await?) }.await,
-            (false, "/status") => async { done(&self.seat.status().await?) }.await,
+            (false, "/status") => async { ok_json(&self.node.status().await?) }.await,
             (false, path) if path.starts_with("/text/") => self.text(&path[6..]),
-            _ => Err(Refusal::Wrong(StatusCode::NOT_FOUND, "no such call".into())),
+            _ => Err(CallError::Rejected(StatusCode::NOT_FOUND, "unknown path".into())),
         };
         match answer {
             Ok(answer) => answer,
-            Err(Refusal::Elsewhere(leader)) => {
+            Err(CallError::NotLeader(leader)) => {
                 let body = serde_json::to_vec(&Elsewhere { leader }).unwrap_or_default();
                 text(StatusCode::MISDIRECTED_REQUEST, body)
             }
-            Err(Refusal::Unknown(what)) => text(StatusCode::GATEWAY_TIMEOUT, what),
-            Err(Refusal::Wrong(status, what)) => text(status, what),
+            Err(CallError::OutcomeUnknown(what)) => text(StatusCode::GATEWAY_TIMEOUT, what),
+            Err(CallError::Rejected(status, what)) => text(status, what),
         }
     }
 
-    async fn told(&self, order: Result<Order, Refusal>) -> Result<Response<Full<Bytes>>, Refusal> {
-        done(&self.seat.order(order?).await?)
+    async fn submit_command(
+        &self,
+        command: Result<Order, CallError>,
+    ) -> Result<Response<Full<Bytes>>, CallError> {
+        ok_json(&self.node.submit(command?).await?)
     }
 
-    fn text(&self, number: &str) -> Result<Response<Full<Bytes>>, Refusal> {
-        let number: u64 = number.parse().map_err(|_| wrong("no number"))?;
-        done(&self.seat.text(number)?)
+    fn text(&self, number: &str) -> Result<Response<Full<Bytes>>, CallError> {
+        let number: u64 = number.parse().map_err(|_| bad_request("no number"))?;
+        ok_json(&self.node.text(number)?)
     }
 }
 
-fn json<T: DeserializeOwned>(body: &[u8]) -> Result<T, Refusal> {
-    serde_json::from_slice(body).map_err(|e| wrong(&e.to_string()))
+fn parse_json<T: DeserializeOwned>(body: &[u8]) -> Result<T, CallError> {
+    serde_json::from_slice(body).map_err(|e| bad_request(&e.to_string()))
 }
 
-fn done(what: &impl Serialize) -> Result<Response<Full<Bytes>>, Refusal> {
-    let body = serde_json::to_vec(what).map_err(|e| Refusal::Unknown(e.to_string()))?;
+fn ok_json(what: &impl Serialize) -> Result<Response<Full<Bytes>>, CallError> {
+    let body = serde_json::to_vec(what).map_err(|e| CallError::OutcomeUnknown(e.to_string()))?;
     Ok(text(StatusCode::OK, body))
 }
 
--- a/crates/keep/src/world.rs
+++ b/crates/keep/src/simulation.rs
@@ -7,9 +7,9 @@
 //! last change takes effect everywhere.
 
 use crate::config::Config;
-use crate::disk::Disk;
-use crate::kinds::Kinds;
-use crate::seat::{settings, Refusal, Seat};
+use crate::faulty_disk::Disk;
+use crate::node::{raft_settings, CallError, Node};
+use crate::raft_types::TypeConfig;
 use crate::store::{New, Store};
 use fastrand::Rng;
 use hingestage_change::desk::{Asked, Proposed, Reply, Report};
@@ -37,39 +37,39 @@
 /// Start of the simulation, Unix time.
 const EPOCH: Micros = 1_700_000_000 * S;
 /// Time after which no faults are injected and all are repaired.
-const CALM: Micros = 14 * S;
-const END: Micros = 24 * S;
+const FAULTS_UNTIL: Micros = 14 * S;
+const RUN_UNTIL: Micros = 24 * S;
 /// Interval of checking which version each gateway uses.
-const STEP: Duration = Duration::from_millis(10);
+const CHECK_INTERVAL: Duration = Duration::from_millis(10);
 /// Interval of lease requests, and their timeout: longer than in production, as nothing may depend on it.
-const ASK: Duration = Duration::from_millis(300);
-const PATIENCE: Duration = Duration::from_millis(900);
+const REQUEST_INTERVAL: Duration = Duration::from_millis(300);
+const REQUEST_TIMEOUT: Duration = Duration::from_millis(900);
 /// Offset of a clock that is out of range: longer than any reply takes.
-const ASTRAY: Micros = 3 * S;
+const OUT_OF_RANGE_LAG: Micros = 3 * S;
 const HEARTBEAT: Duration = Duration::from_millis(100);
 
 /// A defect that the simulation must detect.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Planted {
-    Nothing,
+enum Defect {
+    None,
     /// Disks skip syncs that they acknowledge.
-    WordBeforeSync,
+    AckBeforeSync,
     /// A crashed keeper restarts with an empty store.
-    ForgetsItsStore,
+    LostStore,
     /// One keeper's clock is ahead, and the others accept its entries.
     ClockAhead,
     /// One keeper's clock is ahead, and the others reject its entries: no defect.
-    ClockAheadGuarded,
+    ClockAheadRejected,
     /// A change is reported as decided once a majority of gateways is ready.
     MajorityOfGateways,
     /// A decided change is called off.
     AbortAfterDecision,
     /// A lease starts at the receipt of the reply.
-    FromReceipt,
+    LeaseFromReceipt,
     /// A restarted gateway uses the version of its previous incarnation.
-    Believes,
+    VersionKeptOverRestart,
     /// A change takes effect as soon as a gateway learns of the decision.
-    AtOnce,
+    ImmediateEffect,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -81,53 +81,53 @@
 
 struct Keeper {
     /// The process, if running. The incarnation distinguishes it from earlier ones.
-    seat: Option<Arc<Seat>>,
+    node: Option<Arc<Node>>,
     life: u32,
     disk: Disk,
-    ahead: Micros,
+    clock_lead: Micros,
 }
 
 struct Gateway {
     holder: Holder,
     mode: Mode,
     life: u64,
-    ahead: Micros,
+    clock_lead: Micros,
     /// Lag of a clock that is out of range.
-    behind: Micros,
+    clock_lag: Micros,
     down: bool,
-    stalled: Option<Instant>,
+    paused_until: Option<Instant>,
     leader: Option<u64>,
     /// Version of its last request.
     last: Option<Version>,
 }
 
-struct Inner {
-    begun: Instant,
+struct SimulationState {
+    started: Instant,
     rng: Rng,
-    planted: Planted,
+    defect: Defect,
     keepers: BTreeMap<u64, Keeper>,
     gateways: Vec<Gateway>,
     /// Blocked links and until when, and a slow keeper.
     cut: BTreeMap<(Host, Host), Instant>,
     slow: Option<(u64, Instant)>,
     /// First start of a request under each version, and reported decisions.
-    begins: BTreeMap<u64, Micros>,
+    first_starts: BTreeMap<u64, Micros>,
     decided: BTreeMap<u64, (Version, Micros)>,
     /// Ready gateways and called-off versions, for injected defects.
     ready: BTreeMap<u64, BTreeSet<usize>>,
     aborted: BTreeSet<u64>,
     number: u64,
-    broken: Option<String>,
+    violation: Option<String>,
     /// Hash of all events: equal for equal runs.
     trace: u64,
     crashes: usize,
-    full: usize,
+    full_disks: usize,
     first: PathBuf,
 }
 
 /// Shared handle of the simulation.
 #[derive(Clone)]
-struct World(Arc<Mutex<Inner>>);
+struct Simulation(Arc<Mutex<SimulationState>>);
 
 /// A document that differs from others by its version and a blocked account.
 fn document(version: u64, blocked: u64) -> String {
@@ -137,16 +137,16 @@
     )
 }
 
-impl Inner {
+impl SimulationState {
     fn now(&self) -> Micros {
-        EPOCH + self.begun.elapsed().as_micros() as Micros
+        EPOCH + self.started.elapsed().as_micros() as Micros
     }
 
     fn calm(&self) -> bool {
-        self.now() >= EPOCH + CALM
+        self.now() >= EPOCH + FAULTS_UNTIL
     }
 
-    fn note(&mut self, what: &str) {
+    fn record(&mut self, what: &str) {
         let mut hasher = DefaultHasher::new();
         (self.trace, self.now(), what).hash(&mut hasher);
         self.trace = hasher.finish();
@@ -155,13 +155,13 @@
         }
     }
 
-    fn breaks(&mut self, what: String) {
+    fn fail(&mut self, what: String) {
         let at = (self.now() - EPOCH) / MS;
-        self.broken.get_or_insert(format!("{what}, at {at} ms"));
+        self.violation.get_or_insert(format!("{what}, at {at} ms"));
     }
 
     /// Delay of a message; `None` if it is lost.
-    fn way(&mut self, from: Host, to: Host) -> Option<Duration> {
+    fn delay(&mut self, from: Host, to: Host) -> Option<Duration> {
         let now = Instant::now();
         let cut = self.cut.get(&(from, to)).is_some_and(|until| *until > now);
         let usual = Duration::from_micros(200 + self.rng.u64(..4_000));
@@ -171,79 +171,80 @@
         if cut || self.rng.u32(..60) == 0 {
             return None;
         }
-        let crawls =
+        let is_slow =
             |host: Host| self.slow.is_some_and(|(slow, until)| host == Host::Keeper(slow) && until > now);
         Some(match self.rng.u32(..30) {
             0 => Duration::from_millis(self.rng.u64(..900)),
-            _ if crawls(from) || crawls(to) => usual + Duration::from_millis(self.rng.u64(..400)),
+            _ if is_slow(from) || is_slow(to) => usual + Duration::from_millis(self.rng.u64(..400)),
             _ => usual,
         })
     }
 
     /// Replaces the disk of an ended process by what a crash leaves, so that late writes of that process are
     /// lost.
-    fn leave_disk(&mut self, number: u64) {
+    fn crash_disk(&mut self, number: u64) {
         let keeper = self.keepers.get_mut(&number).unwrap();
         let left = keeper.disk.crash(&mut self.rng);
-        keeper.disk.fails_after(0);
+        keeper.disk.fail_after(0);
         keeper.disk = left;
     }
 
     /// The incarnation and node of a running keeper.
-    fn seat(&self, number: u64) -> Option<(u32, Arc<Seat>)> {
+    fn node(&self, number: u64) -> Option<(u32, Arc<Node>)> {
         let keeper = &self.keepers[&number];
-        keeper.seat.clone().map(|seat| (keeper.life, seat))
+        keeper.node.clone().map(|node| (keeper.life, node))
     }
 
-    fn up(&self, gateway: usize) -> bool {
-        let stalls = self.gateways[gateway].stalled.is_some_and(|until| until > Instant::now());
+    fn is_up(&self, gateway: usize) -> bool {
+        let stalls = self.gateways[gateway].paused_until.is_some_and(|until| until > Instant::now());
         !self.gateways[gateway].down && !stalls
     }
 
     fn clock(&self, gateway: usize) -> Micros {
-        self.now() + self.gateways[gateway].ahead - self.gateways[gateway].behind
+        self.now() + self.gateways[gateway].clock_lead - self.gateways[gateway].clock_lag
     }
 
     /// Checks which version each gateway would use for a request now.
-    fn begin_requests(&mut self) {
+    fn check_versions(&mut self) {
         let now = self.now();
         for g in 0..self.gateways.len() {
-            if !self.up(g) {
+            if !self.is_up(g) {
                 continue;
             }
             let clock = self.clock(g);
             let Some(version) = self.gateways[g].holder.version(clock) else { continue };
             if self.gateways[g].last.replace(version) != Some(version) {
-                self.note(&format!("gateway {g} goes by {}", version.number));
+                self.record(&format!("gateway {g} uses version {}", version.number));
             }
-            self.begins.entry(version.number).or_insert(now);
-            let newer = self.begins.range(version.number + 1..).find(|(_, at)| now > **at + FIGURES.error);
+            self.first_starts.entry(version.number).or_insert(now);
+            let newer =
+                self.first_starts.range(version.number + 1..).find(|(_, at)| now > **at + FIGURES.error);
             if let Some((newer, at)) = newer {
                 let (newer, after) = (*newer, (now - at) / MS);
-                self.breaks(format!("{} began {after} ms after {newer} at gateway {g}", version.number));
+                self.fail(format!("{} began {after} ms after {newer} at gateway {g}", version.number));
             }
         }
     }
 
     /// Applies injected defects to a reply.
-    fn spoil(&mut self, g: usize, ready: Option<u64>, mut answer: Answer) -> Answer {
+    fn apply_defect(&mut self, g: usize, ready: Option<u64>, mut answer: Answer) -> Answer {
         if let Some(version) = ready {
             self.ready.entry(version).or_default().insert(g);
         }
-        match (self.planted, answer.change) {
-            (Planted::MajorityOfGateways, Some(Change::Proposed(version))) => {
+        match (self.defect, answer.change) {
+            (Defect::MajorityOfGateways, Some(Change::Proposed(version))) => {
                 let most =
                     self.ready.get(&version.number).is_some_and(|some| 2 * some.len() > self.gateways.len());
                 if most {
                     answer.change = Some(Change::Decided(version, answer.told + 2 * FIGURES.error));
                 }
             }
-            (Planted::AbortAfterDecision, Some(Change::Decided(version, _)))
+            (Defect::AbortAfterDecision, Some(Change::Decided(version, _)))
                 if self.aborted.contains(&version.number) =>
             {
                 answer.change = None;
             }
-            (Planted::AtOnce, Some(Change::Decided(version, _))) => {
+            (Defect::ImmediateEffect, Some(Change::Decided(version, _))) => {
                 answer.change = Some(Change::Decided(version, self.clock(g)));
             }
             _ => {}
@@ -252,17 +253,17 @@
     }
 
     /// Delivers a reply to a gateway.
-    fn hear(&mut self, g: usize, answer: Answer) {
-        if let (Some(Change::Decided(version, from)), Planted::Nothing | Planted::WordBeforeSync) =
-            (answer.change, self.planted)
+    fn deliver(&mut self, g: usize, answer: Answer) {
+        if let (Some(Change::Decided(version, from)), Defect::None | Defect::AckBeforeSync) =
+            (answer.change, self.defect)
         {
             let told = *self.decided.entry(version.number).or_insert((version, from));
             if told != (version, from) {
-                self.breaks(format!("gateway {g} hears {version:?} from {from}, another heard {told:?}"));
+                self.fail(format!("gateway {g} hears {version:?} from {from}, another heard {told:?}"));
             }
         }
         let (clock, mut answer) = (self.clock(g), answer);
-        if self.planted == Planted::FromReceipt {
+        if self.defect == Defect::LeaseFromReceipt {
             (answer.issued, answer.told) = (clock, clock);
         }
         let gateway = &mut self.gateways[g];
@@ -275,11 +276,11 @@
 
     fn start_gateway(&mut self, g: usize) {
         let clock = self.clock(g);
-        let planted = self.planted;
+        let defect = self.defect;
         let gateway = &mut self.gateways[g];
         (gateway.down, gateway.life) = (false, gateway.life + 1);
         gateway.holder = Holder::new(&format!("g{g}"), gateway.life, gateway.mode, FIGURES);
-        if let (Planted::Believes, Some(version)) = (planted, gateway.last) {
+        if let (Defect::VersionKeptOverRestart, Some(version)) = (defect, gateway.last) {
             let believed = Answer { issued: clock, told: clock, force: version, change: None, leased: true };
             let _ = gateway.holder.answered(clock, believed);
             gateway.holder.applied(version, true);
@@ -297,33 +298,33 @@
     }
 }
 
-impl World {
-    fn lock(&self) -> MutexGuard<'_, Inner> {
+impl Simulation {
+    fn lock(&self) -> MutexGuard<'_, SimulationState> {
         self.0.lock().unwrap()
     }
 
     /// Carries a call to a keeper and the reply back; `None` if either is lost or the keeper is down.
-    async fn carry<T, F: Future<Output = T>>(
+    async fn call_keeper<T, F: Future<Output = T>>(
         &self,
         (from, life): (Host, u32),
         to: u64,
-        call: impl FnOnce(Arc<Seat>) -> F,
+        call: impl FnOnce(Arc<Node>) -> F,
     ) -> Option<T> {
-        let lives = |world: &World| match from {
-            Host::Keeper(number) => world.lock().keepers[&number].life == life,
+        let lives = |simulation: &Simulation| match from {
+            Host::Keeper(number) => simulation.lock().keepers[&number].life == life,
             _ => true,
         };
-        let there = self.lock().way(from, Host::Keeper(to));
+        let there = self.lock().delay(from, Host::Keeper(to));
         sleep(there?).await;
         if !lives(self) {
             return None;
         }
-        let (reached, seat) = self.lock().seat(to)?;
-        let answer = call(seat).await;
+        let (reached, node) = self.lock().node(to)?;
+        let answer = call(node).await;
         let back = {
             let mut inner = self.lock();
-            let same = inner.keepers[&to].life == reached && inner.keepers[&to].seat.is_some();
-            inner.way(Host::Keeper(to), from).filter(|_| same)
+            let same = inner.keepers[&to].life == reached && inner.keepers[&to].node.is_some();
+            inner.delay(Host::Keeper(to), from).filter(|_| same)
         };
         sleep(back?).await;
         lives(self).then_some(answer)
@@ -331,22 +332,22 @@
 
     /// Starts a keeper on its disk.
     async fn start_keeper(&self, number: u64, new: Option<New>) {
-        let (disk, config, mut log, ahead) = {
+        let (disk, config, mut log, clock_lead) = {
             let mut inner = self.lock();
             let config = config(inner.keepers.len() as u64, number, &inner.first);
-            let mut log = settings(&config);
+            let mut log = raft_settings(&config);
             // Drawn from the seed, so that runs are reproducible.
             log.election_timeout_min += inner.rng.u64(..400);
             log.election_timeout_max = log.election_timeout_min + 1;
-            (inner.keepers[&number].disk.clone(), config, log, inner.keepers[&number].ahead)
+            (inner.keepers[&number].disk.clone(), config, log, inner.keepers[&number].clock_lead)
         };
         log.snapshot_policy = openraft::SnapshotPolicy::LogsSinceLast(40);
         log.max_in_snapshot_log_to_keep = 10;
-        let forgets = self.lock().planted == Planted::ForgetsItsStore && new.is_none();
-        let (disk, new) = if forgets { (Disk::default(), Some(New::Begins)) } else { (disk, new) };
-        let Ok(store) = Store::on(disk.clone(), new) else {
+        let loses_store = self.lock().defect == Defect::LostStore && new.is_none();
+        let (disk, new) = if loses_store { (Disk::default(), Some(New::Begins)) } else { (disk, new) };
+        let Ok(store) = Store::with_backend(disk.clone(), new) else {
             // The disk is full at startup: the process ends and is restarted later.
-            return self.lock().leave_disk(number);
+            return self.lock().crash_disk(number);
         };
         let life = {
             let mut inner = self.lock();
@@ -355,24 +356,24 @@
             keeper.life
         };
         let clock = self.clone();
-        let now = Arc::new(move || clock.lock().now() + ahead);
-        let ways = Ways { world: self.clone(), from: number, life };
-        let Ok(seat) = Seat::open(config, log, store, ways, now).await else {
-            return self.lock().leave_disk(number);
+        let now = Arc::new(move || clock.lock().now() + clock_lead);
+        let network = SimNetwork { simulation: self.clone(), from: number, life };
+        let Ok(node) = Node::open(config, log, store, network, now).await else {
+            return self.lock().crash_disk(number);
         };
         {
             let mut inner = self.lock();
-            inner.note(&format!("keeper {number} starts"));
-            inner.keepers.get_mut(&number).unwrap().seat = Some(seat.clone());
+            inner.record(&format!("keeper {number} starts"));
+            inner.keepers.get_mut(&number).unwrap().node = Some(node.clone());
         }
-        let world = self.clone();
+        let simulation = self.clone();
         spawn_local(async move {
-            seat.failed().await;
+            node.failed().await;
             // After a disk failure the process ends and is restarted once there is space.
-            if world.crash(number, life) {
-                world.lock().full += 1;
+            if simulation.crash(number, life) {
+                simulation.lock().full_disks += 1;
                 sleep(Duration::from_millis(700)).await;
-                world.revive(number, life).await;
+                simulation.restart(number, life).await;
             }
         });
     }
@@ -382,21 +383,21 @@
         let mut guard = self.lock();
         let inner = &mut *guard;
         let keeper = inner.keepers.get_mut(&number).unwrap();
-        let Some(seat) = keeper.seat.take_if(|_| keeper.life == life) else { return false };
+        let Some(node) = keeper.node.take_if(|_| keeper.life == life) else { return false };
         keeper.life += 1;
-        inner.leave_disk(number);
+        inner.crash_disk(number);
         inner.crashes += 1;
-        inner.note(&format!("keeper {number} crashes"));
+        inner.record(&format!("keeper {number} crashes"));
         drop(guard);
-        spawn_local(async move { drop(seat.raft.shutdown().await) });
+        spawn_local(async move { drop(node.raft.shutdown().await) });
         true
     }
 
     /// Restarts a keeper if it is still down since this incarnation.
-    async fn revive(&self, number: u64, life: u32) {
+    async fn restart(&self, number: u64, life: u32) {
         let down = {
             let keeper = &self.lock().keepers[&number];
-            keeper.seat.is_none() && keeper.life == life + 1
+            keeper.node.is_none() && keeper.life == life + 1
         };
         if down {
             self.start_keeper(number, None).await;
@@ -404,16 +405,16 @@
     }
 
     /// Sends lease requests until the end.
-    async fn ask_on(self, g: usize) {
+    async fn request_leases(self, g: usize) {
         loop {
-            sleep(ASK).await;
-            if self.lock().up(g) {
-                self.ask(g).await;
+            sleep(REQUEST_INTERVAL).await;
+            if self.lock().is_up(g) {
+                self.request_lease(g).await;
             }
         }
     }
 
-    async fn ask(&self, g: usize) {
+    async fn request_lease(&self, g: usize) {
         let mut asked = BTreeSet::new();
         let (question, life) = {
             let mut inner = self.lock();
@@ -431,29 +432,31 @@
             let Some(number) = next else { return };
             asked.insert(number);
             let what = Asked { question: question.clone(), figures: FIGURES };
-            let call = self.carry((Host::Gateway(g), 0), number, |seat| async move { seat.ask(what).await });
-            let answer = timeout(PATIENCE, call).await;
+            let call = self.call_keeper((Host::Gateway(g), 0), number, |node| async move {
+                node.request_lease(what).await
+            });
+            let answer = timeout(REQUEST_TIMEOUT, call).await;
             let mut inner = self.lock();
-            if !inner.up(g) || inner.gateways[g].life != life {
+            if !inner.is_up(g) || inner.gateways[g].life != life {
                 return;
             }
             match answer {
                 Ok(Some(Ok(Reply::Answer(answer)))) => {
                     inner.gateways[g].leader = Some(number);
-                    let answer = inner.spoil(g, question.ready, answer);
-                    return inner.hear(g, answer);
+                    let answer = inner.apply_defect(g, question.ready, answer);
+                    return inner.deliver(g, answer);
                 }
-                Ok(Some(Err(Refusal::Elsewhere(leader)))) => inner.gateways[g].leader = leader,
+                Ok(Some(Err(CallError::NotLeader(leader)))) => inner.gateways[g].leader = leader,
                 _ => {}
             }
         }
     }
 
     /// Retries an operator's call at the leader until there is an answer or the timeout.
-    async fn operate<T, F: Future<Output = Result<T, Refusal>>>(
+    async fn operator_call<T, F: Future<Output = Result<T, CallError>>>(
         &self,
         patience: Duration,
-        call: impl Fn(Arc<Seat>) -> F,
+        call: impl Fn(Arc<Node>) -> F,
     ) -> Option<Result<T, String>> {
         let until = Instant::now() + patience;
         let mut hint = None;
@@ -463,11 +466,11 @@
                 let all = inner.keepers.len() as u64;
                 inner.rng.u64(..all)
             });
-            let word = self.carry((Host::Operator, 0), number, &call);
-            match timeout(Duration::from_secs(3), word).await {
+            let send = self.call_keeper((Host::Operator, 0), number, &call);
+            match timeout(Duration::from_secs(3), send).await {
                 Ok(Some(Ok(done))) => return Some(Ok(done)),
-                Ok(Some(Err(Refusal::Wrong(_, why)))) => return Some(Err(why)),
-                Ok(Some(Err(Refusal::Elsewhere(leader)))) => hint = leader,
+                Ok(Some(Err(CallError::Rejected(_, why)))) => return Some(Err(why)),
+                Ok(Some(Err(CallError::NotLeader(leader)))) => hint = leader,
                 _ => {}
             }
             sleep(Duration::from_millis(50)).await;
@@ -477,36 +480,36 @@
 
     async fn propose(&self, number: u64, blocked: u64, within: Micros, patience: Duration) -> bool {
         let what = Proposed { text: document(number, blocked), at: 0, within, despite: false };
-        let done = self.operate(patience, move |seat| {
+        let done = self.operator_call(patience, move |node| {
             let what = what.clone();
-            async move { seat.propose(what).await }
+            async move { node.propose(what).await }
         });
         let done = done.await;
-        self.lock().note(&format!("version {number} is proposed: {done:?}"));
+        self.lock().record(&format!("version {number} is proposed: {done:?}"));
         matches!(done, Some(Ok(_)))
     }
 
     async fn call_off(&self, number: u64) {
         self.lock().aborted.insert(number);
-        let done = self.operate(Duration::from_secs(2), move |seat| async move {
-            seat.order(hingestage_change::desk::Order::CallOff(number)).await
+        let done = self.operator_call(Duration::from_secs(2), move |node| async move {
+            node.submit(hingestage_change::desk::Order::CallOff(number)).await
         });
         let done = done.await;
-        self.lock().note(&format!("version {number} is called off: {done:?}"));
+        self.lock().record(&format!("version {number} is called off: {done:?}"));
     }
 
     /// Injects a random fault and repairs it later.
-    async fn fault(self) {
+    async fn inject_fault(self) {
         let (kind, keeper, gateway, lasts, more) = {
             let mut inner = self.lock();
             let (keepers, gateways) = (inner.keepers.len() as u64, inner.gateways.len());
-            let left = (EPOCH + CALM).saturating_sub(inner.now() + 600 * MS).max(50 * MS);
+            let left = (EPOCH + FAULTS_UNTIL).saturating_sub(inner.now() + 600 * MS).max(50 * MS);
             let lasts = (100 * MS + inner.rng.u64(..3 * S)).min(left);
             let (kind, keeper) = (inner.rng.u32(..16), inner.rng.u64(..keepers));
             (kind, keeper, inner.rng.usize(..gateways), Duration::from_micros(lasts), inner.rng.u64(..))
         };
         let until = Instant::now() + lasts;
-        let others = |inner: &Inner| -> Vec<Host> {
+        let others = |inner: &SimulationState| -> Vec<Host> {
             let keepers = inner.keepers.keys().filter(|n| **n != keeper).map(|n| Host::Keeper(*n));
             keepers.chain((0..inner.gateways.len()).map(Host::Gateway)).chain([Host::Operator]).collect()
         };
@@ -515,16 +518,16 @@
                 let life = self.lock().keepers[&keeper].life;
                 if self.crash(keeper, life) {
                     sleep(lasts).await;
-                    self.revive(keeper, life).await;
+                    self.restart(keeper, life).await;
                 }
             }
-            3 | 4 => self.lock().keepers[&keeper].disk.fails_after(more as usize % 40),
+            3 | 4 => self.lock().keepers[&keeper].disk.fail_after(more as usize % 40),
             5 => {
                 // Like a paused process: no messages to or from it.
                 let mut inner = self.lock();
                 let others = others(&inner);
                 inner.cut_between(&[Host::Keeper(keeper)], &others, true, until);
-                inner.note(&format!("keeper {keeper} is cut off"));
+                inner.record(&format!("keeper {keeper} is cut off"));
             }
             6 => {
                 let mut inner = self.lock();
@@ -534,7 +537,7 @@
                     0 => inner.cut_between(&[Host::Keeper(keeper)], &others, false, until),
                     _ => inner.cut_between(&others, &[Host::Keeper(keeper)], false, until),
                 }
-                inner.note(&format!("keeper {keeper} is cut off one way"));
+                inner.record(&format!("keeper {keeper} is cut off one way"));
             }
             7 => self.lock().slow = Some((keeper, until)),
             8 => {
@@ -546,12 +549,12 @@
                 {
                     let mut inner = self.lock();
                     inner.gateways[gateway].down = true;
-                    inner.note(&format!("gateway {gateway} is killed"));
+                    inner.record(&format!("gateway {gateway} is killed"));
                 }
                 sleep(lasts).await;
                 self.lock().start_gateway(gateway);
             }
-            10 => self.lock().gateways[gateway].stalled = Some(until),
+            10 => self.lock().gateways[gateway].paused_until = Some(until),
             11 => {
                 let number = self.lock().number;
                 self.call_off(number).await;
@@ -578,70 +581,74 @@
     }
 
     /// Checks the final state after the calm period.
-    async fn judge_end(&self, last: u64) {
+    async fn check_final_state(&self, last: u64) {
         let report: Option<Result<Report, String>> =
-            self.operate(Duration::from_secs(3), |seat| async move { seat.status().await }).await;
+            self.operator_call(Duration::from_secs(3), |node| async move { node.status().await }).await;
         let Some(Ok(report)) = report else {
-            return self.lock().breaks("no keeper tells what is in force".into());
+            return self.lock().fail("no keeper reports the version in force".into());
         };
         let mut inner = self.lock();
         if report.force.number != last {
-            inner.breaks(format!("version {} is in force at the end and not {last}", report.force.number));
+            inner.fail(format!("version {} is in force at the end and not {last}", report.force.number));
         }
         let fates: BTreeMap<u64, (Version, Fate)> =
             report.history.iter().map(|(version, fate)| (version.number, (*version, fate.clone()))).collect();
         for (number, (version, from)) in inner.decided.clone() {
             if fates.get(&number) != Some(&(version, Fate::InForce(from))) {
-                inner.breaks(format!("{number} was told as decided and ended as {:?}", fates.get(&number)));
+                inner.fail(format!("{number} was reported as decided and ended as {:?}", fates.get(&number)));
             }
         }
         for g in 0..inner.gateways.len() {
             let clock = inner.clock(g);
-            let goes_by = inner.gateways[g].holder.version(clock).map(|version| version.number);
+            let version = inner.gateways[g].holder.version(clock).map(|version| version.number);
             // A gateway whose clock is out of range has no lease, or keeps serving the previous version.
-            let astray = inner.gateways[g].behind > 0;
-            if goes_by != Some(last) && !astray {
-                inner.breaks(format!("gateway {g} goes by {goes_by:?} at the end and not {last}"));
+            let out_of_range = inner.gateways[g].clock_lag > 0;
+            if version != Some(last) && !out_of_range {
+                inner.fail(format!("gateway {g} uses version {version:?} at the end and not {last}"));
             }
         }
     }
 }
 
 /// Raft transport of one incarnation of a keeper.
-struct Ways {
-    world: World,
+struct SimNetwork {
+    simulation: Simulation,
     from: u64,
     life: u32,
 }
 
-struct Way {
-    world: World,
+struct SimConnection {
+    simulation: Simulation,
     from: (Host, u32),
     to: u64,
 }
 
-impl RaftNetworkFactory<Kinds> for Ways {
-    type Network = Way;
+impl RaftNetworkFactory<TypeConfig> for SimNetwork {
+    type Network = SimConnection;
 
-    async fn new_client(&mut self, target: u64, _node: &BasicNode) -> Way {
-        Way { world: self.world.clone(), from: (Host::Keeper(self.from), self.life), to: target }
+    async fn new_client(&mut self, target: u64, _node: &BasicNode) -> SimConnection {
+        SimConnection {
+            simulation: self.simulation.clone(),
+            from: (Host::Keeper(self.from), self.life),
+            to: target,
+        }
     }
 }
 
 type Failure<E = openraft::error::Infallible> = RPCError<u64, BasicNode, RaftError<u64, E>>;
 
-impl Way {
+impl SimConnection {
     /// Calls the Raft node of the other keeper.
-    async fn word<A, E: std::error::Error, F>(
+    async fn send<A, E: std::error::Error, F>(
         &self,
         option: &RPCOption,
-        call: impl FnOnce(Arc<Seat>) -> F,
+        call: impl FnOnce(Arc<Node>) -> F,
     ) -> Result<A, Failure<E>>
     where
         F: Future<Output = Option<Result<A, RaftError<u64, E>>>>,
     {
         let unreachable = || RPCError::Unreachable(Unreachable::new(&std::io::Error::other("no answer")));
-        let carried = timeout(option.hard_ttl(), self.world.carry(self.from, self.to, call)).await;
+        let carried = timeout(option.hard_ttl(), self.simulation.call_keeper(self.from, self.to, call)).await;
         match carried {
             Ok(Some(Some(answer))) => answer.map_err(|e| RPCError::RemoteError(RemoteError::new(self.to, e))),
             Ok(_) => Err(unreachable()),
@@ -650,17 +657,17 @@
     }
 }
 
-impl RaftNetwork<Kinds> for Way {
+impl RaftNetwork<TypeConfig> for SimConnection {
     async fn append_entries(
         &mut self,
-        rpc: AppendEntriesRequest<Kinds>,
+        rpc: AppendEntriesRequest<TypeConfig>,
         option: RPCOption,
     ) -> Result<AppendEntriesResponse<u64>, Failure> {
-        let unguarded = self.world.lock().planted == Planted::ClockAhead;
-        self.word(&option, |seat| async move {
+        let unguarded = self.simulation.lock().defect == Defect::ClockAhead;
+        self.send(&option, |node| async move {
             match unguarded {
-                true => Some(seat.raft.append_entries(rpc).await),
-                false => seat.append(rpc).await.ok(),
+                true => Some(node.raft.append_entries(rpc).await),
+                false => node.append_entries(rpc).await.ok(),
             }
         })
         .await
@@ -668,14 +675,14 @@
 
     async fn install_snapshot(
         &mut self,
-        rpc: InstallSnapshotRequest<Kinds>,
+        rpc: InstallSnapshotRequest<TypeConfig>,
         option: RPCOption,
     ) -> Result<InstallSnapshotResponse<u64>, Failure<InstallSnapshotError>> {
-        self.word(&option, |seat| async move { Some(seat.raft.install_snapshot(rpc).await) }).await
+        self.send(&option, |node| async move { Some(node.raft.install_snapshot(rpc).await) }).await
     }
 
     async fn vote(&mut self, rpc: VoteRequest<u64>, option: RPCOption) -> Result<VoteResponse<u64>, Failure> {
-        self.word(&option, |seat| async move { Some(seat.raft.vote(rpc).await) }).await
+        self.send(&option, |node| async move { Some(node.raft.vote(rpc).await) }).await
     }
 }
 
@@ -694,135 +701,146 @@
 
 /// Result of a seed.
 #[derive(Debug, Default, PartialEq)]
-struct Came {
-    broken: Option<String>,
+struct RunResult {
+    violation: Option<String>,
     trace: u64,
     changes: usize,
     crashes: usize,
-    full: usize,
+    full_disks: usize,
 }
 
-fn world(seed: u64, planted: Planted, first: PathBuf) -> World {
+fn simulation(seed: u64, defect: Defect, first: PathBuf) -> Simulation {
     let mut rng = Rng::with_seed(seed ^ 0x6b65_6570);
     let count = if rng.u32(..4) == 0 { 5 } else { 3 };
-    let lies = planted == Planted::WordBeforeSync;
-    let astray = matches!(planted, Planted::ClockAhead | Planted::ClockAheadGuarded);
+    let skips_syncs = defect == Defect::AckBeforeSync;
+    let out_of_range = matches!(defect, Defect::ClockAhead | Defect::ClockAheadRejected);
     let keeper = |number: u64, rng: &mut Rng| {
         let disk = Disk::default();
-        disk.lies(lies);
-        let ahead = if astray && number == 0 { 8 * FIGURES.error } else { rng.u64(..=FIGURES.error) };
-        Keeper { seat: None, life: 0, disk, ahead }
+        disk.skips_syncs(skips_syncs);
+        let clock_lead =
+            if out_of_range && number == 0 { 8 * FIGURES.error } else { rng.u64(..=FIGURES.error) };
+        Keeper { node: None, life: 0, disk, clock_lead }
     };
     let keepers = (0..count).map(|number| (number, keeper(number, &mut rng))).collect();
     let gateway = |g: usize, rng: &mut Rng| {
         let mode = if rng.bool() { Mode::Stop } else { Mode::Serve };
         let holder = Holder::new(&format!("g{g}"), 1, mode, FIGURES);
-        let ahead = rng.u64(..=FIGURES.error);
-        let behind = if g == 0 && rng.u32(..4) == 0 { ASTRAY } else { 0 };
+        let clock_lead = rng.u64(..=FIGURES.error);
+        let clock_lag = if g == 0 && rng.u32(..4) == 0 { OUT_OF_RANGE_LAG } else { 0 };
         // Clocks out of range apply to mode `stop` only: gateways that keep serving would block changes.
-        let (mode, holder) = match behind {
+        let (mode, holder) = match clock_lag {
             0 => (mode, holder),
             _ => (Mode::Stop, Holder::new("g0", 1, Mode::Stop, FIGURES)),
         };
-        Gateway { holder, mode, life: 1, ahead, behind, down: false, stalled: None, leader: None, last: None }
+        Gateway {
+            holder,
+            mode,
+            life: 1,
+            clock_lead,
+            clock_lag,
+            down: false,
+            paused_until: None,
+            leader: None,
+            last: None,
+        }
     };
     let gateways = (0..3 + rng.usize(..3)).map(|g| gateway(g, &mut rng)).collect();
-    World(Arc::new(Mutex::new(Inner {
-        begun: Instant::now(),
+    Simulation(Arc::new(Mutex::new(SimulationState {
+        started: Instant::now(),
         rng,
-        planted,
+        defect,
         keepers,
         gateways,
         cut: BTreeMap::new(),
         slow: None,
-        begins: BTreeMap::new(),
+        first_starts: BTreeMap::new(),
         decided: BTreeMap::new(),
         ready: BTreeMap::new(),
         aborted: BTreeSet::new(),
         number: 1,
-        broken: None,
+        violation: None,
         trace: 0,
         crashes: 0,
-        full: 0,
+        full_disks: 0,
         first,
     })))
 }
 
-async fn run(seed: u64, planted: Planted, first: PathBuf) -> Came {
-    let world = world(seed, planted, first);
+async fn run(seed: u64, defect: Defect, first: PathBuf) -> RunResult {
+    let simulation = simulation(seed, defect, first);
     let (keepers, gateways) = {
-        let inner = world.lock();
+        let inner = simulation.lock();
         (inner.keepers.len() as u64, inner.gateways.len())
     };
     for number in 0..keepers {
-        world.start_keeper(number, Some(New::Begins)).await;
+        simulation.start_keeper(number, Some(New::Begins)).await;
     }
     for g in 0..gateways {
-        spawn_local(world.clone().ask_on(g));
+        spawn_local(simulation.clone().request_leases(g));
     }
-    let ends = |inner: &Inner| inner.broken.is_some() || inner.now() >= EPOCH + END;
+    let ends = |inner: &SimulationState| inner.violation.is_some() || inner.now() >= EPOCH + RUN_UNTIL;
     let (mut next, mut last) = (EPOCH + 2 * S, None);
     loop {
-        sleep(STEP).await;
-        let (now, calm, strikes) = {
-            let mut inner = world.lock();
-            inner.begin_requests();
+        sleep(CHECK_INTERVAL).await;
+        let (now, calm, inject) = {
+            let mut inner = simulation.lock();
+            inner.check_versions();
             if ends(&inner) {
                 break;
             }
             let (now, calm) = (inner.now(), inner.calm());
-            let strikes = !calm && now >= next && now + S < EPOCH + CALM;
-            if strikes {
+            let inject = !calm && now >= next && now + S < EPOCH + FAULTS_UNTIL;
+            if inject {
                 next = now + 50 * MS + inner.rng.u64(..1_200 * MS);
             }
-            (now, calm, strikes)
+            (now, calm, inject)
         };
-        if strikes {
-            spawn_local(world.clone().fault());
+        if inject {
+            spawn_local(simulation.clone().inject_fault());
         }
         if calm && last.is_none() {
-            world.mend();
+            simulation.repair_all();
             // Earlier proposals are decided or called off by their deadline.
-            if now >= EPOCH + CALM + 3 * S {
+            if now >= EPOCH + FAULTS_UNTIL + 3 * S {
                 let number = {
-                    let mut inner = world.lock();
+                    let mut inner = simulation.lock();
                     inner.number += 1;
                     inner.number
                 };
                 last = Some(number);
-                let world = world.clone();
+                let simulation = simulation.clone();
                 spawn_local(async move {
-                    while !world.propose(number, 1, 5 * S, Duration::from_secs(2)).await {
+                    while !simulation.propose(number, 1, 5 * S, Duration::from_secs(2)).await {
                         sleep(Duration::from_millis(200)).await;
                     }
                 });
             }
         }
     }
-    if world.lock().broken.is_none() {
-        world.judge_end(last.unwrap_or_default()).await;
+    if simulation.lock().violation.is_none() {
+        simulation.check_final_state(last.unwrap_or_default()).await;
     }
-    let came = {
-        let inner = world.lock();
-        let changes = inner.begins.len().saturating_sub(1);
-        Came {
-            broken: inner.broken.clone(),
+    let result = {
+        let inner = simulation.lock();
+        let changes = inner.first_starts.len().saturating_sub(1);
+        RunResult {
+            violation: inner.violation.clone(),
             trace: inner.trace,
             changes,
             crashes: inner.crashes,
-            full: inner.full,
+            full_disks: inner.full_disks,
         }
     };
-    let seats: Vec<Arc<Seat>> = world.lock().keepers.values().filter_map(|k| k.seat.clone()).collect();
-    for seat in seats {
-        let _ = timeout(Duration::from_secs(1), seat.raft.shutdown()).await;
+    let seats: Vec<Arc<Node>> = simulation.lock().keepers.values().filter_map(|k| k.node.clone()).collect();
+    for node in seats {
+        let _ = timeout(Duration::from_secs(1), node.raft.shutdown()).await;
     }
-    came
+    result
 }
 
-impl World {
+impl Simulation {
     /// Repairs all faults: disks have space, all hosts are up.
-    fn mend(&self) {
+    fn repair_all(&self) {
         let down: Vec<(u64, u32)> = {
             let mut inner = self.lock();
             for g in 0..inner.gateways.len() {
@@ -830,15 +848,15 @@
                     inner.start_gateway(g);
                 }
             }
-            inner.keepers.values().for_each(|keeper| keeper.disk.has_room());
-            let down = inner.keepers.iter().filter(|(_, keeper)| keeper.seat.is_none());
+            inner.keepers.values().for_each(|keeper| keeper.disk.clear_failure());
+            let down = inner.keepers.iter().filter(|(_, keeper)| keeper.node.is_none());
             down.map(|(number, keeper)| (*number, keeper.life)).collect()
         };
         for (number, life) in down {
-            let world = self.clone();
+            let simulation = self.clone();
             spawn_local(async move {
                 sleep(Duration::from_secs(1)).await;
-                world.revive(number, life.wrapping_sub(1)).await;
+                simulation.restart(number, life.wrapping_sub(1)).await;
             });
         }
     }
@@ -853,10 +871,10 @@
     file
 }
 
-fn play(seed: u64, planted: Planted) -> Came {
+fn run_seed(seed: u64, defect: Defect) -> RunResult {
     let runtime =
         tokio::runtime::Builder::new_current_thread().enable_time().start_paused(true).build().unwrap();
-    LocalSet::new().block_on(&runtime, run(seed, planted, first_file()))
+    LocalSet::new().block_on(&runtime, run(seed, defect, first_file()))
 }
 
 /// Seeds to run; the environment variable overrides them, as in `0..10000`.
@@ -867,105 +885,105 @@
 }
 
 /// Runs seeds in parallel and returns their results.
-fn play_all(seeds: std::ops::Range<u64>, planted: Planted) -> Vec<(u64, Came)> {
+fn run_seeds(seeds: std::ops::Range<u64>, defect: Defect) -> Vec<(u64, RunResult)> {
     first_file();
     let queue = Mutex::new(seeds);
-    let came = Mutex::new(Vec::new());
+    let result = Mutex::new(Vec::new());
     let threads = std::thread::available_parallelism().map_or(2, usize::from);
     std::thread::scope(|scope| {
         for _ in 0..threads {
             scope.spawn(|| loop {
                 let next = queue.lock().unwrap().next();
                 let Some(seed) = next else { return };
-                let played = std::panic::catch_unwind(|| play(seed, planted));
-                let panicked = Came { broken: Some("panicked".into()), ..Came::default() };
+                let played = std::panic::catch_unwind(|| run_seed(seed, defect));
+                let panicked = RunResult { violation: Some("panicked".into()), ..RunResult::default() };
                 let one = (seed, played.unwrap_or(panicked));
-                came.lock().unwrap().push(one);
+                result.lock().unwrap().push(one);
             });
         }
     });
-    let mut came = came.into_inner().unwrap();
-    came.sort_by_key(|(seed, _)| *seed);
-    came
+    let mut result = result.into_inner().unwrap();
+    result.sort_by_key(|(seed, _)| *seed);
+    result
 }
 
 #[test]
-fn a_change_takes_hold_everywhere_or_nowhere_whatever_becomes_of_keepers_and_disks() {
-    let all = play_all(seeds(), Planted::Nothing);
+fn changes_are_atomic_and_complete_despite_faults() {
+    let all = run_seeds(seeds(), Defect::None);
     let bad: Vec<String> = all
         .iter()
-        .filter_map(|(seed, came)| Some(format!("seed {seed}: {}", came.broken.as_ref()?)))
+        .filter_map(|(seed, result)| Some(format!("seed {seed}: {}", result.violation.as_ref()?)))
         .collect();
     assert!(bad.is_empty(), "{} of {}: {:#?}", bad.len(), all.len(), &bad[..bad.len().min(8)]);
-    let sum = |of: &dyn Fn(&Came) -> usize| all.iter().map(|(_, came)| of(came)).sum::<usize>();
-    let (changes, crashes, full) = (sum(&|c| c.changes), sum(&|c| c.crashes), sum(&|c| c.full));
+    let sum = |of: &dyn Fn(&RunResult) -> usize| all.iter().map(|(_, result)| of(result)).sum::<usize>();
+    let (changes, crashes, full_disks) = (sum(&|c| c.changes), sum(&|c| c.crashes), sum(&|c| c.full_disks));
     println!(
-        "{} seeds: {changes} changes in force, {crashes} keepers crashed, {full} of them by their disks",
+        "{} seeds: {changes} changes in force, {crashes} keepers crashed, {full_disks} of them by their disks",
         all.len()
     );
-    assert!(changes > all.len() && crashes > all.len() && full > 0);
+    assert!(changes > all.len() && crashes > all.len() && full_disks > 0);
 }
 
 #[test]
-fn a_seed_is_one_run() {
+fn runs_are_reproducible() {
     for seed in 0..3 {
-        assert_eq!(play(seed, Planted::Nothing), play(seed, Planted::Nothing), "seed {seed}");
+        assert_eq!(run_seed(seed, Defect::None), run_seed(seed, Defect::None), "seed {seed}");
     }
 }
 
 #[test]
-fn a_keeper_whose_clock_is_ahead_changes_nothing() {
-    for (seed, came) in play_all(0..8, Planted::ClockAheadGuarded) {
-        assert_eq!(came.broken, None, "seed {seed}");
+fn a_keeper_with_a_clock_ahead_is_harmless() {
+    for (seed, result) in run_seeds(0..8, Defect::ClockAheadRejected) {
+        assert_eq!(result.violation, None, "seed {seed}");
     }
 }
 
 /// Asserts that some seed detects the defect.
-fn is_found(planted: Planted, within: u64) {
+fn assert_detected(defect: Defect, within: u64) {
     let found = (0..within).step_by(8).any(|from| {
-        let all = play_all(from..from + 8, planted);
-        let first = all.into_iter().find_map(|(seed, came)| came.broken.map(|what| (seed, what)));
-        first.inspect(|(seed, what)| println!("{planted:?}: seed {seed}: {what}")).is_some()
+        let all = run_seeds(from..from + 8, defect);
+        let first = all.into_iter().find_map(|(seed, result)| result.violation.map(|what| (seed, what)));
+        first.inspect(|(seed, what)| println!("{defect:?}: seed {seed}: {what}")).is_some()
     });
-    assert!(found, "{planted:?} was not found by {within} seeds");
+    assert!(found, "{defect:?} was not found by {within} seeds");
 }
 
 #[test]
-fn a_word_given_before_it_is_on_the_disk_is_found() {
-    is_found(Planted::WordBeforeSync, 64);
+fn an_acknowledgement_before_sync_is_detected() {
+    assert_detected(Defect::AckBeforeSync, 64);
 }
 
 #[test]
-fn a_keeper_that_forgets_its_store_is_found() {
-    is_found(Planted::ForgetsItsStore, 64);
+fn a_lost_store_is_detected() {
+    assert_detected(Defect::LostStore, 64);
 }
 
 #[test]
-fn a_clock_that_is_ahead_and_believed_is_found() {
-    is_found(Planted::ClockAhead, 64);
+fn an_accepted_clock_ahead_is_detected() {
+    assert_detected(Defect::ClockAhead, 64);
 }
 
 #[test]
-fn a_change_decided_by_most_gateways_is_found() {
-    is_found(Planted::MajorityOfGateways, 64);
+fn a_decision_by_a_majority_of_gateways_is_detected() {
+    assert_detected(Defect::MajorityOfGateways, 64);
 }
 
 #[test]
-fn an_abort_after_the_decision_is_found() {
-    is_found(Planted::AbortAfterDecision, 64);
+fn an_abort_after_the_decision_is_detected() {
+    assert_detected(Defect::AbortAfterDecision, 64);
 }
 
 #[test]
-fn a_lease_that_counts_from_its_receipt_is_found() {
-    is_found(Planted::FromReceipt, 64);
+fn a_lease_from_receipt_is_detected() {
+    assert_detected(Defect::LeaseFromReceipt, 64);
 }
 
 #[test]
-fn a_version_believed_over_a_restart_is_found() {
-    is_found(Planted::Believes, 64);
+fn a_version_kept_over_a_restart_is_detected() {
+    assert_detected(Defect::VersionKeptOverRestart, 64);
 }
 
 #[test]
-fn a_change_in_force_when_it_is_heard_of_is_found() {
-    is_found(Planted::AtOnce, 64);
+fn a_change_without_delay_is_detected() {
+    assert_detected(Defect::ImmediateEffect, 64);
 }
--- a/crates/keep/src/machine.rs
+++ b/crates/keep/src/state_machine.rs
@@ -1,8 +1,10 @@
 //! Raft state machine. It lives in memory; after a restart it is rebuilt from the last snapshot and the log
 //! after it.
 
-use crate::kinds::{Entry, Kinds, Membership, Place, Replies, Snapshot, SnapshotMeta, StorageError};
-use crate::store::{Kept, Store};
+use crate::raft_types::{
+    Entry, LogPosition, Membership, Replies, Snapshot, SnapshotMeta, StorageError, TypeConfig,
+};
+use crate::store::{Store, StoredSnapshot};
 use hingestage_change::desk::Desk;
 use openraft::storage::RaftStateMachine;
 use openraft::{AnyError, BasicNode, EntryPayload, OptionalSend, RaftSnapshotBuilder, StorageIOError};
@@ -11,29 +13,29 @@
 
 #[derive(Default)]
 struct Applied {
-    desk: Desk,
-    last: Option<Place>,
+    state: Desk,
+    last_applied: Option<LogPosition>,
     membership: Membership,
 }
 
 /// Shared handle of the state machine.
 #[derive(Clone)]
-pub struct Machine {
+pub struct PolicyStateMachine {
     store: Store,
     applied: Arc<Mutex<Applied>>,
 }
 
-impl Machine {
+impl PolicyStateMachine {
     /// Restores the state from the last snapshot.
     ///
     /// # Errors
     /// The store or its snapshot can't be read.
-    pub fn open(store: Store) -> Result<Machine, StorageError> {
-        let machine = Machine { store, applied: Arc::default() };
-        if let Some(kept) = machine.store.snapshot()? {
-            machine.take(&kept.meta, &kept.state)?;
+    pub fn open(store: Store) -> Result<PolicyStateMachine, StorageError> {
+        let state_machine = PolicyStateMachine { store, applied: Arc::default() };
+        if let Some(stored) = state_machine.store.snapshot()? {
+            state_machine.restore(&stored.meta, &stored.state)?;
         }
-        Ok(machine)
+        Ok(state_machine)
     }
 
     fn applied(&self) -> MutexGuard<'_, Applied> {
@@ -42,44 +44,47 @@
     }
 
     /// Reads the state under the lock.
-    pub fn look<T>(&self, at: impl FnOnce(&Desk) -> T) -> T {
-        at(&self.applied().desk)
+    pub fn with_state<T>(&self, at: impl FnOnce(&Desk) -> T) -> T {
+        at(&self.applied().state)
     }
 
-    fn take(&self, meta: &SnapshotMeta, state: &[u8]) -> Result<(), StorageError> {
-        let desk = serde_json::from_slice(state);
-        let desk =
-            desk.map_err(|e| StorageIOError::read_snapshot(Some(meta.signature()), AnyError::new(&e)))?;
-        *self.applied() = Applied { desk, last: meta.last_log_id, membership: meta.last_membership.clone() };
+    fn restore(&self, meta: &SnapshotMeta, state: &[u8]) -> Result<(), StorageError> {
+        let state = serde_json::from_slice(state);
+        let state =
+            state.map_err(|e| StorageIOError::read_snapshot(Some(meta.signature()), AnyError::new(&e)))?;
+        *self.applied() =
+            Applied { state, last_applied: meta.last_log_id, membership: meta.last_membership.clone() };
         Ok(())
     }
 }
 
-impl RaftSnapshotBuilder<Kinds> for Machine {
+impl RaftSnapshotBuilder<TypeConfig> for PolicyStateMachine {
     async fn build_snapshot(&mut self) -> Result<Snapshot, StorageError> {
-        let (state, last, membership) = {
+        let (state, last_applied, membership) = {
             let applied = self.applied();
-            let state = serde_json::to_vec(&applied.desk);
+            let state = serde_json::to_vec(&applied.state);
             (
                 state.map_err(|e| StorageIOError::write_snapshot(None, AnyError::new(&e)))?,
-                applied.last,
+                applied.last_applied,
                 applied.membership.clone(),
             )
         };
-        let snapshot_id =
-            last.map_or_else(|| "0".to_owned(), |last| format!("{}-{}", last.leader_id, last.index));
-        let meta = SnapshotMeta { last_log_id: last, last_membership: membership, snapshot_id };
-        self.store.keep(&Kept { meta: meta.clone(), state: state.clone() })?;
+        let snapshot_id = last_applied.map_or_else(
+            || "0".to_owned(),
+            |last_applied| format!("{}-{}", last_applied.leader_id, last_applied.index),
+        );
+        let meta = SnapshotMeta { last_log_id: last_applied, last_membership: membership, snapshot_id };
+        self.store.save_snapshot(&StoredSnapshot { meta: meta.clone(), state: state.clone() })?;
         Ok(Snapshot { meta, snapshot: Box::new(Cursor::new(state)) })
     }
 }
 
-impl RaftStateMachine<Kinds> for Machine {
-    type SnapshotBuilder = Machine;
+impl RaftStateMachine<TypeConfig> for PolicyStateMachine {
+    type SnapshotBuilder = PolicyStateMachine;
 
-    async fn applied_state(&mut self) -> Result<(Option<Place>, Membership), StorageError> {
+    async fn applied_state(&mut self) -> Result<(Option<LogPosition>, Membership), StorageError> {
         let applied = self.applied();
-        Ok((applied.last, applied.membership.clone()))
+        Ok((applied.last_applied, applied.membership.clone()))
     }
 
     async fn apply<I>(&mut self, entries: I) -> Result<Vec<Replies>, StorageError>
@@ -90,10 +95,10 @@
         let mut applied = self.applied();
         let mut replies = Vec::new();
         for entry in entries {
-            applied.last = Some(entry.log_id);
+            applied.last_applied = Some(entry.log_id);
             replies.push(match entry.payload {
                 EntryPayload::Blank => Vec::new(),
-                EntryPayload::Normal(orders) => applied.desk.apply(&orders),
+                EntryPayload::Normal(orders) => applied.state.apply(&orders),
                 EntryPayload::Membership(membership) => {
                     applied.membership = Membership::new(Some(entry.log_id), membership);
                     Vec::new()
@@ -103,7 +108,7 @@
         Ok(replies)
     }
 
-    async fn get_snapshot_builder(&mut self) -> Machine {
+    async fn get_snapshot_builder(&mut self) -> PolicyStateMachine {
         self.clone()
     }
 
@@ -118,12 +123,12 @@
     ) -> Result<(), StorageError> {
         let state = snapshot.into_inner();
         // Persist first: openraft may purge the log once this returns.
-        self.store.keep(&Kept { meta: meta.clone(), state: state.clone() })?;
-        self.take(meta, &state)
+        self.store.save_snapshot(&StoredSnapshot { meta: meta.clone(), state: state.clone() })?;
+        self.restore(meta, &state)
     }
 
     async fn get_current_snapshot(&mut self) -> Result<Option<Snapshot>, StorageError> {
-        let kept = self.store.snapshot()?;
-        Ok(kept.map(|kept| Snapshot { meta: kept.meta, snapshot: Box::new(Cursor::new(kept.state)) }))
+        let stored = self.store.snapshot()?;
+        Ok(stored.map(|stored| Snapshot { meta: stored.meta, snapshot: Box::new(Cursor::new(stored.state)) }))
     }
 }
--- a/crates/keep/src/store.rs
+++ b/crates/keep/src/store.rs
@@ -4,7 +4,7 @@
 //! commits with `fsync`). After a failed write the store accepts no more, which stops the node and the
 //! process. Writes interrupted by a crash are rolled back.
 
-use crate::kinds::{Entry, Kinds, Number, Place, SnapshotMeta, StorageError};
+use crate::raft_types::{Entry, KeeperNumber, LogPosition, SnapshotMeta, StorageError, TypeConfig};
 use openraft::storage::{LogFlushed, RaftLogStorage};
 use openraft::{
     ErrorSubject, ErrorVerb, LogState, OptionalSend, RaftLogId, RaftLogReader, StorageIOError, Vote,
@@ -19,23 +19,23 @@
 use std::sync::Arc;
 
 /// Log entries by index.
-const LOG: TableDefinition<u64, &[u8]> = TableDefinition::new("log");
+const LOG_TABLE: TableDefinition<u64, &[u8]> = TableDefinition::new("log");
 /// Everything else by name.
-const FACTS: TableDefinition<&str, &[u8]> = TableDefinition::new("facts");
+const METADATA_TABLE: TableDefinition<&str, &[u8]> = TableDefinition::new("facts");
 /// Page cache, bytes.
-const CACHE: usize = 4 << 20;
+const CACHE_BYTES: usize = 4 << 20;
 /// Version of the storage format. Stores with another version are not opened.
-const FORM: u32 = 1;
+const FORMAT_VERSION: u32 = 1;
 
 /// Shared handle of a store.
 #[derive(Clone)]
 pub struct Store {
-    base: Arc<Database>,
+    database: Arc<Database>,
 }
 
 /// A stored snapshot.
 #[derive(Serialize, Deserialize)]
-pub struct Kept {
+pub struct StoredSnapshot {
     /// Its metadata.
     pub meta: SnapshotMeta,
     /// Serialized state.
@@ -52,13 +52,13 @@
 }
 
 /// Error of a store operation.
-type Fault = Box<dyn std::error::Error + Send + Sync>;
+type BoxError = Box<dyn std::error::Error + Send + Sync>;
 
 /// Turns panics of redb into errors: it panics on some files damaged by a crash with torn writes.
-fn sound(open: impl FnOnce() -> Result<Store, String>) -> Result<Store, String> {
+fn catch_open_panic(open: impl FnOnce() -> Result<Store, String>) -> Result<Store, String> {
     let opened = catch_unwind(AssertUnwindSafe(open));
     opened.unwrap_or_else(|_| {
-        Err("it is damaged: this keeper is lost for good, and one with a new number takes its place (`--join`)".into())
+        Err("the store is damaged: replace this keeper by one with a new number (`--join`)".into())
     })
 }
 
@@ -70,68 +70,79 @@
     /// A message with the file and the problem.
     pub fn open(folder: &Path, new: Option<New>) -> Result<Store, String> {
         let file = folder.join("keeper.redb");
-        let says = |e: String| format!("{}: {e}", file.display());
+        let with_path = |e: String| format!("{}: {e}", file.display());
         match (file.exists(), new) {
             (false, None) => {
-                let what = "there is no store; `--begin` or `--join` makes one, for a keeper that never ran";
-                return Err(says(what.into()));
+                let what = "there is no store; `--begin` or `--join` creates one for a new keeper";
+                return Err(with_path(what.into()));
             }
             (true, Some(_)) => {
-                return Err(says("there is a store already, so that this keeper has run".into()))
+                return Err(with_path("there is a store already: this keeper has run before".into()))
             }
             _ => {}
         }
         let open = || {
-            let base = Database::builder().set_cache_size(CACHE).create(&file).map_err(|e| e.to_string())?;
-            Store::prepared(base, new).map_err(|e| e.to_string())
+            let database =
+                Database::builder().set_cache_size(CACHE_BYTES).create(&file).map_err(|e| e.to_string())?;
+            Store::initialize(database, new).map_err(|e| e.to_string())
         };
-        sound(open).map_err(says)
+        catch_open_panic(open).map_err(with_path)
     }
 
     /// Opens a store on any backend.
     ///
     /// # Errors
     /// The store can't be opened.
-    pub fn on(backend: impl StorageBackend, new: Option<New>) -> Result<Store, String> {
+    pub fn with_backend(backend: impl StorageBackend, new: Option<New>) -> Result<Store, String> {
         let open = || {
-            let base = Database::builder().set_cache_size(CACHE).create_with_backend(backend);
-            Store::prepared(base.map_err(|e| e.to_string())?, new).map_err(|e| e.to_string())
+            let database = Database::builder().set_cache_size(CACHE_BYTES).create_with_backend(backend);
+            Store::initialize(database.map_err(|e| e.to_string())?, new).map_err(|e| e.to_string())
         };
-        sound(open)
+        catch_open_panic(open)
     }
 
-    fn prepared(base: Database, new: Option<New>) -> Result<Store, Fault> {
-        let store = Store { base: Arc::new(base) };
-        let write = store.base.begin_write()?;
-        write.open_table(LOG)?;
+    fn initialize(database: Database, new: Option<New>) -> Result<Store, BoxError> {
+        let store = Store { database: Arc::new(database) };
+        let write = store.database.begin_write()?;
+        write.open_table(LOG_TABLE)?;
         {
-            let mut facts = write.open_table(FACTS)?;
+            let mut metadata = write.open_table(METADATA_TABLE)?;
             let known =
-                facts.get("form")?.map(|form| serde_json::from_slice::<u32>(form.value())).transpose()?;
+                metadata.get("form")?.map(|form| serde_json::from_slice::<u32>(form.value())).transpose()?;
             match known {
-                Some(FORM) => {}
-                Some(other) => return Err(format!("its form is {other}, this build knows {FORM}").into()),
-                None => drop(facts.insert("form", serde_json::to_vec(&FORM)?.as_slice())?),
+                Some(FORMAT_VERSION) => {}
+                Some(other) => {
+                    return Err(format!(
+                        "storage format {other} is not supported, this build supports {FORMAT_VERSION}"
+                    )
+                    .into())
+                }
+                None => drop(metadata.insert("form", serde_json::to_vec(&FORMAT_VERSION)?.as_slice())?),
             }
             if let Some(new) = new {
-                let begins = new == New::Begins;
-                facts.insert("begins", serde_json::to_vec(&begins)?.as_slice())?;
+                let bootstraps = new == New::Begins;
+                metadata.insert("begins", serde_json::to_vec(&bootstraps)?.as_slice())?;
             }
         }
         write.commit()?;
         Ok(store)
     }
 
-    fn fact<T: DeserializeOwned>(&self, name: &str) -> Result<Option<T>, Fault> {
-        let facts = self.base.begin_read()?.open_table(FACTS)?;
-        let found = facts.get(name)?.map(|fact| serde_json::from_slice(fact.value())).transpose()?;
+    fn read_value<T: DeserializeOwned>(&self, name: &str) -> Result<Option<T>, BoxError> {
+        let metadata = self.database.begin_read()?.open_table(METADATA_TABLE)?;
+        let found = metadata.get(name)?.map(|value| serde_json::from_slice(value.value())).transpose()?;
         Ok(found)
     }
 
-    fn put(&self, name: &str, fact: &impl Serialize, durability: Durability) -> Result<(), Fault> {
-        let mut write = self.base.begin_write()?;
+    fn write_value(
+        &self,
+        name: &str,
+        value: &impl Serialize,
+        durability: Durability,
+    ) -> Result<(), BoxError> {
+        let mut write = self.database.begin_write()?;
         write.set_durability(durability);
-        write.open_table(FACTS)?.insert(name, serde_json::to_vec(fact)?.as_slice())?;
+        write.open_table(METADATA_TABLE)?.insert(name, serde_json::to_vec(value)?.as_slice())?;
         write.commit()?;
         Ok(())
     }
@@ -140,31 +151,31 @@
     ///
     /// # Errors
     /// The store can't be read.
-    pub fn begins(&self) -> Result<bool, StorageError> {
-        let begins: Option<bool> =
-            self.fact("begins").map_err(|e| error(ErrorSubject::Store, ErrorVerb::Read, e))?;
-        Ok(begins.unwrap_or(false))
+    pub fn bootstraps(&self) -> Result<bool, StorageError> {
+        let bootstraps: Option<bool> =
+            self.read_value("begins").map_err(|e| storage_error(ErrorSubject::Store, ErrorVerb::Read, e))?;
+        Ok(bootstraps.unwrap_or(false))
     }
 
     /// The last snapshot.
     ///
     /// # Errors
     /// The store can't be read.
-    pub fn snapshot(&self) -> Result<Option<Kept>, StorageError> {
-        self.fact("snapshot").map_err(|e| error(ErrorSubject::Store, ErrorVerb::Read, e))
+    pub fn snapshot(&self) -> Result<Option<StoredSnapshot>, StorageError> {
+        self.read_value("snapshot").map_err(|e| storage_error(ErrorSubject::Store, ErrorVerb::Read, e))
     }
 
     /// Replaces the stored snapshot.
     ///
     /// # Errors
     /// The store can't be written.
-    pub fn keep(&self, kept: &Kept) -> Result<(), StorageError> {
-        let done = self.put("snapshot", kept, Durability::Immediate);
-        done.map_err(|e| error(ErrorSubject::Store, ErrorVerb::Write, e))
+    pub fn save_snapshot(&self, snapshot: &StoredSnapshot) -> Result<(), StorageError> {
+        let done = self.write_value("snapshot", snapshot, Durability::Immediate);
+        done.map_err(|e| storage_error(ErrorSubject::Store, ErrorVerb::Write, e))
     }
 
-    fn entries(&self, range: impl RangeBounds<u64>) -> Result<Vec<Entry>, Fault> {
-        let log = self.base.begin_read()?.open_table(LOG)?;
+    fn entries(&self, range: impl RangeBounds<u64>) -> Result<Vec<Entry>, BoxError> {
+        let log = self.database.begin_read()?.open_table(LOG_TABLE)?;
         let bounds = (range.start_bound().cloned(), range.end_bound().cloned());
         let mut entries = Vec::new();
         for entry in log.range::<u64>(bounds)? {
@@ -173,10 +184,10 @@
         Ok(entries)
     }
 
-    fn write_entries(&self, entries: impl IntoIterator<Item = Entry>) -> Result<(), Fault> {
-        let write = self.base.begin_write()?;
+    fn write_entries(&self, entries: impl IntoIterator<Item = Entry>) -> Result<(), BoxError> {
+        let write = self.database.begin_write()?;
         {
-            let mut log = write.open_table(LOG)?;
+            let mut log = write.open_table(LOG_TABLE)?;
             for entry in entries {
                 log.insert(entry.get_log_id().index, serde_json::to_vec(&entry)?.as_slice())?;
             }
@@ -185,22 +196,28 @@
         Ok(())
     }
 
-    fn cut(&self, range: impl RangeBounds<u64>, purged: Option<Place>) -> Result<(), Fault> {
-        let write = self.base.begin_write()?;
+    fn remove_entries(
+        &self,
+        range: impl RangeBounds<u64>,
+        purged: Option<LogPosition>,
+    ) -> Result<(), BoxError> {
+        let write = self.database.begin_write()?;
         {
             let bounds = (range.start_bound().cloned(), range.end_bound().cloned());
-            write.open_table(LOG)?.retain_in::<u64, _>(bounds, |_, _| false)?;
-            if let Some(place) = purged {
-                write.open_table(FACTS)?.insert("purged", serde_json::to_vec(&place)?.as_slice())?;
+            write.open_table(LOG_TABLE)?.retain_in::<u64, _>(bounds, |_, _| false)?;
+            if let Some(position) = purged {
+                write
+                    .open_table(METADATA_TABLE)?
+                    .insert("purged", serde_json::to_vec(&position)?.as_slice())?;
             }
         }
         write.commit()?;
         Ok(())
     }
 
-    fn state(&self) -> Result<LogState<Kinds>, Fault> {
-        let purged: Option<Place> = self.fact("purged")?;
-        let log = self.base.begin_read()?.open_table(LOG)?;
+    fn log_state(&self) -> Result<LogState<TypeConfig>, BoxError> {
+        let purged: Option<LogPosition> = self.read_value("purged")?;
+        let log = self.database.begin_read()?.open_table(LOG_TABLE)?;
         let last =
             log.last()?.map(|(_, entry)| serde_json::from_slice::<Entry>(entry.value())).transpose()?;
         let last_log_id = last.map(|entry| *entry.get_log_id()).or(purged);
@@ -208,57 +225,57 @@
     }
 }
 
-fn error(subject: ErrorSubject<Number>, verb: ErrorVerb, e: Fault) -> StorageError {
+fn storage_error(subject: ErrorSubject<KeeperNumber>, verb: ErrorVerb, e: BoxError) -> StorageError {
     StorageIOError::new(subject, verb, openraft::AnyError::error(e)).into()
 }
 
-fn read(e: Fault) -> StorageError {
-    error(ErrorSubject::Logs, ErrorVerb::Read, e)
+fn read_error(e: BoxError) -> StorageError {
+    storage_error(ErrorSubject::Logs, ErrorVerb::Read, e)
 }
 
-fn write(e: Fault) -> StorageError {
-    error(ErrorSubject::Logs, ErrorVerb::Write, e)
+fn write_error(e: BoxError) -> StorageError {
+    storage_error(ErrorSubject::Logs, ErrorVerb::Write, e)
 }
 
-impl RaftLogReader<Kinds> for Store {
+impl RaftLogReader<TypeConfig> for Store {
     async fn try_get_log_entries<R: RangeBounds<u64> + Clone + Debug + OptionalSend>(
         &mut self,
         range: R,
     ) -> Result<Vec<Entry>, StorageError> {
-        self.entries(range).map_err(read)
+        self.entries(range).map_err(read_error)
     }
 }
 
-impl RaftLogStorage<Kinds> for Store {
+impl RaftLogStorage<TypeConfig> for Store {
     type LogReader = Store;
 
-    async fn get_log_state(&mut self) -> Result<LogState<Kinds>, StorageError> {
-        self.state().map_err(read)
+    async fn get_log_state(&mut self) -> Result<LogState<TypeConfig>, StorageError> {
+        self.log_state().map_err(read_error)
     }
 
     async fn get_log_reader(&mut self) -> Store {
         self.clone()
     }
 
-    async fn save_vote(&mut self, vote: &Vote<Number>) -> Result<(), StorageError> {
-        let done = self.put("vote", vote, Durability::Immediate);
-        done.map_err(|e| error(ErrorSubject::Vote, ErrorVerb::Write, e))
+    async fn save_vote(&mut self, vote: &Vote<KeeperNumber>) -> Result<(), StorageError> {
+        let done = self.write_value("vote", vote, Durability::Immediate);
+        done.map_err(|e| storage_error(ErrorSubject::Vote, ErrorVerb::Write, e))
     }
 
-    async fn read_vote(&mut self) -> Result<Option<Vote<Number>>, StorageError> {
-        self.fact("vote").map_err(|e| error(ErrorSubject::Vote, ErrorVerb::Read, e))
+    async fn read_vote(&mut self) -> Result<Option<Vote<KeeperNumber>>, StorageError> {
+        self.read_value("vote").map_err(|e| storage_error(ErrorSubject::Vote, ErrorVerb::Read, e))
     }
 
     /// Not durable: an outdated value only means that more entries are replayed.
-    async fn save_committed(&mut self, committed: Option<Place>) -> Result<(), StorageError> {
-        self.put("committed", &committed, Durability::None).map_err(write)
+    async fn save_committed(&mut self, committed: Option<LogPosition>) -> Result<(), StorageError> {
+        self.write_value("committed", &committed, Durability::None).map_err(write_error)
     }
 
-    async fn read_committed(&mut self) -> Result<Option<Place>, StorageError> {
-        Ok(self.fact::<Option<Place>>("committed").map_err(read)?.flatten())
+    async fn read_committed(&mut self) -> Result<Option<LogPosition>, StorageError> {
+        Ok(self.read_value::<Option<LogPosition>>("committed").map_err(read_error)?.flatten())
     }
 
-    async fn append<I>(&mut self, entries: I, callback: LogFlushed<Kinds>) -> Result<(), StorageError>
+    async fn append<I>(&mut self, entries: I, callback: LogFlushed<TypeConfig>) -> Result<(), StorageError>
     where
         I: IntoIterator<Item = Entry> + OptionalSend,
         I::IntoIter: OptionalSend,
@@ -269,14 +286,14 @@
             Ok(()) => Ok(()),
             Err(e) => Err(std::io::Error::other(e.to_string())),
         });
-        done.map_err(write)
+        done.map_err(write_error)
     }
 
-    async fn truncate(&mut self, place: Place) -> Result<(), StorageError> {
-        self.cut(place.index.., None).map_err(write)
+    async fn truncate(&mut self, position: LogPosition) -> Result<(), StorageError> {
+        self.remove_entries(position.index.., None).map_err(write_error)
     }
 
-    async fn purge(&mut self, place: Place) -> Result<(), StorageError> {
-        self.cut(..=place.index, Some(place)).map_err(write)
+    async fn purge(&mut self, position: LogPosition) -> Result<(), StorageError> {
+        self.remove_entries(..=position.index, Some(position)).map_err(write_error)
     }
 }
