--- a/crates/dataplane/src/driver.rs
+++ b/crates/dataplane/src/driver.rs
@@ -130,7 +130,7 @@
     ) -> Rc<Self> {
         let clock = Clock::new(&platform);
         let now = clock.micros(platform.now());
-        let most_units = settings.policy.most_units;
+        let most_units = settings.policy.max_units;
         Rc::new(Driver {
             workers: Workers::new(
                 platform.clone(),
@@ -277,8 +277,8 @@
     }
 
     /// Requests that found no worker in time, since the start.
-    pub fn short(&self) -> u64 {
-        self.decisions.borrow().short()
+    pub fn requests_without_worker(&self) -> u64 {
+        self.decisions.borrow().requests_without_worker()
     }
 
     /// Whether anything may begin.
--- a/crates/dataplane/src/workers.rs
+++ b/crates/dataplane/src/workers.rs
@@ -321,7 +321,7 @@
                 _ if !whole => return Outcome::ConnectFailed.into(),
                 Ok(Err(Broken::Spoilt(what))) => {
                     note(&self.platform, &self.odd, format_args!("worker {}: {what}", worker.0));
-                    return Outcome::Spoilt.into();
+                    return Outcome::Unusable.into();
                 }
                 Ok(_) => return Outcome::Reset.into(),
                 Err(_) => return Outcome::Timeout.into(),
--- a/crates/dataplane/tests/workers.rs
+++ b/crates/dataplane/tests/workers.rs
@@ -175,7 +175,7 @@
 #[test]
 fn a_good_answer_without_a_length_is_spoilt_and_a_bad_one_costs_its_connection() {
     let good = play(Method::GET, "HTTP/1.1 200 OK\r\n\r\nhi");
-    assert_eq!((good.outcome, good.connections), (Outcome::Spoilt, 2));
+    assert_eq!((good.outcome, good.connections), (Outcome::Unusable, 2));
     let bad = play(Method::GET, "HTTP/1.1 500 Internal Server Error\r\n\r\nno");
     assert_eq!((bad.outcome, bad.connections), (Outcome::Error, 2));
 }
--- a/crates/enforce/src/lib.rs
+++ b/crates/enforce/src/lib.rs
@@ -49,7 +49,7 @@
             .enumerate()
             .map(|(at, name)| plan(&policy.plans[*name], settings.plans.get(at)))
             .collect();
-        let free = limited.iter().map(|plan| Plan { rate: 0.0, burst: 0.0, open: 0.0, ..plan.clone() });
+        let free = limited.iter().map(|plan| Plan { rate: 0.0, burst: 0.0, max_open: 0.0, ..plan.clone() });
         let place = |name: &String| order.iter().position(|known| *known == name);
         let overrides = policy.overrides.iter();
         let overrides =
@@ -114,7 +114,7 @@
     let (rate, burst) = wanted.quota.unwrap_or_default();
     let (ceiling_rate, ceiling_burst, ceiling_slack) = wanted.ceiling.unwrap_or_default();
     // What no document speaks of: a plan that the settings don't have is held to its quota.
-    let base = base.cloned().unwrap_or(Plan { over_cost: 1.0, ..Plan::default() });
+    let base = base.cloned().unwrap_or(Plan { over_quota_cost: 1.0, ..Plan::default() });
     Plan { rate, burst, ceiling_rate, ceiling_burst, ceiling_slack, ..base }
 }
 
@@ -136,7 +136,7 @@
         let keyed = Class { key_window: 9, group: DedupGroup::Zone, ..Class::default() };
         let settings = Settings {
             classes: vec![keyed, Class::default()],
-            plans: vec![Plan { open: 5.0, over_earns: 0.2, ..Plan::default() }, Plan::default()],
+            plans: vec![Plan { max_open: 5.0, over_quota_value: 0.2, ..Plan::default() }, Plan::default()],
             limits: Limits { max_attempts: 4, ..Limits::default() },
             ..Settings::default()
         };
@@ -162,12 +162,12 @@
         assert_eq!(rates, [40.0, 2.0, 90.0, 0.0, 0.0, 0.0]);
         let ente = &terms.plans[0];
         assert_eq!(
-            (ente.ceiling_rate, ente.ceiling_slack, ente.open, ente.over_earns),
+            (ente.ceiling_rate, ente.ceiling_slack, ente.max_open, ente.over_quota_value),
             (80.0, 10.0, 5.0, 0.2)
         );
         let exempt = &terms.plans[3];
         assert_eq!(
-            (exempt.ceiling_rate, exempt.open),
+            (exempt.ceiling_rate, exempt.max_open),
             (80.0, 0.0),
             "its ceiling holds an exempt account, too"
         );
--- a/crates/gateway/src/server.rs
+++ b/crates/gateway/src/server.rs
@@ -93,7 +93,7 @@
             names: config.names.clone(),
             effects: config.settings.classes.iter().map(|class| class.effect).collect(),
             instances: config.settings.instances.max(1),
-            most_units: config.settings.most_units,
+            most_units: config.settings.max_units,
             patience_max: config.longest_deadline() * PATIENCE_MAX,
             life: RefCell::default(),
         })
--- a/crates/gateway/src/sites.rs
+++ b/crates/gateway/src/sites.rs
@@ -5,7 +5,7 @@
 use hingestage_failover::{Belief, Declared, Drift, Figures, Order, Standing, Told, Why, Word};
 use hingestage_platform::Platform;
 use hingestage_policy::{
-    Availability, ClassId, Event, ListScope, Micros, Outcome, PlanId, RuleFigures, WorkerId, WorkerInfo,
+    Availability, ClassId, Event, ListScope, Micros, Outcome, PlanId, WarmUpRules, WorkerId, WorkerInfo,
 };
 use hingestage_sites::Ahead;
 use std::cell::{Cell, RefCell};
@@ -63,7 +63,7 @@
 /// What an attempt's end tells of the worker's site.
 fn tells(outcome: Outcome, took: Micros) -> Told {
     match outcome {
-        Outcome::Ok | Outcome::Error | Outcome::Full | Outcome::Spoilt => Told::Answered(took),
+        Outcome::Ok | Outcome::Error | Outcome::Full | Outcome::Unusable => Told::Answered(took),
         Outcome::ConnectFailed | Outcome::Reset | Outcome::Timeout => Told::Failed,
         Outcome::Cancelled | Outcome::NotSent => Told::Nothing,
     }
@@ -75,11 +75,11 @@
         driver: &Rc<Driver<P>>,
         planned: Option<Planned>,
         gateways: u32,
-        rules: &RuleFigures,
+        rules: &WarmUpRules,
     ) -> Rc<Self> {
         let figures = Figures::default();
         let gap = figures.probe_gap * Micros::from(gateways.div_ceil(PROBERS).max(1));
-        let figures = Figures { probe_gap: gap.min(PROBE_GAP_MAX), cold_for: rules.cold_for, ..figures };
+        let figures = Figures { probe_gap: gap.min(PROBE_GAP_MAX), cold_for: rules.warm_up_time, ..figures };
         let ahead = planned.as_ref().map_or_else(Ahead::default, |planned| planned.ahead.clone());
         let mut belief = Belief::new(figures, &ahead.sites);
         belief.go_by(ahead.shares);
@@ -171,7 +171,7 @@
     fn look(self: &Rc<Self>, driver: &Rc<Driver<P>>) {
         let now = driver.micros();
         self.looked.set(now);
-        let short = driver.short();
+        let short = driver.requests_without_worker();
         let mut order = self.order.borrow_mut();
         order.short(short.saturating_sub(self.short.replace(short)));
         order.look(now, self.belief.borrow().troubled());
--- a/crates/policy/src/api.rs
+++ b/crates/policy/src/api.rs
@@ -87,7 +87,7 @@
     /// Quota burst, units.
     pub burst: f64,
     /// Maximum open requests of a customer; 0 for no limit.
-    pub open: f64,
+    pub max_open: f64,
     /// Ceiling refill rate, units a second; 0 for no ceiling.
     pub ceiling_rate: f64,
     /// Ceiling burst, units.
@@ -95,22 +95,22 @@
     /// Tolerated overdraft of the ceiling, units.
     pub ceiling_slack: f64,
     /// Share of its value that a request over quota earns when served.
-    pub over_earns: f64,
+    pub over_quota_value: f64,
     /// Share of its value that a request over quota costs when sent.
-    pub over_cost: f64,
+    pub over_quota_cost: f64,
 }
 
 /// Warm-up and overload limits of workers.
 #[derive(Clone, Debug, Default)]
-pub struct RuleFigures {
+pub struct WarmUpRules {
     /// Least share of its capacity that a worker starts with.
-    pub cold_from: f64,
+    pub initial_capacity: f64,
     /// Longest warm-up of a worker.
-    pub cold_for: Micros,
+    pub warm_up_time: Micros,
     /// A cold worker overloads above this multiple of its present capacity.
-    pub fall_multiple: f64,
+    pub overload_multiple: f64,
     /// Time over which that multiple is measured.
-    pub fall_after: Micros,
+    pub overload_window: Micros,
 }
 
 /// Limits of the deployment.
@@ -125,7 +125,7 @@
     /// Longest retry advice that clients follow.
     pub max_retry_after: Micros,
     /// Maximum retry budget; 0 for the built-in default.
-    pub retries_saved: f64,
+    pub max_retry_budget: f64,
     /// Whether a refusal promises that the request has not run, whatever its effect. Otherwise it only says
     /// that a retry is harmless.
     pub refusals_promise: bool,
@@ -133,9 +133,9 @@
 
 impl Limits {
     /// The maximum retry budget, with `usual` as the default.
-    pub fn retries_saved(&self, usual: f64) -> f64 {
-        if self.retries_saved > 0.0 {
-            self.retries_saved
+    pub fn max_retry_budget(&self, usual: f64) -> f64 {
+        if self.max_retry_budget > 0.0 {
+            self.max_retry_budget
         } else {
             usual
         }
@@ -158,9 +158,9 @@
     /// Timeout of a counter call.
     pub counter_timeout: Micros,
     /// Largest number of units of a request.
-    pub most_units: f64,
+    pub max_units: f64,
     /// Whether a request's units are an estimate that its answer corrects.
-    pub settles: bool,
+    pub units_estimated: bool,
     /// Whether the worker list must be subscribed to.
     pub subscribe: bool,
     /// Request classes.
@@ -170,7 +170,7 @@
     /// Limits of the deployment.
     pub limits: Limits,
     /// Warm-up and overload limits of workers.
-    pub rules: RuleFigures,
+    pub rules: WarmUpRules,
 }
 
 /// Whether a worker takes new work.
@@ -286,7 +286,7 @@
     /// The connection broke; it may have run.
     Reset,
     /// The answer was unusable; it may have run.
-    Spoilt,
+    Unusable,
     /// Cancelled; it may have run.
     Cancelled,
     /// Never transmitted; it never ran.
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -10,7 +10,7 @@
 //!     instances: 2,
 //!     limits: Limits { max_attempts: 3, ..Limits::default() },
 //!     classes: vec![Class { aim: 500_000, deadline: 2_000_000, ..Class::default() }],
-//!     plans: vec![Plan { rate: 5.0, burst: 10.0, over_cost: 1.0, ..Plan::default() }],
+//!     plans: vec![Plan { rate: 5.0, burst: 10.0, over_quota_cost: 1.0, ..Plan::default() }],
 //!     ..Settings::default()
 //! };
 //! let now = 1_000_000;
@@ -64,7 +64,7 @@
     fn avoided(&self) -> usize;
 
     /// Number of requests that found no worker in time since the start.
-    fn short(&self) -> u64;
+    fn requests_without_worker(&self) -> u64;
 }
 
 impl Decide for Gatekeeper {
@@ -80,7 +80,7 @@
         Gatekeeper::avoided(self)
     }
 
-    fn short(&self) -> u64 {
-        Gatekeeper::short(self)
+    fn requests_without_worker(&self) -> u64 {
+        Gatekeeper::requests_without_worker(self)
     }
 }
--- a/crates/policy/src/rules.rs
+++ b/crates/policy/src/rules.rs
@@ -36,7 +36,7 @@
 const EJECT_STRIKES: u32 = 3;
 /// Typical latencies without an answer after which an attempt is lost, and the same at a lost site.
 const SILENT_LATENCIES: f64 = 7.0;
-const SILENT_LATENCIES_LOST_SITE: f64 = 2.0;
+const SILENT_LOST_SITE: f64 = 2.0;
 /// Factor of the expected wait at workers of other zones.
 const CROSS_ZONE: f64 = 1.1;
 /// Share of a one-core worker's overload rate that a cold worker is sent.
@@ -128,7 +128,7 @@
         let mean_in_flight = typical_latency.iter().copied().fold(f64::MAX, f64::min);
         let n = f64::from(settings.instances.max(1));
         let mut rng = fastrand::Rng::with_seed(seed);
-        let retry_budget = settings.limits.retries_saved(RETRY_BUDGET_MAX) / 2.0;
+        let retry_budget = settings.limits.max_retry_budget(RETRY_BUDGET_MAX) / 2.0;
         Gatekeeper {
             settings,
             // Gateways that start together must not call the counter together.
@@ -202,7 +202,7 @@
     }
 
     /// Number of requests that found no worker in time since the start.
-    pub fn short(&self) -> u64 {
+    pub fn requests_without_worker(&self) -> u64 {
         self.no_worker
     }
 
--- a/crates/policy/src/rules/customers.rs
+++ b/crates/policy/src/rules/customers.rs
@@ -118,14 +118,14 @@
         let (_, sharers) = self.sharers(self.customers.get(key)?);
         let c = self.customers.get_mut(key)?;
         // Exempt: serving beyond this plan's quota earns more than it costs.
-        if p.over_earns > p.over_cost {
+        if p.over_quota_value > p.over_quota_cost {
             return None;
         }
-        if p.open > 0.0 {
+        if p.max_open > 0.0 {
             let (mine, all) =
                 (c.current.mine + c.previous.mine + c.pending, c.current.others + c.previous.others);
             let share = if c.total_known && mine + all > 0.0 { mine / (mine + all) } else { 1.0 / sharers };
-            if c.open_requests >= (p.open * share).floor().max(1.0) {
+            if c.open_requests >= (p.max_open * share).floor().max(1.0) {
                 return Some(longest.min(window as Micros / 4));
             }
         }
@@ -152,10 +152,13 @@
     /// Whether a fresh total could change the decision.
     pub(super) fn needs_fresh_total(&self, key: &Key, units: f64) -> bool {
         let (Some(c), p) = (self.customers.get(key), self.plan(key)) else { return false };
-        let spread = c.others_forecast * FORECAST_ERROR + FORECAST_ERROR_REQUESTS * self.settings.most_units;
+        let spread = c.others_forecast * FORECAST_ERROR + FORECAST_ERROR_REQUESTS * self.settings.max_units;
         let near = c.level + c.others_forecast >= units && c.level < units + spread;
         let open = if c.total_known { near && self.now > c.read_at + FRESH_TOTAL } else { c.level < units };
-        open && self.settings.counter && p.rate > 0.0 && p.over_earns <= p.over_cost && !key.1 .0.is_empty()
+        open && self.settings.counter
+            && p.rate > 0.0
+            && p.over_quota_value <= p.over_quota_cost
+            && !key.1 .0.is_empty()
     }
 
     /// Takes units from the quota and records those that the counter does not know yet.
@@ -166,7 +169,7 @@
         if unheard != 0.0 {
             c.pending_since = if c.pending == 0.0 { now } else { c.pending_since };
             c.pending += unheard;
-            if self.settings.counter && (p.rate > 0.0 || p.open > 0.0) && !key.1 .0.is_empty() {
+            if self.settings.counter && (p.rate > 0.0 || p.max_open > 0.0) && !key.1 .0.is_empty() {
                 self.unreported.insert(key.clone());
             }
         }
@@ -181,7 +184,7 @@
     /// Whether a call may start now. Larger requests may use more of the saved calls; reports that decide
     /// nothing leave a reserve.
     pub(super) fn may_start_call(&self, asks: f64) -> bool {
-        let left = CALLS_RESERVED * (1.0 - asks / self.settings.most_units.max(1.0)).clamp(0.0, 1.0);
+        let left = CALLS_RESERVED * (1.0 - asks / self.settings.max_units.max(1.0)).clamp(0.0, 1.0);
         self.calls.len() < CALLS_MAX && self.now as f64 >= self.next_call + left * self.call_interval
     }
 
@@ -307,7 +310,7 @@
         }
         self.advance(&key);
         let (window, burst, rate) = (self.quota_window(key.0), self.plan(&key).burst, self.plan(&key).rate);
-        let count_floor = if self.settings.settles { -self.settings.most_units } else { 0.0 };
+        let count_floor = if self.settings.units_estimated { -self.settings.max_units } else { 0.0 };
         let Some(c) = self.customers.get_mut(&key) else { return };
         c.in_transit -= call.amount;
         c.calls_in_flight = c.calls_in_flight.saturating_sub(1);
--- a/crates/policy/src/rules/requests.rs
+++ b/crates/policy/src/rules/requests.rs
@@ -154,8 +154,8 @@
             return false;
         };
         if r.attempts.is_empty() {
-            self.retry_budget =
-                (self.retry_budget + RETRY_EARNED).min(self.settings.limits.retries_saved(RETRY_BUDGET_MAX));
+            self.retry_budget = (self.retry_budget + RETRY_EARNED)
+                .min(self.settings.limits.max_retry_budget(RETRY_BUDGET_MAX));
             let units = if r.granted { 0.0 } else { r.units };
             self.customers.entry(r.key.clone()).and_modify(|c| {
                 c.ceiling_level -= units;
@@ -313,11 +313,8 @@
             let health = self.workers.get(&a.worker).map(|w| (w.health[class_ix].answered_at, w.slowness));
             let (answered, slow) = health.unwrap_or((0, 1.0));
             // At a lost site the wait is shorter.
-            let silent = if self.sites.admission(&a.zone.0).share > 0.0 {
-                SILENT_LATENCIES
-            } else {
-                SILENT_LATENCIES_LOST_SITE
-            };
+            let site_open = self.sites.admission(&a.zone.0).share > 0.0;
+            let silent = if site_open { SILENT_LATENCIES } else { SILENT_LOST_SITE };
             let lost =
                 age > silent * slow.clamp(1.0, 2.0) * self.typical_latency[class_ix] && answered <= a.sent;
             let first = lost && !a.suspected_lost;
--- a/crates/policy/src/rules/workers.rs
+++ b/crates/policy/src/rules/workers.rs
@@ -82,7 +82,8 @@
     /// Minimum share of its warm capacity that a worker has at its age.
     pub(super) fn warm_share(&self, w: &Worker, now: Micros) -> f64 {
         let age = w.info.started.map_or(f64::MAX, |at| now.saturating_sub(at) as f64);
-        let (from, warm) = (self.settings.rules.cold_from, self.settings.rules.cold_for.max(1) as f64);
+        let rules = &self.settings.rules;
+        let (from, warm) = (rules.initial_capacity, rules.warm_up_time.max(1) as f64);
         (from + (1.0 - from) * age / warm).min(1.0)
     }
 
@@ -113,7 +114,7 @@
         }
         let typical = self.typical_latency.iter().sum::<f64>() / self.typical_latency.len() as f64 / 1e6;
         let part = cold_multiple(self.view.as_ref(), self.now, w.info.mark, few) / f64::from(few);
-        let rate = COLD_RATE_SHARE * self.settings.rules.fall_multiple / typical * part;
+        let rate = COLD_RATE_SHARE * self.settings.rules.overload_multiple / typical * part;
         (w.credit + rate * self.warm_share(w, self.now - span / 2) * secs(span)).min(1.0)
     }
 
@@ -232,7 +233,7 @@
         let better = |a: &&Worker, b: &&Worker| self.expected_wait(a).total_cmp(&self.expected_wait(b));
         let prefers = |w: &&Worker| self.sites.prefers(&w.info.zone.0, (r.key.0, r.class_ix), r.bits);
         let drawn = draws.iter().filter_map(near);
-        let drawn = drawn.filter(|w| !tried(w) && prefers(w) && self.fit_for(r, w) && eligible(w));
+        let drawn = drawn.filter(|w| !tried(w) && prefers(w) && self.is_healthy(r, w) && eligible(w));
         if let Some(w) = drawn.take(2).min_by(better) {
             return Some(w.info.id);
         }
@@ -242,9 +243,9 @@
         let mut all: Vec<&Worker> = all.filter(|w| self.site_admits(r, w)).collect();
         // Worse tiers get only what no better one can take.
         all.sort_by_key(|w| (w.info.tier, !prefers(w)));
-        let ignore_health = all.iter().filter(|w| !self.fit_for(r, w)).count() * 2 > all.len();
+        let ignore_health = all.iter().filter(|w| !self.is_healthy(r, w)).count() * 2 > all.len();
         let candidates =
-            || all.iter().copied().filter(|w| (ignore_health || self.fit_for(r, w)) && eligible(w));
+            || all.iter().copied().filter(|w| (ignore_health || self.is_healthy(r, w)) && eligible(w));
         let tier = candidates().find(|w| !tried(w)).map_or(0, |w| w.info.tier);
         let new = candidates().filter(|w| !tried(w) && w.info.tier == tier).take(2).min_by(better);
         new.or_else(|| candidates().next()).map(|w| w.info.id)
@@ -257,7 +258,7 @@
 
     /// Whether a worker is fit for this request. After a failure it gets one repeatable request at a time; a
     /// probe of a lost site may go to any of its workers.
-    pub(super) fn fit_for(&self, r: &OpenRequest, w: &Worker) -> bool {
+    pub(super) fn is_healthy(&self, r: &OpenRequest, w: &Worker) -> bool {
         if self.sites.probes(&w.info.zone.0, self.last_probe) {
             return r.may_probe();
         }
--- a/crates/policy/src/settings.rs
+++ b/crates/policy/src/settings.rs
@@ -144,12 +144,12 @@
         plans.push(Plan {
             rate: number("rate")?,
             burst: number("storeSize")?,
-            open: number("open")?,
+            max_open: number("open")?,
             ceiling_rate: number("hardRate")?,
             ceiling_burst: number("capDepth")?,
             ceiling_slack: number("ceilingSlack")?,
-            over_earns: number("beyondEarns")?,
-            over_cost: number("overCost")?,
+            over_quota_value: number("beyondEarns")?,
+            over_quota_cost: number("overCost")?,
         });
     }
     let settings = Settings {
@@ -159,8 +159,8 @@
         zone: Zone(f.text_or_empty("zone").into()),
         counter: f.flag("familyInfo.mayCount")?,
         counter_timeout: f.span_or_zero("familyInfo.countWaitUs")?,
-        most_units: f.float_or_zero("familyInfo.mostUnits")?,
-        settles: f.flag("familyInfo.costAfter")?,
+        max_units: f.float_or_zero("familyInfo.mostUnits")?,
+        units_estimated: f.flag("familyInfo.costAfter")?,
         subscribe: f.text_or_empty("registryMode") == "on_request",
         classes,
         plans,
@@ -169,14 +169,14 @@
             second_copies: f.flag("limits.mayDuplicate")?,
             cancel: f.flag("limits.mayCancel")?,
             max_retry_after: if f.flag("limits.retryAfter")? { f.int("limits.maxRetryAfterUs")? } else { 0 },
-            retries_saved: 0.0,
+            max_retry_budget: 0.0,
             refusals_promise: false,
         },
-        rules: RuleFigures {
-            cold_from: f.float("rules.coldFrom")?,
-            cold_for: f.int("rules.coldUs")?,
-            fall_multiple: f.float("rules.fallMultiple")?,
-            fall_after: f.int("rules.tipAfterUs")?,
+        rules: WarmUpRules {
+            initial_capacity: f.float("rules.coldFrom")?,
+            warm_up_time: f.int("rules.coldUs")?,
+            overload_multiple: f.float("rules.fallMultiple")?,
+            overload_window: f.int("rules.tipAfterUs")?,
         },
     };
     Ok((settings, names))
--- a/crates/policy/tests/ceilings.rs
+++ b/crates/policy/tests/ceilings.rs
@@ -11,7 +11,7 @@
 
 /// A quota far above the ceiling, so that only the ceiling limits a flood.
 fn ceiling_settings(me: u32) -> Settings {
-    let mut config = Settings { instances: GATEWAYS, me, settles: false, ..settings() };
+    let mut config = Settings { instances: GATEWAYS, me, units_estimated: false, ..settings() };
     (config.plans[1].rate, config.plans[1].burst) = (1_000.0, 2_000.0);
     config
 }
--- a/crates/policy/tests/common/mod.rs
+++ b/crates/policy/tests/common/mod.rs
@@ -15,14 +15,14 @@
 /// Class 0 is idempotent, 1 is deduplicated within a cell, 2 must not run twice. Plan 0 has a quota of 10
 /// units a second with a burst of 20; plan 1 also has a ceiling of twice that.
 pub fn settings() -> Settings {
-    let plan = Plan { rate: 10.0, burst: 20.0, over_cost: 1.0, ..Plan::default() };
+    let plan = Plan { rate: 10.0, burst: 20.0, over_quota_cost: 1.0, ..Plan::default() };
     let ceiling = Plan { ceiling_rate: 20.0, ceiling_burst: 40.0, ceiling_slack: 4.0, ..plan.clone() };
     Settings {
         instances: 2,
         resolution: 2 * MS,
         counter: true,
         counter_timeout: 50 * MS,
-        most_units: 4.0,
+        max_units: 4.0,
         classes: vec![
             class(Effect::Idempotent, DedupGroup::All),
             class(Effect::Deduplicated, DedupGroup::Cell),
@@ -34,10 +34,15 @@
             second_copies: true,
             cancel: true,
             max_retry_after: S,
-            retries_saved: 0.0,
+            max_retry_budget: 0.0,
             refusals_promise: false,
         },
-        rules: RuleFigures { cold_from: 0.2, cold_for: 10 * S, fall_multiple: 2.0, fall_after: S },
+        rules: WarmUpRules {
+            initial_capacity: 0.2,
+            warm_up_time: 10 * S,
+            overload_multiple: 2.0,
+            overload_window: S,
+        },
         ..Settings::default()
     }
 }
--- a/crates/policy/tests/quota.rs
+++ b/crates/policy/tests/quota.rs
@@ -70,10 +70,10 @@
 #[test]
 fn soft_plans_are_exempt_and_open_caps_hold() {
     let mut config = settings();
-    config.plans[0].over_earns = 2.0;
+    config.plans[0].over_quota_value = 2.0;
     let mut s = Harness::new(config.clone(), &[1, 2]);
     assert_eq!(served(&mut s, "ada", 60, 1.0), 60);
-    config.plans[0] = Plan { open: 4.0, over_cost: 1.0, ..Plan::default() };
+    config.plans[0] = Plan { max_open: 4.0, over_quota_cost: 1.0, ..Plan::default() };
     let mut s = Harness::new(config, &[1, 2, 3]);
     let ids: Vec<String> = (0..6).map(|_| s.request("ada", 0, 0, 1.0)).collect();
     let sent = ids.iter().filter(|id| s.sent(id) == 1).count();
@@ -138,7 +138,7 @@
 #[test]
 fn actual_units_replace_the_estimate() {
     let mut config = settings();
-    config.settles = true;
+    config.units_estimated = true;
     let mut s = Harness::new(config, &[1]);
     let mut totals = BTreeMap::new();
     let id = s.request("ada", 0, 0, 1.0);
--- a/crates/policy/tests/sites.rs
+++ b/crates/policy/tests/sites.rs
@@ -165,7 +165,11 @@
         assert_eq!(harness.sent(&other_class), 1, "another class is not refused");
         harness.finish_oldest(Outcome::Ok);
     }
-    assert_eq!(harness.gatekeeper.short(), 0, "shed requests do not count as lacking a worker");
+    assert_eq!(
+        harness.gatekeeper.requests_without_worker(),
+        0,
+        "shed requests do not count as lacking a worker"
+    );
 }
 
 #[test]
@@ -194,7 +198,7 @@
 fn requests_without_a_worker_in_time_are_counted() {
     let mut harness = Harness::with(unlimited(), Vec::new());
     (0..5).for_each(|n| drop(harness.request(&format!("c{n}"), 0, 0, 1.0)));
-    assert_eq!(harness.gatekeeper.short(), 0);
+    assert_eq!(harness.gatekeeper.requests_without_worker(), 0);
     harness.advance(S);
-    assert_eq!(harness.gatekeeper.short(), 5);
+    assert_eq!(harness.gatekeeper.requests_without_worker(), 5);
 }
--- a/crates/policy/tests/terms.rs
+++ b/crates/policy/tests/terms.rs
@@ -106,7 +106,7 @@
 #[test]
 fn open_requests_move_with_the_customer_to_another_plan() {
     let mut harness = Harness::new(settings(), &[1, 2]);
-    harness.event(terms(|terms| terms.plans.iter_mut().for_each(|plan| plan.open = 2.0)));
+    harness.event(terms(|terms| terms.plans.iter_mut().for_each(|plan| plan.max_open = 2.0)));
     let first = harness.request("a", 0, 0, 1.0);
     let second = harness.request("a", 0, 1, 1.0);
     let third = harness.request("a", 0, 1, 1.0);
--- a/crates/policy/tests/views.rs
+++ b/crates/policy/tests/views.rs
@@ -139,7 +139,7 @@
 /// One of ten gateways with one cold worker, under this view.
 fn with_cold_worker(view: Option<Event>) -> Harness {
     let mut config = Settings { ..settings() };
-    config.rules.cold_for = 1_000 * S;
+    config.rules.warm_up_time = 1_000 * S;
     config.plans = common::settings().plans;
     (config.plans[1].rate, config.plans[1].burst) = (1e6, 1e6);
     (config.plans[1].ceiling_rate, config.plans[1].ceiling_burst) = (0.0, 0.0);
--- a/crates/policy/tests/workers.rs
+++ b/crates/policy/tests/workers.rs
@@ -98,7 +98,7 @@
 /// the few without one.
 #[test]
 fn single_failure_does_not_eject_a_worker() {
-    for outcome in [Outcome::Spoilt, Outcome::Reset, Outcome::Error, Outcome::ConnectFailed] {
+    for outcome in [Outcome::Unusable, Outcome::Reset, Outcome::Error, Outcome::ConnectFailed] {
         let mut s = Harness::new(settings(), &[1, 2]);
         let failed = std::cell::Cell::new(false);
         let round = |s: &mut Harness, fails: bool| {
--- a/crates/proxy/src/attempts.rs
+++ b/crates/proxy/src/attempts.rs
@@ -84,7 +84,7 @@
         Outcome::Timeout => AttemptOutcome::TimedOut,
         Outcome::ConnectFailed => AttemptOutcome::ConnectFailed,
         Outcome::Reset => AttemptOutcome::Reset,
-        Outcome::Spoilt => AttemptOutcome::Unusable,
+        Outcome::Unusable => AttemptOutcome::Unusable,
         Outcome::Cancelled => AttemptOutcome::Cancelled,
         Outcome::NotSent => AttemptOutcome::NotSent,
     }
--- a/crates/proxy/src/dialect.rs
+++ b/crates/proxy/src/dialect.rs
@@ -97,13 +97,13 @@
         // A surplus answer to an earlier request may come in the place of the one that is due.
         let ours = headers.get(ATTEMPT_ID).is_none_or(|id| *id == parts.id);
         let outcome = if !ours {
-            Outcome::Spoilt
+            Outcome::Unusable
         } else if status.is_success() {
             let whole = headers.contains_key(SEAL) && !headers.contains_key(CONTENT_ENCODING);
             if whole && headers.contains_key(ATTEMPT_ID) {
                 Outcome::Ok
             } else {
-                Outcome::Spoilt
+                Outcome::Unusable
             }
         } else if headers.contains_key(NOT_RUN) || status == StatusCode::MISDIRECTED_REQUEST {
             Outcome::Full
--- a/crates/proxy/src/services.rs
+++ b/crates/proxy/src/services.rs
@@ -11,7 +11,7 @@
 use hingestage_node::Settings;
 use hingestage_platform::Tokio;
 use hingestage_policy::{
-    Availability, ClassId, Event, Limits, ListScope, Plan, RuleFigures, Settings as PolicySettings, WorkerId,
+    Availability, ClassId, Event, Limits, ListScope, Plan, Settings as PolicySettings, WarmUpRules, WorkerId,
     WorkerInfo, WorkerList, Zone,
 };
 use hingestage_replication::{digest, Micros};
@@ -184,16 +184,20 @@
             me: (digest(self.settings.node.as_bytes()) % u64::from(instances)) as u32,
             resolution: 1_000,
             zone: Zone(self.settings.zone.clone()),
-            most_units: 1.0,
+            max_units: 1.0,
             classes: Classes::default().all(),
             plans: vec![Plan::default()],
-            rules: RuleFigures { cold_from: COLD_CAPACITY, cold_for: COLD_LONGEST, ..RuleFigures::default() },
+            rules: WarmUpRules {
+                initial_capacity: COLD_CAPACITY,
+                warm_up_time: COLD_LONGEST,
+                ..WarmUpRules::default()
+            },
             limits: Limits {
                 max_attempts: ATTEMPTS_MAX,
                 second_copies: false,
                 cancel: true,
                 max_retry_after: RETRY_AFTER_MAX,
-                retries_saved: self.retries_saved(),
+                max_retry_budget: self.retries_saved(),
                 refusals_promise: true,
             },
             ..PolicySettings::default()
--- a/crates/proxy/tests/dialect.rs
+++ b/crates/proxy/tests/dialect.rs
@@ -51,16 +51,16 @@
 fn a_success_counts_only_with_its_seal_its_id_and_no_encoding() {
     assert_eq!(outcome(200, &[ID, SEAL]), Outcome::Ok);
     assert_eq!(outcome(204, &[ID, SEAL]), Outcome::Ok);
-    assert_eq!(outcome(200, &[ID]), Outcome::Spoilt, "no seal");
-    assert_eq!(outcome(200, &[SEAL]), Outcome::Spoilt, "no id");
-    assert_eq!(outcome(200, &[ID, SEAL, ("content-encoding", "gzip")]), Outcome::Spoilt);
+    assert_eq!(outcome(200, &[ID]), Outcome::Unusable, "no seal");
+    assert_eq!(outcome(200, &[SEAL]), Outcome::Unusable, "no id");
+    assert_eq!(outcome(200, &[ID, SEAL, ("content-encoding", "gzip")]), Outcome::Unusable);
 }
 
 #[test]
 fn an_answer_to_another_request_says_nothing_of_this_one() {
-    assert_eq!(outcome(200, &[OTHER_ID, SEAL]), Outcome::Spoilt);
-    assert_eq!(outcome(503, &[OTHER_ID, NOT_RUN]), Outcome::Spoilt, "this one may have run");
-    assert_eq!(outcome(421, &[OTHER_ID]), Outcome::Spoilt);
+    assert_eq!(outcome(200, &[OTHER_ID, SEAL]), Outcome::Unusable);
+    assert_eq!(outcome(503, &[OTHER_ID, NOT_RUN]), Outcome::Unusable, "this one may have run");
+    assert_eq!(outcome(421, &[OTHER_ID]), Outcome::Unusable);
 }
 
 #[test]
--- a/crates/sim/tests/planted.rs
+++ b/crates/sim/tests/planted.rs
@@ -75,8 +75,8 @@
         self.0.avoided()
     }
 
-    fn short(&self) -> u64 {
-        self.0.short()
+    fn requests_without_worker(&self) -> u64 {
+        self.0.requests_without_worker()
     }
 }
 
@@ -239,13 +239,13 @@
 
 #[test]
 fn a_cold_budget_is_four_times_as_large() {
-    let start = settings!(|settings| settings.rules.fall_multiple *= 4.0);
+    let start = settings!(|settings| settings.rules.overload_multiple *= 4.0);
     caught("a cold budget is four times as large", &["cold"], start);
 }
 
 #[test]
 fn a_cold_budget_is_doubled() {
-    let start = settings!(|settings| settings.rules.fall_multiple *= 2.0);
+    let start = settings!(|settings| settings.rules.overload_multiple *= 2.0);
     caught("a cold budget is doubled", &["cold"], start);
 }
 
--- a/crates/small-worlds/src/decisions.rs
+++ b/crates/small-worlds/src/decisions.rs
@@ -66,7 +66,7 @@
 
     /// The settings of this world.
     pub fn settings(&self) -> Settings {
-        let mut plan = Plan { over_cost: 1.0, ..Plan::default() };
+        let mut plan = Plan { over_quota_cost: 1.0, ..Plan::default() };
         if self.quota {
             (plan.ceiling_rate, plan.ceiling_burst) = CEILING;
             (plan.rate, plan.burst) = (1.0, 3.0);
@@ -76,7 +76,7 @@
             resolution: MS,
             counter: self.quota,
             counter_timeout: 50 * MS,
-            most_units: 2.0,
+            max_units: 2.0,
             classes: vec![Class {
                 aim: 300 * MS,
                 deadline: PATIENCE,
@@ -91,14 +91,14 @@
                 second_copies: self.copies,
                 cancel: true,
                 max_retry_after: MS,
-                retries_saved: 0.0,
+                max_retry_budget: 0.0,
                 refusals_promise: false,
             },
-            rules: RuleFigures {
-                cold_from: 0.2,
-                cold_for: 10_000 * MS,
-                fall_multiple: 2.0,
-                fall_after: FALL_AFTER,
+            rules: WarmUpRules {
+                initial_capacity: 0.2,
+                warm_up_time: 10_000 * MS,
+                overload_multiple: 2.0,
+                overload_window: FALL_AFTER,
             },
             ..Settings::default()
         }
@@ -396,7 +396,7 @@
     Outcome::Error,
     Outcome::Full,
     Outcome::Reset,
-    Outcome::Spoilt,
+    Outcome::Unusable,
     Outcome::ConnectFailed,
     Outcome::NotSent,
 ];
--- a/crates/small-worlds/tests/decisions.rs
+++ b/crates/small-worlds/tests/decisions.rs
@@ -34,8 +34,8 @@
         self.0.avoided()
     }
 
-    fn short(&self) -> u64 {
-        self.0.short()
+    fn requests_without_worker(&self) -> u64 {
+        self.0.requests_without_worker()
     }
 }
 
--- a/crates/turns/tests/common/mod.rs
+++ b/crates/turns/tests/common/mod.rs
@@ -193,14 +193,14 @@
 
 fn settings(scene: &Scene, me: u32) -> Settings {
     let (rate, burst) = scene.quota;
-    let usual = Plan { rate, burst, over_cost: 1.0, ..Plan::default() };
+    let usual = Plan { rate, burst, over_quota_cost: 1.0, ..Plan::default() };
     let ceiling = Plan {
         ceiling_rate: CEILING.0 * rate,
         ceiling_burst: CEILING.1 * burst,
         ceiling_slack: CEILING.2,
         // Beyond the quota it earns all: the ceiling alone holds it.
-        over_earns: 1.0,
-        over_cost: 0.0,
+        over_quota_value: 1.0,
+        over_quota_cost: 0.0,
         ..usual.clone()
     };
     Settings {
@@ -209,7 +209,7 @@
         resolution: MS,
         counter: true,
         counter_timeout: WAIT,
-        most_units: 4.0,
+        max_units: 4.0,
         classes: vec![Class {
             aim: 500 * MS,
             deadline: 2 * S,
@@ -222,14 +222,14 @@
             second_copies: false,
             cancel: false,
             max_retry_after: S,
-            retries_saved: 0.0,
+            max_retry_budget: 0.0,
             refusals_promise: false,
         },
-        rules: RuleFigures {
-            cold_from: WARMS.0,
-            cold_for: WARMS.1,
-            fall_multiple: FALLS.0,
-            fall_after: FALLS.1,
+        rules: WarmUpRules {
+            initial_capacity: WARMS.0,
+            warm_up_time: WARMS.1,
+            overload_multiple: FALLS.0,
+            overload_window: FALLS.1,
         },
         ..Settings::default()
     }
