--- a/crates/policy/src/rules.rs
+++ b/crates/policy/src/rules.rs
@@ -41,8 +41,10 @@
 const CROSS_ZONE: f64 = 1.1;
 /// Share of a one-core worker's overload rate that a cold worker is sent.
 const COLD_RATE_SHARE: f64 = 1.0;
-/// Least number of gateways that share a cold worker, and mean number of cold workers per gateway.
-const COLD_SHARERS: (u32, u32) = (12, 4);
+/// Least number of gateways that share a cold worker.
+const COLD_SHARERS_MIN: u32 = 12;
+/// Mean number of cold workers of a gateway.
+const COLD_WORKERS_MEAN: u32 = 4;
 /// Mean number of workers in a gateway's subset.
 const SUBSET_SIZE: u32 = 12;
 /// Random picks of a worker before the whole fleet is scanned.
@@ -216,8 +218,7 @@
                 Some(c) if c.calls_in_flight == 0 => c.pending.abs() / self.plan(key).burst.max(1e-9),
                 _ => 0.0,
             };
-            let mut due: Vec<(f64, Key)> =
-                self.unreported.iter().map(|key| (part(key), key.clone())).collect();
+            let mut due: Vec<(f64, Key)> = self.unreported.iter().map(|k| (part(k), k.clone())).collect();
             due.sort_by(|a, b| b.0.total_cmp(&a.0));
             for (_, key) in due {
                 if self.may_start_call(0.0) {
--- a/crates/policy/src/rules/requests.rs
+++ b/crates/policy/src/rules/requests.rs
@@ -79,7 +79,6 @@
         self.dispatch_or_hold(id, actions);
     }
 
-    /// Maximum attempts of a request.
     fn max_attempts(&self, r: &OpenRequest) -> usize {
         let most = self.settings.limits.max_attempts;
         if r.class.attempts > 0 {
--- a/crates/policy/src/rules/workers.rs
+++ b/crates/policy/src/rules/workers.rs
@@ -87,9 +87,8 @@
         (from + (1.0 - from) * age / warm).min(1.0)
     }
 
-    /// Number of gateways that share a cold worker.
     pub(super) fn cold_sharers(&self) -> u32 {
-        sharers(self.settings.instances, self.ready.len() as u32, COLD_SHARERS)
+        sharers(self.settings.instances, self.ready.len() as u32, (COLD_SHARERS_MIN, COLD_WORKERS_MEAN))
     }
 
     /// Stores each cold worker's current credit, before a change of its refill rate.
@@ -118,6 +117,7 @@
         (w.credit + rate * self.warm_share(w, self.now - span / 2) * secs(span)).min(1.0)
     }
 
+    /// Updates latencies, the in-flight limit and worker health after an attempt.
     pub(super) fn record_outcome(
         &mut self,
         id: WorkerId,
--- a/crates/policy/src/state.rs
+++ b/crates/policy/src/state.rs
@@ -1,4 +1,4 @@
-//! State records of the decision logic in `crates/policy/src/rules.rs`, and pure helpers.
+//! State records, pacing constants and pure helpers of the decision logic in `crates/policy/src/rules.rs`.
 use crate::api::*;
 
 /// Units of one counter slot, by this gateway and by the others.
@@ -6,6 +6,7 @@
 pub struct Slot {
     pub mine: f64,
     pub others: f64,
+    /// Whether a total of the slot was read.
     pub read: bool,
 }
 
@@ -15,8 +16,9 @@
 pub const REPORT_SHARE: f64 = 0.1;
 /// Pending units are reported after this share of a window in any case.
 pub const REPORT_DELAY: f64 = 0.25;
-/// Margin of error of the others' use: relative to the forecast, and in largest requests.
+/// Margin of error of the others' use, relative to the forecast.
 pub const FORECAST_ERROR: f64 = 2.0;
+/// Margin of error of the others' use, in largest requests.
 pub const FORECAST_ERROR_REQUESTS: f64 = 0.5;
 /// Age up to which a total counts as fresh, µs.
 pub const FRESH_TOTAL: Micros = 5_000;
@@ -24,19 +26,23 @@
 pub const CALLS_MAX: usize = 32;
 /// Initial time between counter calls of all gateways together, µs.
 pub const CALL_INTERVAL_START: f64 = 2_000.0;
-/// Factors of the call interval after a failed or late call, after a good one that is slower than
-/// the last good interval, and after a quick one.
+/// Factor of the call interval after a failed or late call.
 pub const CALL_BACKOFF: f64 = 1.3;
+/// Factor after a good call while the interval is above the last good one.
 pub const CALL_RECOVERY: f64 = 0.7;
+/// Factor after a quick call.
 pub const CALL_SPEEDUP: f64 = 0.85;
-/// Shortest call interval, µs, and the bound of the longest unless twice the last good one is longer.
+/// Shortest call interval, µs.
 pub const CALL_INTERVAL_MIN: f64 = 500.0;
+/// Longest call interval, µs, unless twice the last good one is longer.
 pub const CALL_INTERVAL_CAP: f64 = 1e5;
-/// Shares of the call timeout up to which an answer is quick, and from which it is late.
+/// Share of the call timeout below which an answer is quick.
 pub const CALL_QUICK: f64 = 0.125;
+/// Share of the call timeout from which an answer is late.
 pub const CALL_LATE: f64 = 0.5;
-/// Calls that may be saved up, and the part of them that reports without a decision leave.
+/// Calls that may be saved up.
 pub const CALLS_SAVED: f64 = 2.0;
+/// Saved calls that are reserved for calls that decide on a request.
 pub const CALLS_RESERVED: f64 = 1.5;
 /// Assumed level, as a share of the burst, at the start of a slot that follows an unread one.
 pub const FIRST_READ_LEVEL: f64 = 0.5;
@@ -45,10 +51,12 @@
 
 // In-flight limits.
 
-/// In-flight limit of one worker over all gateways, requests, and its growth with a good answer.
+/// Initial in-flight limit of one worker over all gateways, requests.
 pub const INFLIGHT_START: f64 = 4.0;
+/// Lower and upper bound of the in-flight limit, requests.
 pub const INFLIGHT_MIN: f64 = 0.9;
 pub const INFLIGHT_MAX: f64 = 96.0;
+/// Growth of the in-flight limit with each good answer, requests.
 pub const INFLIGHT_GROWTH: f64 = 0.15;
 /// Factor of the in-flight limit after a slow answer, at most once in ten ticks.
 pub const INFLIGHT_CUT: f64 = 0.92;
@@ -64,14 +72,17 @@
 
 // Retries and worker health.
 
-/// Retries earned by each first attempt, and the largest retry budget.
+/// Retries earned by each first attempt.
 pub const RETRY_EARNED: f64 = 0.15;
+/// Default of the largest retry budget.
 pub const RETRY_BUDGET_MAX: f64 = 20.0;
-/// Weights of a new sample in the mean latencies and in a worker's slowness.
+/// Weight of a new sample in the mean latencies.
 pub const LATENCY_WEIGHT: f64 = 0.05;
+/// Weight of a new sample in a worker's slowness.
 pub const SLOWNESS_WEIGHT: f64 = 0.15;
-/// Shortest and longest avoidance of a worker for a class, µs; it doubles up to three times.
+/// Shortest avoidance of a worker for a class, µs; repeated failures double it up to three times.
 pub const EJECT_MIN: f64 = 1e6;
+/// Longest avoidance of a worker for a class, µs.
 pub const EJECT_MAX: f64 = 30e6;
 
 /// Longest quota window, µs: half of the longest time that the counter keeps a number.
@@ -91,12 +102,14 @@
 /// Upper bound of a customer's slot offset, µs.
 const SLOT_OFFSET_MAX: u64 = 30_000_000;
 
+/// A customer under one plan: the index of the plan, and the customer.
 pub type Key = (usize, CustomerId);
 
 #[derive(Clone, Debug, Default)]
 pub struct Customer {
-    /// Number of gateways that its requests come through, and the first of them.
+    /// Number of gateways that its requests come through.
     pub gateways: f64,
+    /// Index of the first of those gateways.
     pub first: u32,
     /// Offsets this customer's slots, so that customers don't all start one at the same time.
     pub slot_offset: Micros,
@@ -104,18 +117,23 @@
     pub slot: u64,
     pub current: Slot,
     pub previous: Slot,
-    /// Units not reported to the counter yet, since when, and units in calls in flight.
+    /// Units not yet reported to the counter.
     pub pending: f64,
     pub pending_since: Micros,
+    /// Units in counter calls in flight.
     pub in_transit: f64,
-    /// Whether a total was ever read; quota level in units, as of `updated_at`; time of the last total.
+    /// Whether a total was ever read.
     pub total_known: bool,
+    /// Quota level, units, as of `updated_at`.
     pub level: f64,
     pub updated_at: Micros,
+    /// When the last total was read.
     pub read_at: Micros,
-    /// Forecast of the other gateways' units since the last total, and their rate, units a second.
+    /// Forecast of the other gateways' units since the last total.
     pub others_forecast: f64,
+    /// Mean rate of the other gateways' use, units a second.
     pub others_rate: f64,
+    /// Until when the customer is penalized for exceeding its quota.
     pub penalty_until: Micros,
     /// Level of this gateway's ceiling share, units, as of `ceiling_at`.
     pub ceiling_level: f64,
@@ -129,10 +147,11 @@
     /// Retries beyond those that its requests have earned.
     pub retry_debt: f64,
     pub last_seen: Micros,
-    /// Counter calls in flight, the requests waiting for their answers, and the units of those requests that
-    /// are already in the counts.
+    /// Counter calls in flight.
     pub calls_in_flight: u32,
+    /// Requests whose decision waits for the answers of these calls.
     pub waiting: Vec<RequestId>,
+    /// Units of waiting requests that are already in the counts.
     pub prepaid: f64,
 }
 
@@ -257,17 +276,22 @@
     }
 }
 
+/// How a request ends.
 pub enum Ending {
+    /// With retry advice.
     Refused(Micros),
     Failed,
     Answered,
 }
 
+/// A counter call in flight.
 #[derive(Clone, Debug)]
 pub struct Call {
     pub key: Key,
     pub slot: u64,
+    /// Weighted units sent to the counter.
     pub amount: f64,
+    /// The same units without weight.
     pub units: f64,
     pub sent: Micros,
     /// The request that asks for a ceiling grant; `None` for a usage report.
@@ -292,7 +316,7 @@
     fnv(customer.0.as_bytes())
 }
 
-/// FNV-1a.
+/// 64-bit FNV-1a hash.
 pub fn fnv(bytes: &[u8]) -> u64 {
     let mix = |h: u64, b: &u8| (h ^ u64::from(*b)).wrapping_mul(0x100000001b3);
     bytes.iter().fold(0xcbf29ce484222325, mix)
