--- a/crates/membership/src/members.rs
+++ b/crates/membership/src/members.rs
@@ -313,7 +313,7 @@
             let mut told = self.tell(&listed.target.uid, &listed.target, at, verdict);
             told.info.tier = tier;
             // Gateways may learn of a worker from either source first: its place must not hang on which.
-            told.info.mark = fnv(srv_name(&at).as_bytes());
+            told.info.hash = fnv(srv_name(&at).as_bytes());
             workers.push(told);
         }
         let removed = self.removed_at();
@@ -412,7 +412,7 @@
         availability,
         zone: Zone(target.az.clone()),
         cell: target.pod_group,
-        mark: fnv(target.uid.as_bytes()),
+        hash: fnv(target.uid.as_bytes()),
         size: target.capacity_hint.filter(|n| n.is_finite() && *n > 0.0).unwrap_or(1.0),
         started,
         tier: 0,
--- a/crates/membership/tests/sources.rs
+++ b/crates/membership/tests/sources.rs
@@ -150,7 +150,7 @@
     let before = members.srv(&[named("a", 1)], 10);
     let told = members.list(&list(vec![target("w", 1, "up", 5)]), ListScope::Full, 20);
     assert_eq!(of(&before, 1)[0].info.id, of(&told, 1)[0].info.id);
-    assert_eq!(of(&before, 1)[0].info.mark, of(&told, 1)[0].info.mark, "gateways draw alike for it");
+    assert_eq!(of(&before, 1)[0].info.hash, of(&told, 1)[0].info.hash, "gateways draw alike for it");
     // Its successor at the address is another worker.
     let told = members.list(&list(vec![target("w2", 1, "up", 50)]), ListScope::Full, 60);
     assert_ne!(of(&before, 1)[0].info.id, of(&told, 1)[0].info.id);
--- a/crates/policy/examples/fleet_cost.rs
+++ b/crates/policy/examples/fleet_cost.rs
@@ -15,7 +15,7 @@
 
 fn list(workers: u64) -> Event {
     let info =
-        |n: u64| WorkerInfo { mark: n.wrapping_mul(0x9e37_79b9_7f4a_7c15), ..WorkerInfo::ready(WorkerId(n)) };
+        |n: u64| WorkerInfo { hash: n.wrapping_mul(0x9e37_79b9_7f4a_7c15), ..WorkerInfo::ready(WorkerId(n)) };
     Event::Workers(WorkerList { scope: ListScope::Full, workers: (0..workers).map(info).collect() })
 }
 
--- a/crates/policy/src/api.rs
+++ b/crates/policy/src/api.rs
@@ -197,7 +197,7 @@
     /// Group of workers that share the deduplication keys they have seen.
     pub cell: u64,
     /// Hash of its name, the same at every gatekeeper.
-    pub mark: u64,
+    pub hash: u64,
     /// Relative size.
     pub size: f64,
     /// Time of its last start; `None` if long ago.
@@ -218,7 +218,7 @@
             availability,
             zone,
             cell: 0,
-            mark: id.0,
+            hash: id.0,
             size: 1.0,
             started: None,
             tier: 0,
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -50,7 +50,7 @@
 
 pub use api::*;
 pub use rules::Gatekeeper;
-pub use state::{draw, fnv};
+pub use state::{fnv, rendezvous_weight};
 
 /// A decision state machine: the [`Gatekeeper`], or a wrapper of it in tests.
 pub trait Decide {
--- a/crates/policy/src/rules/requests.rs
+++ b/crates/policy/src/rules/requests.rs
@@ -67,8 +67,8 @@
         let beyond = if closed { Some(0) } else { self.check_quota(&key, units, prepaid) };
         // Load shedding during a site failure comes before any cost.
         let longest = self.settings.limits.max_retry_after;
-        let first = beyond.is_none() && self.sites.refuses((key.0, class_ix), hash(&key.1), self.now);
-        let spread = if first { Some(self.rng.u64(longest / 2..=longest)) } else { None };
+        let shed = beyond.is_none() && self.sites.refuses((key.0, class_ix), customer_hash(&key.1), self.now);
+        let spread = if shed { Some(self.rng.u64(longest / 2..=longest)) } else { None };
         if let Some(wait) = beyond.or(spread) {
             self.charge(&key, 0.0, if prepaid > 0.0 { -units } else { 0.0 });
             return self.finish(id, Ending::Refused(wait), actions);
--- a/crates/policy/src/rules/workers.rs
+++ b/crates/policy/src/rules/workers.rs
@@ -19,8 +19,8 @@
             let (credit, credit_at) = (self.rng.f64(), self.now);
             let health = health.clone();
             let fresh = |info: WorkerInfo| {
-                let rank = rank(info.mark, me, 0..gateways);
-                let live_rank = live_rank(view, me, info.mark, rank);
+                let rank = rank(info.hash, me, 0..gateways);
+                let live_rank = live_rank(view, me, info.hash, rank);
                 Worker {
                     info,
                     slowness: 1.0,
@@ -61,7 +61,7 @@
     /// Recomputes this gateway's rank at each worker for a new view.
     pub(super) fn rerank_workers(&mut self) {
         let (me, view) = (self.settings.me, self.view.as_ref());
-        self.workers.values_mut().for_each(|w| w.live_rank = live_rank(view, me, w.info.mark, w.rank));
+        self.workers.values_mut().for_each(|w| w.live_rank = live_rank(view, me, w.info.hash, w.rank));
         self.choose_subset();
     }
 
@@ -112,7 +112,7 @@
             return 0.0;
         }
         let typical = self.typical_latency.iter().sum::<f64>() / self.typical_latency.len() as f64 / 1e6;
-        let part = cold_multiple(self.view.as_ref(), self.now, w.info.mark, few) / f64::from(few);
+        let part = cold_multiple(self.view.as_ref(), self.now, w.info.hash, few) / f64::from(few);
         let rate = COLD_RATE_SHARE * self.settings.rules.overload_multiple / typical * part;
         (w.credit + rate * self.warm_share(w, self.now - span / 2) * secs(span)).min(1.0)
     }
--- a/crates/policy/src/state.rs
+++ b/crates/policy/src/state.rs
@@ -160,7 +160,7 @@
     pub fn new(id: &CustomerId, gateways: f64, now: Micros) -> Customer {
         Customer {
             gateways,
-            slot_offset: hash(id) % SLOT_OFFSET_MAX,
+            slot_offset: customer_hash(id) % SLOT_OFFSET_MAX,
             updated_at: now,
             read_at: now,
             ..Customer::default()
@@ -308,11 +308,11 @@
     if name.len() <= 40 {
         return CounterName(format!("{name}.{slot}"));
     }
-    CounterName(format!("~{:016x}.{slot}", hash(&key.1)))
+    CounterName(format!("~{:016x}.{slot}", customer_hash(&key.1)))
 }
 
 /// FNV-1a hash of a customer, the same at every gateway.
-pub fn hash(customer: &CustomerId) -> u64 {
+pub fn customer_hash(customer: &CustomerId) -> u64 {
     fnv(customer.0.as_bytes())
 }
 
@@ -322,10 +322,9 @@
     bytes.iter().fold(0xcbf29ce484222325, mix)
 }
 
-/// Rendezvous weight of a gateway for the hash `mark` of a worker or counter name (the finalizer of
-/// `splitmix64`).
-pub fn draw(mark: u64, gateway: u32) -> u64 {
-    let mut x = mark ^ u64::from(gateway).wrapping_add(1).wrapping_mul(0x9e3779b97f4a7c15);
+/// Rendezvous weight of a gateway for the hash of a worker or counter name: the finalizer of `splitmix64`.
+pub fn rendezvous_weight(hash: u64, gateway: u32) -> u64 {
+    let mut x = hash ^ u64::from(gateway).wrapping_add(1).wrapping_mul(0x9e3779b97f4a7c15);
     x = (x ^ (x >> 30)).wrapping_mul(0xbf58476d1ce4e5b9);
     x = (x ^ (x >> 27)).wrapping_mul(0x94d049bb133111eb);
     x ^ (x >> 31)
@@ -333,19 +332,20 @@
 
 /// Rank of gateway `me` at a worker by rendezvous hashing: all gateways agree on the order, and a worker
 /// that comes or goes leaves the other workers' orders unchanged.
-pub fn rank(mark: u64, me: u32, gateways: impl Iterator<Item = u32>) -> u32 {
-    let mine = (draw(mark, me), me);
-    gateways.filter(|other| (draw(mark, *other), *other) < mine).count() as u32
+pub fn rank(hash: u64, me: u32, gateways: impl Iterator<Item = u32>) -> u32 {
+    let mine = (rendezvous_weight(hash, me), me);
+    gateways.filter(|other| (rendezvous_weight(hash, *other), *other) < mine).count() as u32
 }
 
 /// Multiple of its even share of a cold worker's sends that a gateway may use, given how many of the `few`
 /// gateways ranked first there are absent.
-pub fn cold_multiple(view: Option<&View>, now: Micros, mark: u64, few: u32) -> f64 {
+pub fn cold_multiple(view: Option<&View>, now: Micros, hash: u64, few: u32) -> f64 {
     let Some(view) = view else { return 1.0 };
     if view.absent.is_empty() {
         return view.multiple_of(now, true, few, 0);
     }
-    let mut order: Vec<(u64, u32)> = (0..view.gateways).map(|other| (draw(mark, other), other)).collect();
+    let mut order: Vec<(u64, u32)> =
+        (0..view.gateways).map(|other| (rendezvous_weight(hash, other), other)).collect();
     let few = order.len().min(few as usize);
     if few > 0 && few < order.len() {
         order.select_nth_unstable(few - 1);
@@ -355,9 +355,9 @@
 }
 
 /// Rank among the live gateways; `rank_of_all` if none is known to be absent.
-pub fn live_rank(view: Option<&View>, me: u32, mark: u64, rank_of_all: u32) -> u32 {
+pub fn live_rank(view: Option<&View>, me: u32, hash: u64, rank_of_all: u32) -> u32 {
     let some_gone = view.filter(|view| !view.absent.is_empty());
-    some_gone.map_or(rank_of_all, |view| rank(mark, me, view.living()))
+    some_gone.map_or(rank_of_all, |view| rank(hash, me, view.living()))
 }
 
 #[cfg(test)]
@@ -371,8 +371,8 @@
     /// The live gateways ranked first at each worker.
     fn subsets(living: &[u32]) -> Vec<Vec<u32>> {
         let to = |worker: u64| {
-            let mark = fnv(format!("w{worker}").as_bytes());
-            let rank_of = |me: &u32| rank(mark, *me, living.iter().copied());
+            let hash = fnv(format!("w{worker}").as_bytes());
+            let rank_of = |me: &u32| rank(hash, *me, living.iter().copied());
             living.iter().copied().filter(|me| rank_of(me) < SUBSET_GATEWAYS).collect()
         };
         (0..WORKERS).map(to).collect()
--- a/crates/proxy/src/services.rs
+++ b/crates/proxy/src/services.rs
@@ -348,7 +348,7 @@
         WorkerInfo {
             availability: if ready { Availability::Ready } else { Availability::Draining },
             zone: Zone(worker.zone.to_string()),
-            mark: digest(worker.id.as_bytes()),
+            hash: digest(worker.id.as_bytes()),
             size: f64::from(worker.capacity),
             tier: self.tier(worker),
             started: cold.map(|cold| cold.since),
--- a/crates/turns/src/lib.rs
+++ b/crates/turns/src/lib.rs
@@ -19,7 +19,7 @@
 pub mod post;
 pub mod word;
 
-use hingestage_policy::{draw, fnv};
+use hingestage_policy::{fnv, rendezvous_weight};
 
 pub use hingestage_policy::Micros;
 
@@ -29,7 +29,7 @@
 /// others.
 pub fn looker(name: &str, among: impl Iterator<Item = u32>) -> Option<u32> {
     let mark = fnv(name.as_bytes());
-    among.min_by_key(|gateway| (draw(mark, *gateway), *gateway))
+    among.min_by_key(|gateway| (rendezvous_weight(mark, *gateway), *gateway))
 }
 
 #[cfg(test)]
--- a/crates/turns/tests/common/mod.rs
+++ b/crates/turns/tests/common/mod.rs
@@ -315,7 +315,7 @@
 
     fn listed(&self, id: u64) -> WorkerInfo {
         let started = self.cold.get(&id).map(|cold| cold.started);
-        WorkerInfo { started, mark: fnv(&id.to_le_bytes()), ..WorkerInfo::ready(WorkerId(id)) }
+        WorkerInfo { started, hash: fnv(&id.to_le_bytes()), ..WorkerInfo::ready(WorkerId(id)) }
     }
 
     /// A worker starts anew, and all that live are told at once.
--- a/src/bin/hingestage-adapter/wire.rs
+++ b/src/bin/hingestage-adapter/wire.rs
@@ -109,7 +109,7 @@
         zone: Zone(f.text_or_empty("zone").into()),
         cell: f.span_or_zero("block")?,
         // A number the same at every gateway already.
-        mark: f.int("worker")?,
+        hash: f.int("worker")?,
         size: f.checked("powerHint")?.unwrap_or(1.0),
         started: f.optional("lastStartUs")?.filter(|at| *at > 0),
         tier: 0,
