--- a/crates/proxy/src/services.rs
+++ b/crates/proxy/src/services.rs
@@ -12,7 +12,7 @@
 use hingestage_node::Settings;
 use hingestage_platform::Tokio;
 use hingestage_policy::{
-    Availability, ClassId, Event, Limits, ListScope, Plan, RuleFigures, Settings as PolicySettings, WorkerId,
+    Availability, ClassId, Event, Limits, ListScope, Plan, Settings as PolicySettings, WarmUpRules, WorkerId,
     WorkerInfo, WorkerList, Zone,
 };
 use hingestage_replication::{digest, Micros};
@@ -190,20 +190,20 @@
             me: (digest(self.settings.node.as_bytes()) % u64::from(instances)) as u32,
             resolution: 1_000,
             zone: Zone(self.settings.zone.clone()),
-            most_units: 1.0,
+            max_units: 1.0,
             classes: Classes::default().all(),
             plans: vec![Plan::default()],
-            rules: RuleFigures {
-                cold_from: COLD_CAPACITY,
-                cold_for: MAX_COLD_TIME,
-                ..RuleFigures::default()
+            rules: WarmUpRules {
+                initial_capacity: COLD_CAPACITY,
+                warm_up_time: MAX_COLD_TIME,
+                ..WarmUpRules::default()
             },
             limits: Limits {
                 max_attempts: MAX_ATTEMPTS,
                 second_copies: false,
                 cancel: true,
                 max_retry_after: MAX_RETRY_AFTER,
-                retries_saved: self.max_saved_retries(),
+                max_retry_budget: self.max_saved_retries(),
                 refusals_promise: true,
             },
             ..PolicySettings::default()
@@ -360,7 +360,7 @@
         WorkerInfo {
             availability: if ready { Availability::Ready } else { Availability::Draining },
             zone: Zone(worker.zone.to_string()),
-            mark: digest(worker.id.as_bytes()),
+            hash: digest(worker.id.as_bytes()),
             size: f64::from(worker.capacity),
             tier: self.tier(worker),
             started: cold.map(|cold| cold.since),
