--- a/crates/registry/src/admission.rs
+++ b/crates/registry/src/admission.rs
@@ -1,21 +1,21 @@
-//! Which proxies are to be taken into common limits.
+//! Admission of proxies to the shared rate limits.
 //!
-//! A proxy's name is made durable first, so that all parts are computed with it; it is *settled*, and may use its own
-//! part, once every lease that was given without it is over.
+//! A proxy's name is committed first, so that every share is computed with it. The proxy is *settled*, and may use its
+//! own share, once every lease granted without it has expired.
 
 use compact_str::CompactString;
 use hingestage_replication::Micros;
 use hingestage_rpc::messages::ProxyNames;
 use std::collections::BTreeMap;
 
-/// Figures of admissions.
+/// Timing and size limits of admission.
 #[derive(Clone, Copy, Debug)]
 pub struct Figures {
-    /// Longest time for which a part of a common limit may be used without news.
+    /// Longest time a proxy may use its share of a limit without contact.
     pub lease: Micros,
-    /// How long after the system's first start proxies are settled at once: nobody holds a lease yet.
+    /// Time after a bootstrap in which proxies are settled at once, as no leases exist yet.
     pub first_start: Micros,
-    /// Proxies that wait at the most.
+    /// Maximum number of proxies waiting for admission.
     pub newcomers_max: usize,
 }
 
@@ -25,22 +25,22 @@
     }
 }
 
-/// Proxies that are not settled, as one registry knows them.
+/// Proxies that this registry has seen and that are not settled yet.
 pub struct Admissions {
     figures: Figures,
-    /// Whether the system starts for the first time.
+    /// Whether this process started as part of a bootstrap.
     bootstrap: bool,
-    /// When the durable names were first seen to have each of them.
+    /// Each waiting proxy, with the time its name was first seen committed.
     newcomers: BTreeMap<CompactString, Option<Micros>>,
 }
 
 impl Admissions {
-    /// Nobody waits.
+    /// Creates an empty set.
     pub fn new(bootstrap: bool, figures: Figures) -> Admissions {
         Admissions { figures, bootstrap, newcomers: BTreeMap::new() }
     }
 
-    /// A proxy has been heard of; `names` are the durable ones.
+    /// Records a heartbeat of a proxy; `names` are the committed ones.
     pub fn heard(&mut self, name: &CompactString, names: &ProxyNames) {
         let settled = names.get(name) == Some(&true);
         if !settled && self.newcomers.len() < self.figures.newcomers_max {
@@ -48,7 +48,7 @@
         }
     }
 
-    /// The names to be made durable now, and whether each is settled by that.
+    /// Names to commit now, each with whether that settles the proxy.
     pub fn due(&mut self, now: Micros, names: &ProxyNames) -> ProxyNames {
         let first_start = self.bootstrap && now < self.figures.first_start;
         self.newcomers.retain(|name, _| names.get(name) != Some(&true));
--- a/crates/registry/src/directory.rs
+++ b/crates/registry/src/directory.rs
@@ -1,4 +1,4 @@
-//! Which proxies there are, by their heartbeats, and which of them a client is sent to.
+//! Proxies known by their heartbeats, and the lookup that sends clients to them.
 
 use compact_str::CompactString;
 use hingestage_discovery::neighbors;
@@ -9,21 +9,21 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// How long a version of the directory is kept where nothing is known to be new.
-const VERSION_KEPT: Micros = 100_000;
+/// Lifetime of cached directory versions when no heartbeat invalidates them.
+const VERSION_CACHE_TTL: Micros = 100_000;
 
-/// Figures of the directory.
+/// Timeouts and size limits of the directory.
 #[derive(Clone, Copy, Debug)]
 pub struct Figures {
-    /// A proxy that is so late with its next heartbeat is not handed out.
+    /// Delay of a due heartbeat after which a proxy is no longer handed out.
     pub late_after: Micros,
-    /// A proxy not heard for so long is forgotten.
+    /// Silence after which a proxy is removed.
     pub forget_after: Micros,
-    /// Proxies known at the most.
+    /// Maximum number of proxies.
     pub proxies_max: usize,
-    /// Proxies of a client's own zone from which on no others are named.
+    /// Number of ready proxies at which a lookup stops widening beyond zone and region.
     pub enough: usize,
-    /// Addresses in one answer at the most.
+    /// Maximum number of addresses in one lookup answer.
     pub answer_max: usize,
 }
 
@@ -48,53 +48,53 @@
     digest: u64,
 }
 
-/// Digests of the living.
+/// Cached digests of the live proxies.
 struct Versions {
-    made_at: Micros,
+    computed_at: Micros,
     zones: BTreeMap<CompactString, u64>,
-    /// Of those that keep totals for all.
+    /// Digest of the proxies that keep fleet-wide totals.
     counters: u64,
 }
 
-/// Proxies by their heartbeats.
+/// Proxies known by their heartbeats.
 pub struct Directory {
     figures: Figures,
     proxies: BTreeMap<CompactString, Entry>,
-    /// Digests as they were last made; none once something is new.
+    /// Cached versions; `None` after a change.
     versions: RefCell<Option<Versions>>,
 }
 
 impl Directory {
-    /// Nobody is known.
+    /// Creates an empty directory.
     pub fn new(figures: Figures) -> Self {
         Directory { figures, proxies: BTreeMap::new(), versions: RefCell::default() }
     }
 
-    /// A proxy has told of itself. Tells whether anything is new. An older life of it that is still heard, by a
-    /// message that was under way, changes nothing.
+    /// Records a heartbeat and returns whether it changed the directory. A delayed heartbeat of an earlier
+    /// incarnation is ignored.
     ///
-    /// `next_within` is how long it may take until it tells again.
+    /// `next_within` is the longest time until the next heartbeat.
     pub fn heard(&mut self, now: Micros, status: ProxyStatus, next_within: Micros) -> bool {
-        let new = self.note(now, status, next_within);
-        if new {
+        let changed = self.insert(now, status, next_within);
+        if changed {
             self.versions.borrow_mut().take();
         }
-        new
+        changed
     }
 
-    fn note(&mut self, now: Micros, status: ProxyStatus, next_within: Micros) -> bool {
+    fn insert(&mut self, now: Micros, status: ProxyStatus, next_within: Micros) -> bool {
         let due_at = now + next_within;
         let digest = digest_of(&status);
         let known = self.proxies.get_mut(&status.id.node);
         if let Some(entry) = known {
             let revived = now >= entry.due_at + self.figures.late_after;
-            // A clock that was set back makes a new life look older than the one before.
+            // After a clock was set back, a new incarnation may have a lower number than the one before.
             if entry.status.id.incarnation > status.id.incarnation && !revived {
                 return false;
             }
-            let new = entry.status != status;
+            let changed = entry.status != status;
             *entry = Entry { status, heard_at: now, due_at, digest };
-            return new || revived;
+            return changed || revived;
         }
         if self.proxies.len() >= self.figures.proxies_max {
             return false;
@@ -103,13 +103,13 @@
         true
     }
 
-    /// Forgets those not heard for long.
+    /// Removes proxies that have been silent for too long.
     pub fn tidy(&mut self, now: Micros) {
-        let keep = self.figures.forget_after;
-        self.proxies.retain(|_, entry| now < entry.heard_at + keep);
+        let forget_after = self.figures.forget_after;
+        self.proxies.retain(|_, entry| now < entry.heard_at + forget_after);
     }
 
-    /// Those heard lately.
+    /// Proxies whose heartbeats are not overdue.
     pub fn living(&self, now: Micros) -> impl Iterator<Item = &ProxyStatus> {
         self.living_entries(now).map(|entry| &entry.status)
     }
@@ -119,7 +119,7 @@
         self.proxies.values().filter(move |entry| now < entry.due_at + late_after)
     }
 
-    /// The living that a proxy of a zone is to know: those of its zone, and those that keep totals for all.
+    /// Live proxies that a proxy of `zone` connects to: members of its zone and those that keep fleet-wide totals.
     pub fn neighbors(&self, now: Micros, zone: &str) -> Vec<&ProxyStatus> {
         let of_zone = self.living(now).filter(|status| status.zone == zone);
         let members = neighbors::zone_members(zone, of_zone, |status| &status.id.node);
@@ -130,13 +130,13 @@
         by_name.into_values().collect()
     }
 
-    /// A digest of all the living: another one where they are others.
+    /// Digest of all live proxies.
     pub fn living_digest(&self, now: Micros) -> u64 {
         self.with_versions(now, |versions| versions.zones.values().fold(0, |sum, zone| sum ^ zone))
     }
 
-    /// A digest of what a proxy of a zone is to know: another one where [`neighbors`](Self::neighbors) gives others. It
-    /// is kept for a moment, as each heartbeat asks for it; that a proxy has fallen silent shows only after that.
+    /// Digest of [`neighbors`](Self::neighbors) of a zone. It is cached, because each heartbeat reads it, so a proxy
+    /// that stops sending heartbeats changes it only after the cache expires.
     pub fn version(&self, now: Micros, zone: &str) -> u64 {
         self.with_versions(now, |versions| {
             let of_zone = versions.zones.get(zone).copied().unwrap_or_default();
@@ -145,15 +145,15 @@
     }
 
     fn with_versions<T>(&self, now: Micros, read: impl Fn(&Versions) -> T) -> T {
-        let mut kept = self.versions.borrow_mut();
-        let young = kept.take().filter(|versions| now < versions.made_at + VERSION_KEPT);
-        let versions = young.unwrap_or_else(|| self.make_versions(now));
+        let mut cached = self.versions.borrow_mut();
+        let valid = cached.take().filter(|versions| now < versions.computed_at + VERSION_CACHE_TTL);
+        let versions = valid.unwrap_or_else(|| self.compute_versions(now));
         let value = read(&versions);
-        *kept = Some(versions);
+        *cached = Some(versions);
         value
     }
 
-    fn make_versions(&self, now: Micros) -> Versions {
+    fn compute_versions(&self, now: Micros) -> Versions {
         let mut zones: BTreeMap<CompactString, u64> = BTreeMap::new();
         for entry in self.living_entries(now) {
             let sum = zones.entry(entry.status.zone.clone()).or_default();
@@ -161,19 +161,19 @@
         }
         let counters = neighbors::counters(self.living_entries(now), |entry| &entry.status.id.node);
         let counters = counters.into_iter().fold(0, |sum, entry| sum ^ entry.digest);
-        Versions { made_at: now, zones, counters }
+        Versions { computed_at: now, zones, counters }
     }
 
-    /// Where a client of a zone and region is sent: to ready proxies of its zone, where there are enough, else
-    /// to those of its region as well, else to all; the nearest come first where not all can be named.
+    /// Addresses of ready proxies for a client: those of its zone, widened to its region and then to all proxies
+    /// until there are enough. The nearest come first.
     pub fn lookup(&self, now: Micros, zone: &str, region: &str) -> Vec<SocketAddr> {
         let ready = self.living(now).filter(|status| status.ready);
         let mut ready: Vec<(Distance, SocketAddr)> =
             ready.map(|status| (Distance::of(status, zone, region), status.http)).collect();
         ready.sort_by_key(|(distance, _)| *distance);
         let farthest_needed = ready.get(self.figures.enough.saturating_sub(1)).map(|(distance, _)| *distance);
-        let reach = farthest_needed.unwrap_or(Distance::Elsewhere);
-        let near = ready.into_iter().take_while(|(distance, _)| *distance <= reach);
+        let max_distance = farthest_needed.unwrap_or(Distance::Elsewhere);
+        let near = ready.into_iter().take_while(|(distance, _)| *distance <= max_distance);
         near.map(|(_, addr)| addr).take(self.figures.answer_max).collect()
     }
 }
@@ -183,7 +183,7 @@
     digest(text.as_bytes())
 }
 
-/// How far a proxy is from a client.
+/// Distance of a proxy from a client, nearest first.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Distance {
     SameZone,
--- a/crates/registry/src/duty.rs
+++ b/crates/registry/src/duty.rs
@@ -1,8 +1,8 @@
-//! Who reads the platform's list of workers: one registry, under a number that grows with each change of hands.
+//! Election of the registry that reads the platform's list of workers, with a fencing number per term.
 //!
-//! Two registries may read for a moment, each taking the other for dead. Their lists carry their numbers, and
-//! the higher one holds everywhere: what two readers cost is calls. Readers that took the same number are told apart by
-//! their processes, so that one version never stands for two lists.
+//! Two registries may both read for a short time when each considers the other dead. Every list carries its reader's
+//! fencing number and the highest one wins everywhere, so a second reader only costs extra calls. Readers with the same
+//! number are distinguished by process, so that one version never denotes two lists.
 
 use compact_str::CompactString;
 use hingestage_replication::{digest, Micros};
@@ -10,18 +10,18 @@
 use hingestage_rpc::workers::WorkersVersion;
 use std::collections::BTreeMap;
 
-/// Figures of the duty.
+/// Timeouts and size limits of the election.
 #[derive(Clone, Copy, Debug)]
 pub struct Figures {
-    /// A registry not heard for so long is taken to be away.
+    /// Silence after which a registry is considered dead.
     pub away_after: Micros,
-    /// A registry not heard for so long is forgotten.
+    /// Silence after which a registry is removed.
     pub forget_after: Micros,
-    /// Reads that fail in a row before the duty is given up.
+    /// Consecutive failed reads after which this registry steps down.
     pub failures: u32,
-    /// How long one whose reads failed leaves the duty to others.
+    /// Time for which a registry stays out of the election after stepping down.
     pub rests_for: Micros,
-    /// Registries known at the most.
+    /// Maximum number of other registries.
     pub members_max: usize,
 }
 
@@ -42,21 +42,21 @@
     heard_at: Micros,
 }
 
-/// The registries, and whether this one has the duty.
+/// The known registries, and whether this one is the reader.
 pub struct Duty {
     me: RegistryMember,
     figures: Figures,
     others: BTreeMap<CompactString, Known>,
-    /// The highest version seen.
+    /// Highest list version seen.
     seen: WorkersVersion,
-    /// Number under which this registry reads, while it does.
+    /// Fencing number of this registry while it is the reader.
     fence: Option<u64>,
     failed: u32,
     rests_until: Micros,
 }
 
 impl Duty {
-    /// Nobody else is known.
+    /// Creates an election in which only this registry takes part.
     pub fn new(me: RegistryMember, figures: Figures) -> Self {
         Duty {
             me,
@@ -69,12 +69,12 @@
         }
     }
 
-    /// This registry as it tells of itself.
+    /// This registry as announced to others.
     pub fn me(&self, now: Micros) -> RegistryMember {
         RegistryMember { reads_list: now >= self.rests_until, ..self.me.clone() }
     }
 
-    /// Another registry has told of itself.
+    /// Records a heartbeat of another registry.
     pub fn heard(&mut self, now: Micros, member: RegistryMember) {
         let full =
             self.others.len() >= self.figures.members_max && !self.others.contains_key(&member.id.node);
@@ -83,7 +83,7 @@
         }
     }
 
-    /// Others tell of a registry: it is to be called, and counts as heard once it answers.
+    /// Adds a registry named by another one. It is called, and counts as alive only once it answers.
     pub fn told_of(&mut self, member: RegistryMember) {
         let full = self.others.len() >= self.figures.members_max;
         if member.id.node != self.me.id.node && !full {
@@ -91,24 +91,24 @@
         }
     }
 
-    /// Forgets registries not heard for long.
+    /// Removes registries that have been silent for too long.
     pub fn tidy(&mut self, now: Micros) {
-        let keep = self.figures.forget_after;
-        self.others.retain(|_, known| now < known.heard_at + keep);
+        let forget_after = self.figures.forget_after;
+        self.others.retain(|_, known| now < known.heard_at + forget_after);
     }
 
-    /// All registries, this one among them.
+    /// All known registries, including this one.
     pub fn members(&self, now: Micros) -> Vec<RegistryMember> {
         let others = self.others.values().map(|known| known.member.clone());
         std::iter::once(self.me(now)).chain(others).collect()
     }
 
-    /// A list of this version has been seen.
+    /// Records the version of a list that was seen.
     pub fn saw(&mut self, version: WorkersVersion) {
         self.seen = self.seen.max(version);
     }
 
-    /// The version under which this registry is to read the list now; none where another has the duty.
+    /// Version for the next read of the list, or `None` if another registry is the reader.
     pub fn read_under(&mut self, now: Micros) -> Option<WorkersVersion> {
         if !self.is_first(now) {
             self.fence = None;
@@ -125,17 +125,17 @@
         Some(WorkersVersion { number, ..first })
     }
 
-    /// This process, as lists name it.
+    /// Identifier of this process in list versions.
     fn reader(&self) -> u64 {
         digest(format!("{} {}", self.me.id.node, self.me.id.incarnation).as_bytes())
     }
 
-    /// Number under which this registry reads the list, while it has the duty.
+    /// Fencing number of this registry while it is the reader.
     pub fn fence(&self) -> Option<u64> {
         self.fence
     }
 
-    /// How a read ended. After some failures the duty is left to others for a while.
+    /// Records the result of a read; after repeated failures this registry steps down for a while.
     pub fn has_read(&mut self, now: Micros, good: bool) {
         self.failed = if good { 0 } else { self.failed + 1 };
         if self.failed >= self.figures.failures {
@@ -144,7 +144,7 @@
         }
     }
 
-    /// Whether this registry comes first among the living that can read the list; where none can, among all.
+    /// Whether this registry ranks first among the live ones that can read the list. If none can, each elects itself.
     fn is_first(&self, now: Micros) -> bool {
         let living = |known: &&Known| known.heard_at > 0 && now < known.heard_at + self.figures.away_after;
         let able = self.others.values().filter(living).filter(|known| known.member.reads_list);
--- a/crates/registry/src/first_terms.rs
+++ b/crates/registry/src/first_terms.rs
@@ -1,5 +1,4 @@
-//! Terms of trials that a registry sets where none have been set: for the largest tenants of the configuration, with an
-//! end that lies so long after that.
+//! Default trial terms, applied to the tenants with the highest rates when no trial exists yet.
 
 use compact_str::CompactString;
 use garde::Validate;
@@ -11,29 +10,29 @@
 use serde_json::{Map, Value};
 use std::time::{Duration, UNIX_EPOCH};
 
-/// Version of terms that are set so: any that an operator sets are higher.
+/// Version of default terms, below any that an operator sets.
 const VERSION: u64 = 1;
 
-/// The file, JSON.
+/// Contents of the JSON file with the default terms.
 #[derive(Clone, Debug, PartialEq, Deserialize, Validate)]
 #[serde(deny_unknown_fields)]
 pub struct FirstTerms {
-    /// How many tenants, from the one with the largest rate.
+    /// Number of tenants that get the terms, in descending order of rate.
     #[garde(range(min = 1, max = 100))]
     pub tenants: usize,
-    /// How long after terms are set the trial ends, seconds.
+    /// Time from setting the terms to the end of the trial, in seconds.
     #[garde(range(min = 1, max = 100_000_000))]
     pub end_in_s: u64,
-    /// Terms without version and end.
+    /// Terms without `version` and `end`.
     #[garde(skip)]
     pub terms: Map<String, Value>,
 }
 
 impl FirstTerms {
-    /// Reads and checks a file's contents.
+    /// Parses and validates the contents of a file.
     ///
     /// # Errors
-    /// What is wrong.
+    /// A description of the first problem.
     pub fn parse(json: &[u8]) -> Result<FirstTerms, String> {
         let first: FirstTerms = serde_json::from_slice(json).map_err(|error| error.to_string())?;
         first.validate().map_err(|report| report.to_string().trim_end().to_owned())?;
@@ -41,7 +40,7 @@
         Ok(first)
     }
 
-    /// The terms with an end, milliseconds since 1970.
+    /// The terms as JSON with `end` set, in milliseconds since the Unix epoch.
     fn terms_ending_at(&self, end: u64) -> Result<Vec<u8>, InvalidTerms> {
         let mut terms = self.terms.clone();
         let end = humantime::format_rfc3339_millis(UNIX_EPOCH + Duration::from_millis(end));
@@ -51,7 +50,7 @@
         Terms::parse(&json).map(|_| json)
     }
 
-    /// The trials to be set at a time of day, milliseconds since 1970.
+    /// Trial records to set at `time_of_day`, in milliseconds since the Unix epoch.
     pub fn records(&self, configuration: &Configuration, time_of_day: u64) -> Vec<TrialRecord> {
         let end = time_of_day + self.end_in_s * 1_000;
         let Ok(terms) = self.terms_ending_at(end) else { return Vec::new() };
--- a/crates/registry/src/http.rs
+++ b/crates/registry/src/http.rs
@@ -1,4 +1,4 @@
-//! Calls from outside, HTTP/1.1: one dispatch on method and path segments.
+//! HTTP/1.1 API for operators and for clients looking up proxies.
 
 use crate::server::Registry;
 use bytes::Bytes;
@@ -19,28 +19,28 @@
 use tokio::task::spawn_local;
 use tokio::time::timeout;
 
-/// The largest configuration, bytes.
+/// Maximum size of a configuration document.
 const CONFIG_BYTES_MAX: usize = 48 << 20;
-/// How long a caller may take over a request's head or between two requests.
+/// Timeout for a request head, also while a connection is idle.
 const HEADER_TIMEOUT: Duration = Duration::from_secs(10);
-/// How long a caller may take over a body.
+/// Timeout for a request body.
 const BODY_TIMEOUT: Duration = Duration::from_secs(10);
-/// Connections at once.
+/// Maximum number of open connections.
 const CONNECTIONS_MAX: usize = 512;
-/// Pause where the system has no descriptor left.
+/// Pause after a failed accept, for example when no file descriptors are left.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
-/// How long a read waits for the other stores.
+/// Time that a read waits for the other stores.
 const READ_WAIT: Duration = Duration::from_millis(800);
-/// How long the store's answer may take beyond what it was asked to wait.
-pub(crate) const STORE_SPARE: Duration = Duration::from_millis(100);
-/// Advice to callers whose change is not durable yet, seconds.
-const COME_AGAIN: HeaderValue = HeaderValue::from_static("0.3");
-/// How long clients hold an answer about where to go.
-const TTL: Duration = Duration::from_secs(2);
+/// Margin for the store's answer beyond the wait requested of it.
+pub(crate) const STORE_CALL_MARGIN: Duration = Duration::from_millis(100);
+/// `Retry-After` of 503 responses, in seconds.
+const RETRY_AFTER_S: HeaderValue = HeaderValue::from_static("0.3");
+/// Time for which clients may cache a lookup.
+const LOOKUP_TTL: Duration = Duration::from_secs(2);
 
-pub(crate) type Answer = Response<Full<Bytes>>;
+pub(crate) type HttpResponse = Response<Full<Bytes>>;
 
-/// Takes calls in for ever.
+/// Accepts connections forever.
 pub(crate) async fn serve(listener: TcpListener, registry: Rc<Registry>) {
     let open = Rc::new(Cell::new(0usize));
     loop {
@@ -49,7 +49,7 @@
                 open.set(open.get() + 1);
                 let (open, registry) = (open.clone(), registry.clone());
                 spawn_local(async move {
-                    converse(stream, registry).await;
+                    serve_connection(stream, registry).await;
                     open.set(open.get() - 1);
                 });
             }
@@ -62,22 +62,22 @@
     }
 }
 
-async fn converse(stream: TcpStream, registry: Rc<Registry>) {
+async fn serve_connection(stream: TcpStream, registry: Rc<Registry>) {
     let _ = stream.set_nodelay(true);
     let service = service_fn(move |request| {
         let registry = registry.clone();
-        async move { Ok::<_, Infallible>(registry.answer(request).await) }
+        async move { Ok::<_, Infallible>(registry.route(request).await) }
     });
     let connection = http1::Builder::new()
         .timer(TokioTimer::new())
         .header_read_timeout(HEADER_TIMEOUT)
         .serve_connection(TokioIo::new(stream), service);
-    // A caller that misbehaves ends its own connection and nothing else.
+    // A protocol error only ends this connection.
     let _ = connection.await;
 }
 
 impl Registry {
-    async fn answer(self: Rc<Self>, request: Request<Incoming>) -> Answer {
+    async fn route(self: Rc<Self>, request: Request<Incoming>) -> HttpResponse {
         let path = request.uri().path().to_owned();
         let segments: Vec<&str> = path.split('/').skip(1).collect();
         let method = request.method().clone();
@@ -98,7 +98,7 @@
         }
     }
 
-    async fn put_config(&self, request: Request<Incoming>) -> Answer {
+    async fn put_config(&self, request: Request<Incoming>) -> HttpResponse {
         let body = match read_body(request, CONFIG_BYTES_MAX).await {
             Ok(body) => body,
             Err(answer) => return answer,
@@ -117,7 +117,7 @@
         answer
     }
 
-    async fn drain(&self, zone: &str, drained: bool) -> Answer {
+    async fn drain(&self, zone: &str, drained: bool) -> HttpResponse {
         if !self.settings.zones.contains_key(zone) {
             return error(StatusCode::NOT_FOUND, "no such zone");
         }
@@ -126,30 +126,30 @@
         answer
     }
 
-    /// Asks for a change, and answers once it is durable.
-    async fn propose(&self, change: Change) -> Answer {
+    /// Proposes a change and responds once it is durable.
+    async fn propose(&self, change: Change) -> HttpResponse {
         match self.propose_change(change).await {
             Ok(Proposed::Durable) => json(StatusCode::OK, "{}"),
             Ok(Proposed::SerialTaken) => error(
                 StatusCode::CONFLICT,
                 "another document holds under this serial: read it, and send a higher one",
             ),
-            Ok(_) => come_again("not durable yet"),
-            Err(message) => come_again(&message),
+            Ok(_) => unavailable("not durable yet"),
+            Err(message) => unavailable(&message),
         }
     }
 
-    async fn get_config(&self) -> Answer {
+    async fn get_config(&self) -> HttpResponse {
         let request = StoreRequest::Read { wait: READ_WAIT.as_millis() as u64 };
-        match self.store.call(&request, READ_WAIT + STORE_SPARE).await {
+        match self.store.call(&request, READ_WAIT + STORE_CALL_MARGIN).await {
             Ok(StoreAnswer::Read(Some(config), ReadState::Current)) => json(StatusCode::OK, config.json),
             Ok(StoreAnswer::Read(None, ReadState::Current)) => error(StatusCode::NOT_FOUND, "none yet"),
-            Ok(_) => come_again("too few stores answered"),
-            Err(failed) => come_again(&format!("store: {failed}")),
+            Ok(_) => unavailable("too few stores answered"),
+            Err(failed) => unavailable(&format!("store: {failed}")),
         }
     }
 
-    fn lookup(&self, query: &str) -> Answer {
+    fn lookup(&self, query: &str) -> HttpResponse {
         let value = |name: &str| {
             let pairs = query.split('&').filter_map(|pair| pair.split_once('='));
             pairs.into_iter().find(|(key, _)| *key == name).map(|(_, value)| value).unwrap_or_default()
@@ -157,20 +157,20 @@
         let (zone, region) = (value("zone"), value("region"));
         let addrs = self.directory.borrow().lookup(self.now(), zone, region);
         if addrs.is_empty() {
-            return come_again("no proxy is ready");
+            return unavailable("no proxy is ready");
         }
-        let ttl = TTL.min(self.settings.bounds.ttl_max);
+        let ttl = LOOKUP_TTL.min(self.settings.bounds.ttl_max);
         let addrs: Vec<String> = addrs.iter().map(ToString::to_string).collect();
         let body = serde_json::json!({ "addrs": addrs, "ttl": format!("{}ms", ttl.as_millis()) });
         json(StatusCode::OK, body.to_string())
     }
 }
 
-/// Reads a body of so many bytes at the most.
+/// Reads a request body of at most `bytes_max` bytes.
 ///
 /// # Errors
-/// The answer to a caller whose body can't be read whole, or not in time.
-pub(crate) async fn read_body(request: Request<Incoming>, bytes_max: usize) -> Result<Bytes, Answer> {
+/// The response to send if the body is incomplete, too long or late.
+pub(crate) async fn read_body(request: Request<Incoming>, bytes_max: usize) -> Result<Bytes, HttpResponse> {
     let body = Limited::new(request.into_body(), bytes_max).collect();
     match timeout(BODY_TIMEOUT, body).await {
         Ok(Ok(body)) => Ok(body.to_bytes()),
@@ -179,19 +179,19 @@
     }
 }
 
-pub(crate) fn json(status: StatusCode, body: impl Into<Bytes>) -> Answer {
+pub(crate) fn json(status: StatusCode, body: impl Into<Bytes>) -> HttpResponse {
     let mut answer = Response::new(Full::new(body.into()));
     *answer.status_mut() = status;
     answer.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
     answer
 }
 
-pub(crate) fn error(status: StatusCode, message: &str) -> Answer {
+pub(crate) fn error(status: StatusCode, message: &str) -> HttpResponse {
     json(status, serde_json::json!({ "error": message }).to_string())
 }
 
-pub(crate) fn come_again(message: &str) -> Answer {
+pub(crate) fn unavailable(message: &str) -> HttpResponse {
     let mut answer = error(StatusCode::SERVICE_UNAVAILABLE, message);
-    answer.headers_mut().insert(RETRY_AFTER, COME_AGAIN);
+    answer.headers_mut().insert(RETRY_AFTER, RETRY_AFTER_S);
     answer
 }
--- a/crates/registry/src/lib.rs
+++ b/crates/registry/src/lib.rs
@@ -1,7 +1,8 @@
-//! The registry: takes the calls of operators and of clients that ask where to go, hears the proxies, reads the
-//! platform's list of workers, and hands out what is in force.
+//! The registry: serves the operator API and client lookups, tracks proxies by heartbeat, reads the platform's list of
+//! workers, and distributes the committed state to proxies.
 //!
-//! All that it knows is soft: the stores keep the operator's orders, proxies and the platform tell the rest again.
+//! It holds soft state only. Operators' changes are durable in the stores; the rest is rebuilt from heartbeats and the
+//! platform's list.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
@@ -12,8 +13,8 @@
 mod http;
 pub mod platform_list;
 pub mod server;
-mod state;
+mod status;
 pub mod transfers;
-mod trial_calls;
+mod trial_handlers;
 pub mod trials;
 pub mod watch;
--- a/crates/registry/src/main.rs
+++ b/crates/registry/src/main.rs
@@ -1,4 +1,4 @@
-//! `registry`: takes outside calls on a core machine and knows proxies, workers and orders.
+//! `registry`: serves the operator API and client lookups on a core machine.
 #![forbid(unsafe_code)]
 
 use hingestage_node::{run, Program};
@@ -6,7 +6,6 @@
 use std::process::ExitCode;
 
 fn main() -> ExitCode {
-    let program =
-        Program { name: "registry", about: "takes outside calls and knows proxies, workers and orders" };
+    let program = Program { name: "registry", about: "serves the operator API and client lookups" };
     run(&program, server::serve)
 }
--- a/crates/registry/src/platform_list.rs
+++ b/crates/registry/src/platform_list.rs
@@ -1,4 +1,4 @@
-//! The platform's list of workers, read by pages over HTTP.
+//! Client for the platform's paginated list of workers.
 
 use bytes::Bytes;
 use compact_str::CompactString;
@@ -17,23 +17,23 @@
 use tokio::task::spawn_local;
 use tokio::time::timeout;
 
-/// How long one page may take.
-const PAGE_WITHIN: Duration = Duration::from_millis(900);
-/// Pages of one list at the most.
+/// Timeout for connecting, and for each page.
+const PAGE_TIMEOUT: Duration = Duration::from_millis(900);
+/// Maximum number of pages of one list.
 const PAGES_MAX: usize = 2_000;
-/// Bytes of one page at the most.
+/// Maximum size of one page.
 const PAGE_BYTES_MAX: usize = 4 << 20;
 
-/// Why the list can't be read.
+/// Error reading the list.
 #[derive(Debug)]
 pub enum ListError {
-    /// No answer in time.
+    /// The platform did not answer in time.
     Timeout,
     /// The connection failed.
     Connection(String),
-    /// Another status than 200; 429 over the rate.
+    /// A status other than 200, such as 429 when rate limited.
     Status(u16),
-    /// An answer that makes no sense.
+    /// The answer could not be parsed.
     Unreadable(String),
 }
 
@@ -61,7 +61,7 @@
     backend: CompactString,
     addr: SocketAddr,
     zone: CompactString,
-    #[serde(default = "one")]
+    #[serde(default = "default_capacity")]
     capacity: u32,
     #[serde(default)]
     state: CompactString,
@@ -69,7 +69,7 @@
     cold_left: CompactString,
 }
 
-fn one() -> u32 {
+fn default_capacity() -> u32 {
     1
 }
 
@@ -88,13 +88,13 @@
     }
 }
 
-/// Reads the whole list on one connection. A list whose pages change while they are read may name a worker
-/// twice; the later entry holds.
+/// Reads the whole list on one connection. If a worker appears on two pages because the list changed during the
+/// read, the later entry wins.
 ///
 /// # Errors
-/// Any page can't be had: nothing is believed of the list then.
+/// Any page failed; a partial list is never returned.
 pub async fn read(addr: SocketAddr) -> Result<Vec<WorkerRecord>, ListError> {
-    let stream = timeout(PAGE_WITHIN, TcpStream::connect(addr)).await.map_err(|_| ListError::Timeout)?;
+    let stream = timeout(PAGE_TIMEOUT, TcpStream::connect(addr)).await.map_err(|_| ListError::Timeout)?;
     let stream = stream.map_err(|e| ListError::Connection(e.to_string()))?;
     let _ = stream.set_nodelay(true);
     let connected = http1::handshake(TokioIo::new(stream)).await;
@@ -112,7 +112,7 @@
     let mut workers: std::collections::BTreeMap<CompactString, WorkerRecord> = Default::default();
     let mut token: Option<String> = None;
     for _ in 0..PAGES_MAX {
-        let page = timeout(PAGE_WITHIN, read_page(sender, addr, token.as_deref())).await;
+        let page = timeout(PAGE_TIMEOUT, read_page(sender, addr, token.as_deref())).await;
         let page = page.map_err(|_| ListError::Timeout)??;
         let records = page.members.into_iter().map(WorkerRecord::from);
         workers.extend(records.map(|worker| (worker.id.clone(), worker)));
--- a/crates/registry/src/server.rs
+++ b/crates/registry/src/server.rs
@@ -1,4 +1,4 @@
-//! The registry on sockets.
+//! The registry server: peer protocol, store watch, worker list and admission loops.
 
 use crate::admission::{self, Admissions};
 use crate::directory::{self, Directory};
@@ -26,29 +26,29 @@
 use tokio::sync::Notify;
 use tokio::task::spawn_local;
 
-/// How long the store waits for news before it answers.
+/// Long-poll wait of a watch on the local store.
 const STORE_WAIT: Duration = Duration::from_millis(300);
-/// How long an answer of another process may take beyond what it was asked to wait.
-const ANSWER_WITHIN: Duration = Duration::from_millis(1_000);
-/// Pause after a call that failed.
-const CALL_PAUSE: Duration = Duration::from_millis(150);
-/// Period at which registries hear each other.
-const MEET_PERIOD: Duration = Duration::from_millis(500);
-/// The same between regions, where bytes are dear.
-const MEET_PERIOD_FAR: Duration = Duration::from_millis(1_000);
-/// Period at which the platform's list is read by the one that has the duty.
-const READ_PERIOD: Duration = Duration::from_millis(900);
-/// How long an answer about workers is awaited before they are asked for again.
-const SERVICES_WITHIN: Duration = Duration::from_millis(600);
-/// Period of housekeeping.
-const TIDY_PERIOD: Duration = Duration::from_millis(500);
-/// How long a change may take to become durable before its caller is told to come again.
+/// Margin for the answer of another process beyond the wait requested of it.
+const CALL_TIMEOUT: Duration = Duration::from_millis(1_000);
+/// Backoff after a failed call.
+const CALL_BACKOFF: Duration = Duration::from_millis(150);
+/// Heartbeat period between registries.
+const PEER_HEARTBEAT_PERIOD: Duration = Duration::from_millis(500);
+/// Heartbeat period between registries of different regions, where traffic is expensive.
+const REMOTE_HEARTBEAT_PERIOD: Duration = Duration::from_millis(1_000);
+/// Period at which the elected reader reads the platform's list.
+const LIST_READ_PERIOD: Duration = Duration::from_millis(900);
+/// Timeout of a request for services' workers.
+const SERVICES_TIMEOUT: Duration = Duration::from_millis(600);
+/// Period of admission and of the removal of expired entries.
+const MAINTENANCE_PERIOD: Duration = Duration::from_millis(500);
+/// Time a change may take to become durable before its caller is asked to retry.
 pub(crate) const PROPOSE_WAIT: Duration = Duration::from_millis(850);
 
 pub(crate) type StoreClient = Client<StoreRequest, StoreAnswer>;
 type Peer = Client<RegistryRequest, RegistryAnswer>;
 
-/// The registry.
+/// State of a running registry.
 pub struct Registry {
     pub(crate) settings: Rc<Settings>,
     file: SettingsFile,
@@ -56,21 +56,21 @@
     pub(crate) directory: RefCell<Directory>,
     pub(crate) in_force: RefCell<InForce>,
     pub(crate) duty: RefCell<Duty>,
-    /// The workers, as this registry read or was told them.
+    /// Workers, as read from the platform or received from other registries.
     pub(crate) workers: RefCell<Follower>,
-    /// When they last changed.
+    /// When the workers last changed.
     pub(crate) workers_at: Cell<Micros>,
     started: Instant,
-    /// Told when something has changed that proxies go by.
+    /// Notified when state that proxies watch has changed.
     changed: Notify,
     admissions: RefCell<Admissions>,
     peers: RefCell<BTreeMap<SocketAddr, Rc<Peer>>>,
 }
 
-/// Runs the program until it is told to end.
+/// Runs the registry until it is terminated.
 ///
 /// # Errors
-/// An address can't be had.
+/// The settings are incomplete or an address can't be bound.
 pub async fn serve(settings: Rc<Settings>) -> Result<()> {
     let mut signals = Signals::listen()?;
     let addr = settings.inner(InnerPort::Registry);
@@ -99,11 +99,11 @@
     }
     spawn_local(registry.clone().follow_store());
     spawn_local(registry.clone().read_list());
-    spawn_local(registry.clone().meet_others());
-    spawn_local(registry.clone().admit_newcomers());
+    spawn_local(registry.clone().contact_peers());
+    spawn_local(registry.clone().admit_proxies());
     spawn_local(registry.clone().announce_steps());
     registry.set_first_terms()?;
-    spawn_local(registry.clone().tidy());
+    spawn_local(registry.clone().remove_expired());
     signals.terminate.recv().await;
     log::info!("told to end");
     Ok(())
@@ -114,27 +114,27 @@
         self.started.elapsed().as_micros() as Micros
     }
 
-    /// Hears from the store on this machine what is in force.
+    /// Watches the store on this machine for committed state.
     async fn follow_store(self: Rc<Self>) {
         loop {
             let have = self.in_force.borrow().summary.clone();
             let asked_at = self.now();
             let request = StoreRequest::Watch { have, wait: STORE_WAIT.as_millis() as u64 };
-            match self.store.call(&request, STORE_WAIT + ANSWER_WITHIN).await {
+            match self.store.call(&request, STORE_WAIT + CALL_TIMEOUT).await {
                 Ok(StoreAnswer::Watched(news)) => {
                     if self.in_force.borrow_mut().take(self.now(), asked_at, *news) {
                         self.changed.notify_waiters();
                     }
                 }
-                _ => tokio::time::sleep(CALL_PAUSE).await,
+                _ => tokio::time::sleep(CALL_BACKOFF).await,
             }
         }
     }
 
-    /// Reads the platform's list while this registry has the duty.
+    /// Reads the platform's list while this registry is the elected reader.
     async fn read_list(self: Rc<Self>) {
-        // Others are to be heard first.
-        tokio::time::sleep(MEET_PERIOD).await;
+        // Heartbeats of the other registries have to arrive before the first election.
+        tokio::time::sleep(PEER_HEARTBEAT_PERIOD).await;
         loop {
             let cloud = self.file.current().cloud_api.clone();
             let version = self.duty.borrow_mut().read_under(self.now());
@@ -142,16 +142,16 @@
                 let read = platform_list::read(cloud.addr).await;
                 self.duty.borrow_mut().has_read(self.now(), read.is_ok());
                 match read {
-                    Ok(workers) => self.has_read(version, workers),
+                    Ok(workers) => self.apply_list(version, workers),
                     Err(error) => log::warn!("list of workers: {error}"),
                 }
             }
-            tokio::time::sleep(READ_PERIOD).await;
+            tokio::time::sleep(LIST_READ_PERIOD).await;
         }
     }
 
-    /// A list that says what is known already is not handed out again.
-    fn has_read(&self, version: WorkersVersion, workers: Vec<WorkerRecord>) {
+    /// Applies a list that was read, and notifies watchers if it differs from the known one.
+    fn apply_list(&self, version: WorkersVersion, workers: Vec<WorkerRecord>) {
         if self.workers.borrow_mut().read(self.now(), version, workers) {
             self.workers_changed();
         }
@@ -164,17 +164,17 @@
         self.changed.notify_waiters();
     }
 
-    /// Gets from another registry what it has newer.
-    async fn follow(&self, peer: &Peer, index: &ServiceIndex) {
+    /// Fetches the services that are newer at another registry.
+    async fn fetch_updates(&self, peer: &Peer, index: &ServiceIndex) {
         let now = self.now();
         self.duty.borrow_mut().saw(index.version);
         self.workers.borrow_mut().told(now, index);
-        let until = now + SERVICES_WITHIN.as_micros() as Micros;
+        let until = now + SERVICES_TIMEOUT.as_micros() as Micros;
         let asked = self.workers.borrow_mut().ask(now, until, |_, _| true);
         if asked.is_empty() {
             return;
         }
-        let answer = peer.call(&RegistryRequest::FetchServices(asked.clone()), SERVICES_WITHIN).await;
+        let answer = peer.call(&RegistryRequest::FetchServices(asked.clone()), SERVICES_TIMEOUT).await;
         if let Ok(RegistryAnswer::Services(updates)) = answer {
             self.workers.borrow_mut().take(self.now(), updates);
             self.workers_changed();
@@ -182,32 +182,32 @@
         self.workers.borrow_mut().unanswered(&asked);
     }
 
-    /// Keeps hearing the other registries.
-    async fn meet_others(self: Rc<Self>) {
+    /// Starts a heartbeat loop for each other registry that becomes known.
+    async fn contact_peers(self: Rc<Self>) {
         loop {
-            for addr in self.others() {
+            for addr in self.peer_addrs() {
                 if self.peers.borrow().contains_key(&addr) {
                     continue;
                 }
                 let peer = Rc::new(Peer::new(addr));
                 self.peers.borrow_mut().insert(addr, peer.clone());
-                spawn_local(self.clone().keep_meeting(peer));
+                spawn_local(self.clone().send_heartbeats(peer));
             }
-            tokio::time::sleep(MEET_PERIOD).await;
+            tokio::time::sleep(PEER_HEARTBEAT_PERIOD).await;
         }
     }
 
-    /// Addresses of other registries: those that are known, and those at the seeds of the present settings.
-    fn others(&self) -> Vec<SocketAddr> {
+    /// Addresses of the other registries: known ones and the seeds of the current settings.
+    fn peer_addrs(&self) -> Vec<SocketAddr> {
         let me = self.settings.inner(InnerPort::Registry);
         let known = self.duty.borrow().members(self.now()).into_iter().map(|member| member.addr);
-        // Between two states of the file what was read at the start holds.
+        // The port comes from the settings read at startup; only the seed list is reloaded.
         let current = self.file.current();
         let seeds = current.seeds.iter().map(|seed| self.settings.inner_at(seed.ip(), InnerPort::Registry));
         known.chain(seeds).filter(|addr| *addr != me).collect()
     }
 
-    async fn keep_meeting(self: Rc<Self>, peer: Rc<Peer>) {
+    async fn send_heartbeats(self: Rc<Self>, peer: Rc<Peer>) {
         loop {
             let now = self.now();
             let request = RegistryRequest::Meet {
@@ -217,64 +217,65 @@
                 workers_seen: self.workers.borrow().seen_version(),
             };
             if let Ok(RegistryAnswer::Met { from, members, workers }) =
-                peer.call(&request, ANSWER_WITHIN).await
+                peer.call(&request, CALL_TIMEOUT).await
             {
-                self.met(from, members);
-                self.follow(&peer, &workers).await;
+                self.record_peers(from, members);
+                self.fetch_updates(&peer, &workers).await;
             }
-            tokio::time::sleep(self.meet_period(peer.addr())).await;
+            tokio::time::sleep(self.heartbeat_period(peer.addr())).await;
         }
     }
 
-    fn meet_period(&self, addr: SocketAddr) -> Duration {
+    fn heartbeat_period(&self, addr: SocketAddr) -> Duration {
         let members = self.duty.borrow().members(self.now());
         let member = members.iter().find(|member| member.addr == addr);
         if member.is_some_and(|member| self.settings.is_far(&member.zone)) {
-            MEET_PERIOD_FAR
+            REMOTE_HEARTBEAT_PERIOD
         } else {
-            MEET_PERIOD
+            PEER_HEARTBEAT_PERIOD
         }
     }
 
-    fn met(&self, from: RegistryMember, members: Vec<RegistryMember>) {
+    fn record_peers(&self, from: RegistryMember, members: Vec<RegistryMember>) {
         let mut duty = self.duty.borrow_mut();
         duty.heard(self.now(), from);
         members.into_iter().for_each(|member| duty.told_of(member));
     }
 
-    /// Takes proxies into common limits.
-    async fn admit_newcomers(self: Rc<Self>) {
+    /// Admits new proxies to the shared limits.
+    async fn admit_proxies(self: Rc<Self>) {
         loop {
-            tokio::time::sleep(TIDY_PERIOD).await;
+            tokio::time::sleep(MAINTENANCE_PERIOD).await;
             let names = self.admissions.borrow_mut().due(self.now(), &self.in_force.borrow().proxies);
             if names.is_empty() {
                 continue;
             }
             let change = Change::Proxies(names);
             let request = StoreRequest::Propose { change, wait: PROPOSE_WAIT.as_millis() as u64 };
-            let answer = self.store.call(&request, PROPOSE_WAIT + ANSWER_WITHIN).await;
+            let answer = self.store.call(&request, PROPOSE_WAIT + CALL_TIMEOUT).await;
             if !matches!(answer, Ok(StoreAnswer::Proposed(Proposed::Durable))) {
                 log::info!("proxies are not taken into common limits yet");
             }
         }
     }
 
-    async fn tidy(self: Rc<Self>) {
-        let mut living = 0;
+    /// Removes expired proxies and registries, and notifies watchers when proxies have gone.
+    async fn remove_expired(self: Rc<Self>) {
+        let mut last_digest = 0;
         loop {
-            tokio::time::sleep(TIDY_PERIOD).await;
+            tokio::time::sleep(MAINTENANCE_PERIOD).await;
             let now = self.now();
             self.directory.borrow_mut().tidy(now);
             self.duty.borrow_mut().tidy(now);
             let current = self.directory.borrow().living_digest(now);
-            if current != living {
-                living = current;
+            if current != last_digest {
+                last_digest = current;
                 self.changed.notify_waiters();
             }
         }
     }
 
-    /// What this registry has of the state that proxies of a zone go by.
+    /// Versions of the state that this registry offers to proxies of a zone.
     pub(crate) fn have(&self, zone: &str) -> Have {
         let in_force = self.in_force.borrow();
         Have {
@@ -293,19 +294,19 @@
         if self.directory.borrow_mut().heard(self.now(), status, wait.as_micros() as Micros) {
             self.changed.notify_waiters();
         }
-        // After a restart of all registries only the proxies know how far the numbers of lists have come.
+        // After a restart of all registries only the proxies know the highest list version.
         self.duty.borrow_mut().saw(theirs.workers_seen);
         self.admissions.borrow_mut().heard(&name, &self.in_force.borrow().proxies);
         loop {
             let changed = self.changed.notified();
             let have = self.have(&zone);
-            let news = have.config > theirs.config
+            let has_news = have.config > theirs.config
                 || has_newer_drain(&have.drains, &theirs.drains)
                 || have.workers > theirs.workers
                 || have.directory != theirs.directory
                 || self.in_force.borrow().trials.has_news_for(theirs.trials);
             let now = self.now();
-            if news || now >= until {
+            if has_news || now >= until {
                 return RegistryAnswer::Watched(Box::new(self.watched(now, have, &theirs, &name, &zone)));
             }
             let _ = tokio::time::timeout(Duration::from_micros(until - now), changed).await;
@@ -331,7 +332,7 @@
         }
     }
 
-    /// Length of the configuration as it would be sent to one who has some version, bytes.
+    /// Size in bytes of the configuration as sent to a proxy that has the given version.
     fn config_bytes(&self, have: Option<ConfigVersion>) -> u64 {
         let mut in_force = self.in_force.borrow_mut();
         in_force.transfer_for(self.now(), have).map_or(0, |transfer| transfer.packed.len() as u64)
@@ -342,12 +343,12 @@
         members.map(|member| RegistryAddress { addr: member.addr, zone: member.zone }).collect()
     }
 
-    /// What an operator reads of this registry.
+    /// JSON body of `GET /status`.
     pub(crate) fn status(&self) -> String {
         let now = self.now();
         let have = self.have(&self.settings.zone);
         let in_force = self.in_force.borrow();
-        let living = self.directory.borrow().living(now).count();
+        let proxy_count = self.directory.borrow().living(now).count();
         let fresh = in_force.freshness.age(now).map(|age| age / 1_000);
         serde_json::json!({
             "node": self.settings.node,
@@ -355,7 +356,7 @@
             "drained": have.drains.iter().filter(|(_, drain)| drain.drained).map(|(zone, _)| zone).collect::<Vec<_>>(),
             "workers": self.workers.borrow().catalog().workers().count(),
             "workers_version": [have.workers.fence, have.workers.number],
-            "proxies": living,
+            "proxies": proxy_count,
             "members": in_force.proxies.len(),
             "fresh_ms": fresh,
             "recovering": in_force.summary.recovering,
@@ -364,8 +365,7 @@
     }
 }
 
-/// Whether any order is newer than the one that the other side has. Where the other side has the newer ones there
-/// is nothing to tell it.
+/// Whether any of our zone drains is newer than the peer's. Drains that are newer at the peer don't count.
 fn has_newer_drain(ours: &ZoneDrains, theirs: &ZoneDrains) -> bool {
     ours.iter().any(|(zone, drain)| theirs.get(zone) < Some(drain))
 }
@@ -380,7 +380,7 @@
                 self.watch(status, have, Duration::from_millis(wait)).await
             }
             RegistryRequest::Meet { from, members, workers, workers_seen } => {
-                self.met(from, members);
+                self.record_peers(from, members);
                 self.duty.borrow_mut().saw(workers_seen);
                 let now = self.now();
                 RegistryAnswer::Met {
@@ -395,7 +395,7 @@
             RegistryRequest::FetchServices(have) => {
                 RegistryAnswer::Services(self.workers.borrow().catalog().news(self.now(), &have))
             }
-            RegistryRequest::Status => RegistryAnswer::Status(Box::new(self.state())),
+            RegistryRequest::Status => RegistryAnswer::Status(Box::new(self.registry_status())),
         }
     }
 }
--- a/crates/registry/src/state.rs
+++ b/crates/registry/src/status.rs
@@ -1,4 +1,4 @@
-//! What an operator is told of a registry.
+//! Registry status for operators.
 
 use crate::server::Registry;
 use compact_str::CompactString;
@@ -9,12 +9,11 @@
 use hingestage_rpc::status::{RegistryStatus, WorkerGroup};
 use std::collections::BTreeMap;
 
-/// Microseconds in a millisecond.
-const MILLI: Micros = 1_000;
+const MICROS_PER_MILLI: Micros = 1_000;
 
 impl Registry {
-    /// The registry's state.
-    pub(crate) fn state(&self) -> RegistryStatus {
+    /// The status of this registry.
+    pub(crate) fn registry_status(&self) -> RegistryStatus {
         let now = self.now();
         let have = self.have(&self.settings.zone);
         let in_force = self.in_force.borrow();
@@ -23,11 +22,11 @@
         RegistryStatus {
             member: duty.me(now),
             config: have.config,
-            fresh_age: in_force.freshness.age(now).map(|age| age / MILLI),
+            fresh_age: in_force.freshness.age(now).map(|age| age / MICROS_PER_MILLI),
             fence: duty.fence(),
             workers_version: have.workers,
-            workers_age: now.saturating_sub(self.workers_at.get()) / MILLI,
-            workers: group(now, self.workers.borrow().catalog().workers(), &have.drains),
+            workers_age: now.saturating_sub(self.workers_at.get()) / MICROS_PER_MILLI,
+            workers: group_workers(now, self.workers.borrow().catalog().workers(), &have.drains),
             drained: drained.map(|(zone, _)| zone.clone()).collect(),
             members: in_force.proxies.len() as u32,
             store: self.settings.inner(InnerPort::ConfigStore),
@@ -37,8 +36,8 @@
     }
 }
 
-/// Counts workers by service and zone, as the list tells of them.
-fn group<'a>(
+/// Counts workers by service, zone and state.
+fn group_workers<'a>(
     now: Micros,
     workers: impl Iterator<Item = &'a Listed>,
     drains: &ZoneDrains,
--- a/crates/registry/src/transfers.rs
+++ b/crates/registry/src/transfers.rs
@@ -1,40 +1,42 @@
-//! The configuration as it is handed out: packed once for all who have the same one, as a change where theirs is kept.
+//! Packed configurations for distribution, cached per version that the receiver has. A receiver whose version is still
+//! held here gets a delta.
 
 use hingestage_rpc::messages::{ConfigDocument, ConfigTransfer, ConfigVersion};
 use std::collections::{BTreeMap, VecDeque};
 
-/// Documents that are kept to make changes from, and their bytes together; the one before the newest is kept however
-/// long it is.
-const KEPT_MAX: usize = 8;
-const KEPT_BYTES_MAX: usize = 8 << 20;
-const KEPT_LEAST: usize = 2;
+/// Maximum number of documents held as bases for deltas.
+const DOCUMENTS_MAX: usize = 8;
+/// Maximum total size of the held documents, except for the last `DOCUMENTS_MIN`.
+const DOCUMENT_BYTES_MAX: usize = 8 << 20;
+/// Number of documents held whatever their size: the newest and the one before.
+const DOCUMENTS_MIN: usize = 2;
 
-/// The newest configuration, packed.
+/// The latest configurations and their packed forms.
 #[derive(Default)]
 pub struct Transfers {
-    /// Documents, the newest last.
+    /// Held documents, the newest last.
     documents: VecDeque<ConfigDocument>,
-    /// The newest one, by what its receiver has.
+    /// The newest document in packed form, by the receiver's version.
     packed: BTreeMap<Option<ConfigVersion>, ConfigTransfer>,
 }
 
 impl Transfers {
-    /// A new configuration is in force.
+    /// Adds a configuration; one that is not newer is ignored.
     pub fn add(&mut self, document: ConfigDocument) {
         let newer = self.documents.back().is_none_or(|newest| document.version > newest.version);
         if newer {
             self.documents.push_back(document);
             self.packed.clear();
-            self.forget();
+            self.evict();
         }
     }
 
-    fn forget(&mut self) {
+    fn evict(&mut self) {
         let bytes = |documents: &VecDeque<ConfigDocument>| -> usize {
             documents.iter().map(|document| document.json.len()).sum()
         };
-        while self.documents.len() > KEPT_MAX
-            || (self.documents.len() > KEPT_LEAST && bytes(&self.documents) > KEPT_BYTES_MAX)
+        while self.documents.len() > DOCUMENTS_MAX
+            || (self.documents.len() > DOCUMENTS_MIN && bytes(&self.documents) > DOCUMENT_BYTES_MAX)
         {
             self.documents.pop_front();
         }
@@ -45,7 +47,7 @@
         self.documents.back()
     }
 
-    /// The newest configuration for one who has some version; none where there is none.
+    /// The newest configuration, packed for a receiver that has version `have`.
     pub fn newest_for(&mut self, have: Option<ConfigVersion>) -> Option<&ConfigTransfer> {
         let newest = self.documents.back()?;
         let base = self.documents.iter().find(|document| Some(document.version) == have);
--- a/crates/registry/src/trial_calls.rs
+++ b/crates/registry/src/trial_handlers.rs
@@ -1,7 +1,7 @@
-//! Operators' calls about trials, and the steps that the registry with the duty announces.
+//! HTTP handlers for trials, and the loops that set default terms and announce due steps.
 
 use crate::first_terms::FirstTerms;
-use crate::http::{come_again, error, json, read_body, Answer, STORE_SPARE};
+use crate::http::{error, json, read_body, unavailable, HttpResponse, STORE_CALL_MARGIN};
 use crate::server::{Registry, PROPOSE_WAIT};
 use bytes::Bytes;
 use eyre::{eyre, WrapErr};
@@ -17,12 +17,12 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Period at which steps that are due are looked for.
+/// Period of the check for due steps.
 const STEP_PERIOD: Duration = Duration::from_millis(250);
-/// Pause after a step did not become durable.
-const STEP_PAUSE: Duration = Duration::from_millis(500);
+/// Pause between attempts to commit default terms or steps.
+const RETRY_PAUSE: Duration = Duration::from_millis(500);
 
-/// A trial as operators read it.
+/// JSON form of a trial in responses.
 #[derive(Serialize)]
 struct TrialState<'a> {
     tenant: &'a str,
@@ -32,7 +32,7 @@
     phase: String,
     share: f64,
     share_of_last: f64,
-    /// Time since the step was known to be durable; it takes effect a fixed time after that.
+    /// Time since the step became durable; it takes effect a fixed time later.
     durable_for_ms: u64,
     terms: serde_json::Value,
 }
@@ -65,8 +65,8 @@
 }
 
 impl Registry {
-    /// Takes terms in: `PUT /trials/TENANT`.
-    pub(crate) async fn put_terms(&self, tenant: &str, request: Request<Incoming>) -> Answer {
+    /// `PUT /trials/TENANT`.
+    pub(crate) async fn put_terms(&self, tenant: &str, request: Request<Incoming>) -> HttpResponse {
         let body = match read_body(request, TERMS_BYTES_MAX).await {
             Ok(body) => body,
             Err(answer) => return answer,
@@ -80,7 +80,7 @@
         answer
     }
 
-    async fn propose_terms(&self, tenant: &str, terms: &Terms, json_terms: &Bytes) -> Answer {
+    async fn propose_terms(&self, tenant: &str, terms: &Terms, json_terms: &Bytes) -> HttpResponse {
         let position = TrialPosition { version: terms.version, digest: digest(json_terms), step: 0 };
         let record = TrialRecord { tenant: tenant.into(), position, terms: json_terms.to_vec() };
         match self.propose_change(Change::TrialTerms(record)).await {
@@ -89,13 +89,13 @@
                 error(StatusCode::CONFLICT, "other terms hold: read them, and send a higher version")
             }
             Ok(Proposed::Full) => error(StatusCode::INSUFFICIENT_STORAGE, "no room for one more trial"),
-            Ok(Proposed::Pending | Proposed::SerialTaken) => come_again("not durable yet"),
-            Err(message) => come_again(&message),
+            Ok(Proposed::Pending | Proposed::SerialTaken) => unavailable("not durable yet"),
+            Err(message) => unavailable(&message),
         }
     }
 
     /// `GET /trials`.
-    pub(crate) fn get_trials(&self) -> Answer {
+    pub(crate) fn get_trials(&self) -> HttpResponse {
         let in_force = self.in_force.borrow();
         let trials: Vec<TrialState> =
             in_force.trials.all(self.now()).filter_map(|(record, age)| TrialState::of(record, age)).collect();
@@ -103,7 +103,7 @@
     }
 
     /// `GET /trials/TENANT`.
-    pub(crate) fn get_trial(&self, tenant: &str) -> Answer {
+    pub(crate) fn get_trial(&self, tenant: &str) -> HttpResponse {
         let in_force = self.in_force.borrow();
         let mut trials = in_force.trials.all(self.now());
         let state = trials.find(|(record, _)| record.tenant == tenant);
@@ -113,21 +113,21 @@
         }
     }
 
-    /// Sets terms from a file once a configuration is in force, where no trial is known by then.
+    /// Starts setting the default terms of the settings, if any, for as long as no trial exists.
     ///
     /// # Errors
-    /// The file can't be read or used.
+    /// The file can't be read or is invalid.
     pub(crate) fn set_first_terms(self: &Rc<Self>) -> eyre::Result<()> {
         let Some(path) = &self.settings.first_terms else { return Ok(()) };
         let json = std::fs::read(path).wrap_err_with(|| format!("{}", path.display()))?;
         let first = FirstTerms::parse(&json).map_err(|error| eyre!("{}: {error}", path.display()))?;
-        tokio::task::spawn_local(self.clone().keep_first_terms(first));
+        tokio::task::spawn_local(self.clone().propose_first_terms(first));
         Ok(())
     }
 
-    async fn keep_first_terms(self: Rc<Self>, first: FirstTerms) {
+    async fn propose_first_terms(self: Rc<Self>, first: FirstTerms) {
         while self.in_force.borrow().trials.is_empty() {
-            tokio::time::sleep(STEP_PAUSE).await;
+            tokio::time::sleep(RETRY_PAUSE).await;
             let records = self.first_records(&first).unwrap_or_default();
             for record in records {
                 log::info!("trial of {}: first terms", record.tenant);
@@ -136,7 +136,7 @@
         }
     }
 
-    /// The records of first terms, where this registry has the duty and a configuration.
+    /// Records of the default terms, if this registry is the elected reader and has a configuration.
     fn first_records(&self, first: &FirstTerms) -> Option<Vec<TrialRecord>> {
         self.duty.borrow().fence()?;
         let in_force = self.in_force.borrow();
@@ -145,7 +145,7 @@
         Some(first.records(&configuration, time_of_day()))
     }
 
-    /// Announces steps that are due, while this registry has the duty of reading the platform's list.
+    /// Proposes due steps while this registry is the elected reader.
     pub(crate) async fn announce_steps(self: Rc<Self>) {
         loop {
             tokio::time::sleep(STEP_PERIOD).await;
@@ -160,18 +160,18 @@
                 log::info!("trial of {}: step {} is due", step.tenant, step.position.step);
             }
             if self.propose_change(Change::TrialSteps(steps)).await != Ok(Proposed::Durable) {
-                tokio::time::sleep(STEP_PAUSE).await;
+                tokio::time::sleep(RETRY_PAUSE).await;
             }
         }
     }
 
-    /// Asks the store on this machine for a change.
+    /// Proposes a change to the store on this machine.
     ///
     /// # Errors
-    /// Why nothing is known of it.
+    /// A description of the failure; the outcome of the change is then unknown.
     pub(crate) async fn propose_change(&self, change: Change) -> Result<Proposed, String> {
         let request = StoreRequest::Propose { change, wait: PROPOSE_WAIT.as_millis() as u64 };
-        match self.store.call(&request, PROPOSE_WAIT + STORE_SPARE).await {
+        match self.store.call(&request, PROPOSE_WAIT + STORE_CALL_MARGIN).await {
             Ok(StoreAnswer::Proposed(proposed)) => Ok(proposed),
             Ok(_) => Err("the disk refuses".to_owned()),
             Err(failed) => Err(format!("store: {failed}")),
--- a/crates/registry/src/trials.rs
+++ b/crates/registry/src/trials.rs
@@ -1,4 +1,4 @@
-//! Trials of tenants, as one registry hands them out, and which steps are to be announced.
+//! Durable trials of tenants, their distribution to proxies, and the steps that are due.
 
 use compact_str::CompactString;
 use hingestage_replication::{signed, Micros};
@@ -6,26 +6,25 @@
 use hingestage_trial::{due_step, Terms};
 use std::collections::BTreeMap;
 
-/// Microseconds in a millisecond.
-const MILLI: Micros = 1_000;
-/// How long terms are known to be durable before their first step is announced, microseconds. By then a proxy that has
-/// not heard of them holds no part of any quota, as that lease is shorter.
+const MICROS_PER_MILLI: Micros = 1_000;
+/// Time from when terms are durable until their first step is announced. The lease on a quota share is shorter, so by
+/// then a proxy that has not received the terms holds no share.
 pub const NOTICE: Micros = 12_000_000;
 
-/// A trial that is durable.
+/// A durable trial.
 struct Known {
     record: TrialRecord,
-    /// Its terms; none where another build, which checked less, let them pass.
+    /// Parsed terms; `None` if they were accepted by a build with weaker validation.
     terms: Option<Terms>,
-    /// When it was known to be durable; below zero where that was before this process began.
-    durable_by: i64,
-    /// Number of the change that brought it.
+    /// When it became durable; negative if that was before this process started.
+    durable_at: i64,
+    /// Revision that added it.
     number: u64,
-    /// Since when any terms of the tenant are known to have been durable.
+    /// When the tenant's first terms became durable.
     noticed_at: i64,
 }
 
-/// All trials that are durable.
+/// All durable trials, with revisions for incremental distribution.
 pub struct TrialLog {
     incarnation: u64,
     notice: Micros,
@@ -34,12 +33,12 @@
 }
 
 impl TrialLog {
-    /// None is known. `incarnation` tells this life of the registry from others; `notice` is usually [`NOTICE`].
+    /// Creates an empty log. `incarnation` identifies this run of the registry; `notice` is usually [`NOTICE`].
     pub fn new(incarnation: u64, notice: Micros) -> TrialLog {
         TrialLog { incarnation, notice, number: 0, trials: BTreeMap::new() }
     }
 
-    /// Takes in what the store told now. Tells whether anything is new.
+    /// Applies updates from the store and returns whether any was new.
     pub fn take(&mut self, now: Micros, news: Vec<TrialNews>) -> bool {
         let number = self.number + 1;
         for TrialNews { record, age } in news {
@@ -47,28 +46,28 @@
             if held.is_some_and(|held| held.record.position >= record.position) {
                 continue;
             }
-            let durable_by = signed(now) - signed(age * MILLI);
-            let noticed_at = held.map_or(durable_by, |held| held.noticed_at);
+            let durable_at = signed(now) - signed(age * MICROS_PER_MILLI);
+            let noticed_at = held.map_or(durable_at, |held| held.noticed_at);
             self.number = number;
             let terms = Terms::parse(&record.terms).ok();
-            let known = Known { record, terms, durable_by, number, noticed_at };
+            let known = Known { record, terms, durable_at, number, noticed_at };
             self.trials.insert(known.record.tenant.clone(), known);
         }
         self.number == number
     }
 
-    /// What this registry has.
+    /// The current revision.
     pub fn revision(&self) -> TrialRevision {
         TrialRevision { incarnation: self.incarnation, number: self.number }
     }
 
-    /// Whether one who was told up to a revision lacks anything.
+    /// Whether there are trials that a receiver at revision `theirs` lacks.
     pub fn has_news_for(&self, theirs: TrialRevision) -> bool {
         let known = if theirs.incarnation == self.incarnation { theirs.number } else { 0 };
         self.number > known
     }
 
-    /// What one who was told up to a revision lacks: everything, where that was of another life.
+    /// Trials that a receiver at revision `theirs` lacks: all of them if that is of another incarnation.
     pub fn since(&self, now: Micros, theirs: TrialRevision) -> Vec<TrialNews> {
         let known = if theirs.incarnation == self.incarnation { theirs.number } else { 0 };
         let newer = self.trials.values().filter(|trial| trial.number > known);
@@ -80,12 +79,12 @@
         self.trials.get(tenant).map(|trial| &trial.record)
     }
 
-    /// All trials, each with the time since it was known to be durable, milliseconds.
+    /// All trials, each with the time since it became durable, in milliseconds.
     pub fn all(&self, now: Micros) -> impl Iterator<Item = (&TrialRecord, u64)> {
         self.trials.values().map(move |trial| (&trial.record, trial.age(now)))
     }
 
-    /// Tenants with terms.
+    /// Number of tenants with terms.
     pub fn len(&self) -> usize {
         self.trials.len()
     }
@@ -95,7 +94,7 @@
         self.trials.is_empty()
     }
 
-    /// The steps to be announced at a time of day, milliseconds since 1970.
+    /// Steps due at `time_of_day`, in milliseconds since the Unix epoch.
     pub fn steps_due(&self, now: Micros, time_of_day: u64) -> Vec<TrialStep> {
         let noticed =
             self.trials.values().filter(|trial| signed(now) >= trial.noticed_at + signed(self.notice));
@@ -105,6 +104,6 @@
 
 impl Known {
     fn age(&self, now: Micros) -> u64 {
-        (signed(now) - self.durable_by).max(0).unsigned_abs() / MILLI
+        (signed(now) - self.durable_at).max(0).unsigned_abs() / MICROS_PER_MILLI
     }
 }
--- a/crates/registry/tests/http.rs
+++ b/crates/registry/tests/http.rs
@@ -1,4 +1,4 @@
-//! Operators' calls to a registry with three stores behind it, all on loopback.
+//! HTTP API and peer protocol of a registry with three stores on loopback.
 
 use hingestage_fixtures::{block_on, proxy_status};
 use hingestage_node::Settings;
@@ -20,11 +20,11 @@
 const ADMIN_PORT: u16 = 18_200;
 const DIR_PORT: u16 = 18_204;
 const FIRST_INNER_PORT: u16 = 17_600;
-/// Calls that are made until one has a clear answer.
+/// Maximum number of attempts until a call is answered definitely.
 const CALLS_MAX: usize = 30;
-const PLENTY: Duration = Duration::from_secs(10);
+const CALL_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Core machines on loopback addresses of their own.
+/// Core machines, each on a loopback address of its own.
 struct Core {
     network: u8,
     disks: PathBuf,
@@ -82,13 +82,13 @@
         loop {
             match TcpStream::connect((self.ip(1), port)).await {
                 Ok(stream) => return stream,
-                // The programs have not got to their listeners yet.
+                // The listeners are not bound yet.
                 Err(_) => tokio::task::yield_now().await,
             }
         }
     }
 
-    /// Sends a request as it stands and reads the answer until the connection ends.
+    /// Sends a raw request and reads the answer until the connection ends.
     async fn send(&self, port: u16, request: &str) -> Answer {
         let mut stream = self.connect(port).await;
         stream.write_all(request.as_bytes()).await.expect("sent");
@@ -103,8 +103,8 @@
         self.send(ADMIN_PORT, &format!("{head}Content-Length: {length}\r\n\r\n{body}")).await
     }
 
-    /// Calls again while the answer is that there is nothing clear yet.
-    async fn call_until_clear(&self, method: &str, path: &str, body: &str) -> Answer {
+    /// Repeats a call while the answer is 503.
+    async fn call_until_available(&self, method: &str, path: &str, body: &str) -> Answer {
         let mut answer = self.call(method, path, body).await;
         for _ in 1..CALLS_MAX {
             if answer.status != 503 {
@@ -116,11 +116,11 @@
     }
 
     async fn put(&self, body: &str) -> u16 {
-        self.call_until_clear("PUT", "/config", body).await.status
+        self.call_until_available("PUT", "/config", body).await.status
     }
 
     async fn config(&self) -> String {
-        self.call_until_clear("GET", "/config", "").await.body
+        self.call_until_available("GET", "/config", "").await.body
     }
 }
 
@@ -131,7 +131,7 @@
 }
 
 impl Answer {
-    /// A connection that ends without an answer has the status 0.
+    /// Parses an answer; the status is 0 if the connection ended without one.
     fn read(text: &str) -> Answer {
         let status = text.split(' ').nth(1).and_then(|status| status.parse().ok()).unwrap_or_default();
         let body = text.split_once("\r\n\r\n").map(|(_, body)| body).unwrap_or_default();
@@ -155,50 +155,54 @@
 }
 
 #[test]
-fn a_configuration_is_read_back_as_it_was_sent_and_only_a_newer_one_changes_it() {
+fn configuration_is_read_back_unchanged_and_replaced_only_by_a_newer_one() {
     run(|core| async move {
         start(&core);
         let (sent, newer) = (config(7, "one"), config(9, "three"));
         assert_eq!(core.put(&sent).await, 200);
         assert_eq!(core.config().await, sent);
         assert_eq!(core.put(&sent).await, 200, "sent again after the acknowledgement");
-        assert_eq!(core.put(&config(6, "older")).await, 200, "an older one is acknowledged");
-        assert_eq!(core.put(&config(7, "other")).await, 409, "another one under the same serial is not");
-        assert_eq!(core.config().await, sent, "and neither changes anything");
+        assert_eq!(core.put(&config(6, "older")).await, 200, "an older serial is acknowledged");
+        assert_eq!(
+            core.put(&config(7, "other")).await,
+            409,
+            "another document under the same serial is refused"
+        );
+        assert_eq!(core.config().await, sent, "neither changes the configuration");
         assert_eq!(core.put(&newer).await, 200);
         assert_eq!(core.config().await, newer);
     });
 }
 
 #[test]
-fn what_is_invalid_or_cut_short_is_refused_and_changes_nothing() {
+fn invalid_or_truncated_configuration_is_refused_without_effect() {
     run(|core| async move {
         start(&core);
         let sent = config(7, "one");
         assert_eq!(core.put(&sent).await, 200);
         let cut = &config(8, "two")[..40];
-        assert_eq!(core.call("PUT", "/config", cut).await.status, 400, "half of a document");
+        assert_eq!(core.call("PUT", "/config", cut).await.status, 400, "truncated document");
         let shared = config(8, "two").replace(
             r#""limits":{}"#,
             r#""limits":{},"tenants":[{"name":"a","api_keys":["k"]},{"name":"b","api_keys":["k"]}]"#,
         );
-        assert_eq!(core.call("PUT", "/config", &shared).await.status, 422, "a key of two tenants");
+        assert_eq!(core.call("PUT", "/config", &shared).await.status, 422, "key shared by two tenants");
         let mut stream = core.connect(ADMIN_PORT).await;
         let head = "PUT /config HTTP/1.1\r\nHost: core\r\nContent-Length: 900\r\n\r\n";
         stream.write_all(format!("{head}{}", config(8, "two")).as_bytes()).await.expect("sent");
         stream.shutdown().await.expect("ended");
         let mut answer = Vec::new();
         let _ = stream.read_to_end(&mut answer).await;
-        assert_ne!(Answer::read(&String::from_utf8_lossy(&answer)).status, 200, "a body that was cut short");
+        assert_ne!(Answer::read(&String::from_utf8_lossy(&answer)).status, 200, "truncated body");
         assert_eq!(core.config().await, sent);
     });
 }
 
 #[test]
-fn calls_are_told_apart_by_method_and_path() {
+fn requests_are_routed_by_method_and_path() {
     run(|core| async move {
         start(&core);
-        assert_eq!(core.call_until_clear("GET", "/config", "").await.status, 404, "there is none yet");
+        assert_eq!(core.call_until_available("GET", "/config", "").await.status, 404, "no configuration yet");
         for (method, path, status) in [
             ("POST", "/drain/nowhere", 404),
             ("PUT", "/drain/zone-1", 405),
@@ -211,7 +215,7 @@
             assert_eq!(core.call(method, path, "").await.status, status, "{method} {path}");
         }
         for method in ["POST", "POST", "DELETE", "DELETE"] {
-            assert_eq!(core.call_until_clear(method, "/drain/zone-2", "").await.status, 200, "{method}");
+            assert_eq!(core.call_until_available(method, "/drain/zone-2", "").await.status, 200, "{method}");
         }
         let lookup = core.call("GET", "/lookup?name=h&region=x&zone=zone-1", "").await;
         assert_eq!(lookup.status, 503, "no proxy is ready");
@@ -219,13 +223,13 @@
 }
 
 #[test]
-fn a_store_that_finds_no_majority_acknowledges_nothing() {
+fn nothing_is_acknowledged_without_a_majority_of_stores() {
     run(|core| async move {
         start(&core);
         assert_eq!(core.put(&config(1, "one")).await, 200);
-        let lone = Core::new();
-        // The disk of a machine that knows two others, which are not there.
-        let (from, to) = (core.disks.join("1"), lone.disks.join("1"));
+        let isolated = Core::new();
+        // A copy of a store's disk whose two other members don't run.
+        let (from, to) = (core.disks.join("1"), isolated.disks.join("1"));
         std::fs::create_dir_all(&to).expect("a directory");
         for entry in std::fs::read_dir(from).expect("the disk") {
             let path = entry.expect("a file").path();
@@ -234,14 +238,14 @@
             let moved = text.replace(&format!("127.77.{}.", core.network), "127.78.0.");
             std::fs::write(to.join(name), with_checksum(moved)).expect("a file");
         }
-        lone.start_store(1);
-        lone.start_registry(None);
-        assert_eq!(lone.call("PUT", "/config", &config(2, "two")).await.status, 503);
-        assert_eq!(lone.call("GET", "/config", "").await.status, 503);
+        isolated.start_store(1);
+        isolated.start_registry(None);
+        assert_eq!(isolated.call("PUT", "/config", &config(2, "two")).await.status, 503);
+        assert_eq!(isolated.call("GET", "/config", "").await.status, 503);
     });
 }
 
-/// A store's manifest that was changed, with the checksum of what it is now; other files as they are.
+/// Recomputes the checksum of an edited manifest; returns other files unchanged.
 fn with_checksum(text: String) -> String {
     match text.split_once('\n') {
         Some((checksum, json)) if checksum.len() == 16 => {
@@ -251,7 +255,7 @@
     }
 }
 
-/// A platform whose list is empty.
+/// Serves an empty list of workers.
 async fn platform() -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let addr = listener.local_addr().expect("its address");
@@ -271,14 +275,14 @@
 async fn watch(client: &Client<RegistryRequest, RegistryAnswer>, have: &Have, wait: u64) -> Watched {
     let status = proxy_status("p", "zone-1", "x", ([10, 0, 0, 9], 80).into());
     let request = RegistryRequest::Watch { status, have: have.clone(), wait };
-    match client.call(&request, PLENTY).await {
+    match client.call(&request, CALL_TIMEOUT).await {
         Ok(RegistryAnswer::Watched(news)) => *news,
         other => panic!("{other:?}"),
     }
 }
 
 #[test]
-fn after_a_restart_of_all_registries_lists_go_on_above_what_proxies_have() {
+fn list_versions_after_a_restart_of_all_registries_exceed_those_of_proxies() {
     run(|core| async move {
         core.start_store(1);
         core.start_registry(Some(platform().await));
@@ -298,15 +302,15 @@
 }
 
 #[test]
-fn a_proxy_with_newer_orders_than_the_registry_waits_for_news_like_any_other() {
+fn watch_of_a_proxy_with_newer_drains_waits_for_changes() {
     run(|core| async move {
         start(&core);
         drop(core.connect(ADMIN_PORT).await);
         let client = Client::new(SocketAddr::from((core.ip(1), FIRST_INNER_PORT)));
         let drain = hingestage_rpc::messages::ZoneDrain { order: 3, drained: true };
         let mut have = Have { drains: [("zone-1".into(), drain)].into(), ..Have::default() };
-        // What is not decided is handed to nobody: the registry hears of an order only once it is acknowledged.
-        assert_eq!(core.call_until_clear("POST", "/drain/zone-1", "").await.status, 200);
+        // The registry receives a drain only once it is acknowledged.
+        assert_eq!(core.call_until_available("POST", "/drain/zone-1", "").await.status, 200);
         let mut theirs = watch(&client, &have, 0).await.have;
         for _ in 0..CALLS_MAX {
             if !theirs.drains.is_empty() {
@@ -314,10 +318,10 @@
             }
             theirs = watch(&client, &Have::default(), 100).await.have;
         }
-        assert!(!theirs.drains.is_empty(), "the registry has heard of the order");
+        assert!(!theirs.drains.is_empty(), "the registry has received the drain");
         have.directory = theirs.directory;
-        let begun = std::time::Instant::now();
+        let started = std::time::Instant::now();
         watch(&client, &have, 200).await;
-        assert!(begun.elapsed() >= Duration::from_millis(200), "answered at once, with nothing new");
+        assert!(started.elapsed() >= Duration::from_millis(200), "answered early without a change");
     });
 }
--- a/crates/registry/tests/platform_list.rs
+++ b/crates/registry/tests/platform_list.rs
@@ -1,4 +1,4 @@
-//! The platform's list of workers, read from a stand-in over loopback.
+//! Client for the platform's list, against a fake platform on loopback.
 
 use bytes::Bytes;
 use hingestage_fixtures::block_on;
@@ -17,7 +17,7 @@
 use tokio::net::TcpListener;
 use tokio::task::spawn_local;
 
-/// An answer of the stand-in: status and body.
+/// Status and body of a response of the fake platform.
 type Page = (u16, String);
 
 fn worker(id: &str, state: &str) -> String {
@@ -30,16 +30,16 @@
     (200, format!(r#"{{"members":[{}],"next_token":{next}}}"#, workers.join(",")))
 }
 
-/// A platform that answers with some pages, one after the other, and notes what it was asked.
+/// Starts a fake platform that serves `pages` in order and records the requested URIs.
 async fn platform(pages: Vec<Page>) -> (SocketAddr, Rc<RefCell<Vec<String>>>) {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let addr = listener.local_addr().expect("its address");
-    let asked = Rc::new(RefCell::new(Vec::new()));
-    let (pages, notes) = (RefCell::new(VecDeque::from(pages)), asked.clone());
+    let requested = Rc::new(RefCell::new(Vec::new()));
+    let (pages, log) = (RefCell::new(VecDeque::from(pages)), requested.clone());
     spawn_local(async move {
         let (stream, _) = listener.accept().await.expect("a caller");
         let answer = |request: Request<hyper::body::Incoming>| {
-            notes.borrow_mut().push(request.uri().to_string());
+            log.borrow_mut().push(request.uri().to_string());
             let (status, body) = pages.borrow_mut().pop_front().unwrap_or((500, String::new()));
             let mut response = Response::new(Full::<Bytes>::from(body));
             *response.status_mut() = status.try_into().expect("a status");
@@ -47,44 +47,45 @@
         };
         let _ = http1::Builder::new().serve_connection(TokioIo::new(stream), service_fn(answer)).await;
     });
-    (addr, asked)
+    (addr, requested)
 }
 
-/// Reads the list from a platform with some pages, and tells what it was asked.
-fn list(pages: Vec<Page>) -> (Result<Vec<WorkerRecord>, ListError>, Vec<String>) {
+/// Reads the list from a fake platform; returns the result and the requested URIs.
+fn read_list(pages: Vec<Page>) -> (Result<Vec<WorkerRecord>, ListError>, Vec<String>) {
     block_on(async {
-        let (addr, asked) = platform(pages).await;
+        let (addr, requested) = platform(pages).await;
         let read = read(addr).await;
-        let asked = asked.borrow().clone();
-        (read, asked)
+        let requested = requested.borrow().clone();
+        (read, requested)
     })
 }
 
 #[test]
-fn pages_are_read_to_the_last() {
+fn all_pages_are_read() {
     let pages = vec![page(&[worker("i-1", "ready")], Some("p-1")), page(&[worker("i-2", "draining")], None)];
-    let (workers, asked) = list(pages);
+    let (workers, requested) = read_list(pages);
     let workers = workers.expect("the list");
-    assert_eq!(asked, ["/workers", "/workers?page_token=p-1"]);
-    let told: Vec<_> = workers.iter().map(|worker| (worker.id.as_str(), worker.draining)).collect();
-    assert_eq!(told, [("i-1", false), ("i-2", true)]);
+    assert_eq!(requested, ["/workers", "/workers?page_token=p-1"]);
+    let states: Vec<_> = workers.iter().map(|worker| (worker.id.as_str(), worker.draining)).collect();
+    assert_eq!(states, [("i-1", false), ("i-2", true)]);
     assert_eq!((workers[0].capacity, workers[0].cold_left), (2, 1_500));
 }
 
 #[test]
-fn a_worker_that_moves_to_a_later_page_while_the_list_is_read_is_there_once_as_last_told() {
+fn worker_on_two_pages_is_returned_once_with_its_later_state() {
     let first = page(&[worker("i-1", "ready"), worker("i-2", "ready")], Some("p-2"));
-    let (workers, _) = list(vec![first, page(&[worker("i-2", "draining"), worker("i-3", "ready")], None)]);
+    let (workers, _) =
+        read_list(vec![first, page(&[worker("i-2", "draining"), worker("i-3", "ready")], None)]);
     let workers = workers.expect("the list");
-    let told: Vec<_> = workers.iter().map(|worker| (worker.id.as_str(), worker.draining)).collect();
-    assert_eq!(told, [("i-1", false), ("i-2", true), ("i-3", false)]);
+    let states: Vec<_> = workers.iter().map(|worker| (worker.id.as_str(), worker.draining)).collect();
+    assert_eq!(states, [("i-1", false), ("i-2", true), ("i-3", false)]);
 }
 
 #[test]
-fn nothing_is_believed_of_a_list_with_a_page_that_cannot_be_had() {
+fn list_with_a_failed_page_is_rejected() {
     let first = || page(&[worker("i-1", "ready")], Some("p-1"));
-    let refused = list(vec![first(), (429, String::new())]).0;
+    let refused = read_list(vec![first(), (429, String::new())]).0;
     assert!(matches!(refused, Err(ListError::Status(429))), "{refused:?}");
-    let nonsense = list(vec![first(), (200, "{\"members\":".into())]).0;
+    let nonsense = read_list(vec![first(), (200, "{\"members\":".into())]).0;
     assert!(matches!(nonsense, Err(ListError::Unreadable(_))), "{nonsense:?}");
 }
--- a/crates/registry/tests/transfers.rs
+++ b/crates/registry/tests/transfers.rs
@@ -1,4 +1,4 @@
-//! What the configuration is handed out as.
+//! Packed configurations: deltas, full documents and eviction.
 
 use hingestage_registry::transfers::Transfers;
 use hingestage_rpc::messages::ConfigDocument;
@@ -10,40 +10,40 @@
 }
 
 #[test]
-fn one_who_has_a_version_that_is_kept_gets_the_change_and_anyone_else_the_whole() {
+fn receiver_of_a_held_version_gets_a_delta_and_others_the_full_document() {
     let mut transfers = Transfers::default();
     assert!(transfers.newest_for(None).is_none());
     let (first, second) = (document(1, 400), document(2, 401));
     transfers.add(first.clone());
     transfers.add(second.clone());
-    let change = transfers.newest_for(Some(first.version)).expect("a change").clone();
-    assert_eq!(change.base, Some(first.version));
-    assert!(change.packed.len() < 100, "{}", change.packed.len());
-    assert_eq!(change.unpack(Some(&first)).as_ref(), Some(&second));
-    assert_eq!(change.unpack(None), None, "a change to nothing");
-    assert_eq!(change.unpack(Some(&document(9, 3))), None, "a change to another one");
+    let delta = transfers.newest_for(Some(first.version)).expect("a delta").clone();
+    assert_eq!(delta.base, Some(first.version));
+    assert!(delta.packed.len() < 100, "{}", delta.packed.len());
+    assert_eq!(delta.unpack(Some(&first)).as_ref(), Some(&second));
+    assert_eq!(delta.unpack(None), None, "delta without its base");
+    assert_eq!(delta.unpack(Some(&document(9, 3))), None, "delta applied to another base");
     for have in [None, Some(second.version), Some(document(7, 1).version)] {
-        let whole = transfers.newest_for(have).expect("the whole");
-        assert_eq!((whole.base, whole.unpack(None).as_ref()), (None, Some(&second)));
+        let full = transfers.newest_for(have).expect("a full document");
+        assert_eq!((full.base, full.unpack(None).as_ref()), (None, Some(&second)));
     }
 }
 
 #[test]
-fn an_older_one_that_comes_late_changes_nothing_and_few_are_kept() {
+fn older_documents_are_ignored_and_few_are_held() {
     let mut transfers = Transfers::default();
     for serial in 1..=40 {
         transfers.add(document(serial, 3));
         transfers.add(document(serial / 2, 2));
     }
     let newest = document(40, 3);
-    let whole = transfers.newest_for(Some(document(2, 3).version)).expect("the whole");
-    assert_eq!((whole.base, whole.version), (None, newest.version), "2 is not kept any more");
-    let change = transfers.newest_for(Some(document(39, 3).version)).expect("a change");
-    assert_eq!(change.unpack(Some(&document(39, 3))).as_ref(), Some(&newest));
+    let full = transfers.newest_for(Some(document(2, 3).version)).expect("a full document");
+    assert_eq!((full.base, full.version), (None, newest.version), "serial 2 has been evicted");
+    let delta = transfers.newest_for(Some(document(39, 3).version)).expect("a delta");
+    assert_eq!(delta.unpack(Some(&document(39, 3))).as_ref(), Some(&newest));
 }
 
 #[test]
-fn of_long_documents_the_one_before_is_kept_and_no_more() {
+fn only_the_previous_large_document_is_held() {
     let mut transfers = Transfers::default();
     // More than 4 MB each.
     let long = |serial| document(serial, 300_000);
@@ -57,10 +57,10 @@
 }
 
 #[test]
-fn bytes_that_came_out_wrong_are_no_document() {
+fn document_with_a_wrong_digest_is_rejected() {
     let mut transfers = Transfers::default();
     transfers.add(document(1, 9));
-    let mut whole = transfers.newest_for(None).expect("the whole").clone();
-    whole.version.digest ^= 1;
-    assert_eq!(whole.unpack(None), None);
+    let mut full = transfers.newest_for(None).expect("a full document").clone();
+    full.version.digest ^= 1;
+    assert_eq!(full.unpack(None), None);
 }
--- a/crates/registry/tests/trials.rs
+++ b/crates/registry/tests/trials.rs
@@ -1,4 +1,4 @@
-//! Trials as a registry hands them out, and the steps that it announces.
+//! Distribution of trials, due steps, and default terms.
 
 use hingestage_configuration::Configuration;
 use hingestage_registry::first_terms::FirstTerms;
@@ -8,7 +8,7 @@
 const S: u64 = 1_000_000;
 const TERMS: &str =
     r#"{"version":1,"end":"1970-01-01T01:00:00Z","steps":[{"before_end":"60s","share":0.5}]}"#;
-/// The end, milliseconds since 1970.
+/// End of the trial, in milliseconds since the Unix epoch.
 const END: u64 = 3_600_000;
 
 fn news(tenant: &str, step: u32, age: u64) -> TrialNews {
@@ -24,12 +24,12 @@
 }
 
 #[test]
-fn the_first_step_waits_until_no_proxy_can_be_without_the_terms() {
+fn first_step_is_not_due_before_the_notice_period_ends() {
     let mut log = TrialLog::new(1, NOTICE);
     log.take(S, vec![news("t", 0, 0)]);
     assert!(steps_due(&log, S + NOTICE - 1, END).is_empty());
-    assert_eq!(steps_due(&log, S + NOTICE, END), [3], "what came due meanwhile is taken in one");
-    // A registry that takes the duty over after a restart goes by what its store knows.
+    assert_eq!(steps_due(&log, S + NOTICE, END), [3], "steps that fell due meanwhile are merged");
+    // A restarted registry uses the age reported by its store.
     let mut log = TrialLog::new(2, NOTICE);
     log.take(S, vec![news("t", 0, 11_000)]);
     assert!(steps_due(&log, 2 * S - 1, END).is_empty());
@@ -37,46 +37,49 @@
 }
 
 #[test]
-fn a_step_is_decided_once_whatever_the_clock_says_later() {
+fn decided_step_is_not_repeated_after_a_clock_change() {
     let mut log = TrialLog::new(1, NOTICE);
     log.take(0, vec![news("t", 0, 0)]);
     let clock_ahead = END + 5_000;
     assert_eq!(steps_due(&log, 20 * S, clock_ahead), [3]);
     log.take(20 * S, vec![news("t", 3, 0)]);
-    // The clock is set back, or the duty goes to one whose clock is right.
+    // The clock is set back, or another registry with a correct clock is elected.
     assert!(steps_due(&log, 21 * S, END - 61_000).is_empty());
     assert!(steps_due(&log, 21 * S, END + 5_000).is_empty());
 }
 
 #[test]
-fn a_registry_started_anew_hands_out_everything_with_what_the_store_knows_of_its_age() {
+fn restarted_registry_sends_all_trials_with_ages_from_the_store() {
     let mut log = TrialLog::new(1, NOTICE);
     assert!(log.take(10 * S, vec![news("t", 1, 4_000)]));
-    assert!(!log.take(11 * S, vec![news("t", 1, 0), news("t", 0, 0)]), "known already");
-    let told = log.revision();
-    assert!(!log.has_news_for(told));
+    assert!(!log.take(11 * S, vec![news("t", 1, 0), news("t", 0, 0)]), "already known");
+    let revision = log.revision();
+    assert!(!log.has_news_for(revision));
     assert!(log.has_news_for(TrialRevision::default()));
-    assert!(log.has_news_for(TrialRevision { incarnation: 7, ..told }), "another life's number says nothing");
+    assert!(
+        log.has_news_for(TrialRevision { incarnation: 7, ..revision }),
+        "revisions of another incarnation are not comparable"
+    );
     assert_eq!(log.since(12 * S, TrialRevision::default()), [news("t", 1, 6_000)]);
-    // The age reaches back to before this process began.
-    let mut young = TrialLog::new(2, NOTICE);
-    young.take(S, vec![news("t", 1, 60_000)]);
-    assert_eq!(young.since(2 * S, told), [news("t", 1, 61_000)]);
+    // The age reaches back to before this process started.
+    let mut restarted = TrialLog::new(2, NOTICE);
+    restarted.take(S, vec![news("t", 1, 60_000)]);
+    assert_eq!(restarted.since(2 * S, revision), [news("t", 1, 61_000)]);
 }
 
 #[test]
-fn only_what_is_newer_is_handed_out() {
+fn only_newer_trials_are_sent() {
     let mut log = TrialLog::new(1, NOTICE);
     log.take(0, vec![news("a", 0, 0), news("b", 0, 0)]);
-    let told = log.revision();
+    let revision = log.revision();
     log.take(S, vec![news("a", 0, 0), news("b", 1, 0)]);
     let tenants: Vec<String> =
-        log.since(S, told).into_iter().map(|news| news.record.tenant.to_string()).collect();
+        log.since(S, revision).into_iter().map(|news| news.record.tenant.to_string()).collect();
     assert_eq!(tenants, ["b"]);
 }
 
 #[test]
-fn first_terms_go_to_the_largest_tenants() {
+fn first_terms_apply_to_the_tenants_with_the_highest_rates() {
     let first = br#"{"tenants":2,"end_in_s":30,"terms":{"steps":[{"before_end":"8s","share":0.5}]}}"#;
     let first = FirstTerms::parse(first).unwrap();
     let tenant = |name: &str, rate: u32| {
