--- a/crates/discovery/src/catalog.rs
+++ b/crates/discovery/src/catalog.rs
@@ -1,4 +1,4 @@
-//! All services' workers, and the version of the whole.
+//! Catalog of all services' workers, with an overall version.
 
 use crate::service_list::{Listed, ServiceList, Taken};
 use crate::Micros;
@@ -6,20 +6,20 @@
 use hingestage_rpc::workers::{ServiceHave, ServiceIndex, ServiceUpdate, WorkerRecord, WorkersVersion};
 use std::collections::BTreeMap;
 
-/// Services known at the most. Beyond it those without workers are forgotten.
+/// Maximum number of services; beyond it, services without workers are removed.
 pub const SERVICES_MAX: usize = 4_096;
 
 /// The workers of all services.
 #[derive(Default)]
 pub struct Catalog {
     version: WorkersVersion,
-    /// Those who have less than this can't be told only what changed: services were forgotten since.
+    /// Followers below this version need a complete index, because services have been removed since.
     floor: WorkersVersion,
     services: BTreeMap<CompactString, ServiceList>,
 }
 
 impl Catalog {
-    /// The version of the whole: everything up to it is held.
+    /// The overall version; everything up to it is applied.
     pub fn version(&self) -> WorkersVersion {
         self.version
     }
@@ -29,7 +29,7 @@
         self.services.get(name)
     }
 
-    /// Names of the services that are known.
+    /// Names of all known services.
     pub fn names(&self) -> impl Iterator<Item = &CompactString> {
         self.services.keys()
     }
@@ -44,34 +44,34 @@
         self.services.values().all(ServiceList::is_empty)
     }
 
-    /// Takes in the platform's list as it was read under a version above the one held. Tells whether anything
-    /// changed. From a reader that is new all of it counts as changed.
+    /// Applies the platform's list, read as `version`, which is above the current one. Returns whether anything
+    /// changed. Everything counts as changed if the reader is a new one.
     pub fn read(&mut self, now: Micros, version: WorkersVersion, records: Vec<WorkerRecord>) -> bool {
-        let anew = !version.has_reader_of(&self.version);
+        let new_reader = !version.has_reader_of(&self.version);
         let mut read: BTreeMap<CompactString, Vec<WorkerRecord>> =
             self.services.keys().map(|name| (name.clone(), Vec::new())).collect();
         for record in records {
             read.entry(record.service.clone()).or_default().push(record);
         }
-        let mut changed = anew;
+        let mut changed = new_reader;
         for (name, records) in read {
-            changed |= self.services.entry(name).or_default().read(now, version, records, anew);
+            changed |= self.services.entry(name).or_default().read(now, version, records, new_reader);
         }
         if changed {
             self.version = version;
-            self.forget_empty();
+            self.remove_empty_services();
         }
         changed
     }
 
-    fn forget_empty(&mut self) {
+    fn remove_empty_services(&mut self) {
         if self.services.len() > SERVICES_MAX {
             self.services.retain(|_, list| !list.is_empty());
             self.floor = self.version;
         }
     }
 
-    /// Which services' workers have changed since a version.
+    /// Index of the services that have changed since a version.
     pub fn index_since(&self, have: WorkersVersion) -> ServiceIndex {
         if have >= self.version {
             return ServiceIndex { version: self.version, ..ServiceIndex::default() };
@@ -82,29 +82,29 @@
         ServiceIndex { version: self.version, whole, services }
     }
 
-    /// Everything up to a version is held now.
+    /// Raises the overall version once everything up to it is applied.
     pub(crate) fn advance(&mut self, version: WorkersVersion) {
         self.version = self.version.max(version);
     }
 
-    /// Forgets services that a whole index doesn't name. Whoever follows this process has to be told so, too.
-    pub(crate) fn keep_named(&mut self, index: &ServiceIndex) {
-        let named = |name: &CompactString| index.services.iter().any(|(other, _)| other == name);
-        self.services.retain(|name, _| named(name));
+    /// Removes services that a complete index doesn't name. Followers of this process then need a complete index, too.
+    pub(crate) fn retain_indexed(&mut self, index: &ServiceIndex) {
+        let indexed = |name: &CompactString| index.services.iter().any(|(other, _)| other == name);
+        self.services.retain(|name, _| indexed(name));
         self.floor = index.version;
     }
 
-    /// What is new to one who has some services' workers. Services that are not known here are left out.
+    /// Updates for a follower that has the given versions. Services that are unknown here are skipped.
     pub fn news(&self, now: Micros, have: &[ServiceHave]) -> Vec<ServiceUpdate> {
-        let news = have.iter().filter_map(|have| {
+        let updates = have.iter().filter_map(|have| {
             let list = self.services.get(&have.service)?;
             let news = list.news(now, have.version)?;
             Some(ServiceUpdate { service: have.service.clone(), version: list.version(), news })
         });
-        news.collect()
+        updates.collect()
     }
 
-    /// What is held of a service, to be told to others.
+    /// The version of a service that is held here.
     pub fn have(&self, service: &CompactString) -> ServiceHave {
         let version = self.services.get(service).map(ServiceList::version);
         ServiceHave { service: service.clone(), version }
--- a/crates/discovery/src/follower.rs
+++ b/crates/discovery/src/follower.rs
@@ -1,4 +1,4 @@
-//! One that follows another's catalog: what it was told of, what it still lacks, and when it asked for that.
+//! Follower of other processes' catalogs: announced versions, missing services and pending requests.
 
 use crate::catalog::Catalog;
 use crate::service_list::Taken;
@@ -7,138 +7,138 @@
 use hingestage_rpc::workers::{ServiceHave, ServiceIndex, ServiceUpdate, WorkerRecord, WorkersVersion};
 use std::collections::BTreeMap;
 
-/// A service whose workers are newer somewhere than here.
+/// A service that is newer at another process.
 struct Wanted {
     version: WorkersVersion,
-    /// Since when it is known to be newer.
+    /// When the newer version was first announced.
     since: Micros,
-    /// Until when an answer is awaited.
-    asked_until: Micros,
-    /// Whether changes to what is held can't bring it up to date.
+    /// Deadline of the pending request; 0 without one.
+    pending_until: Micros,
+    /// Whether incremental changes can't be applied to what is held.
     needs_snapshot: bool,
 }
 
-/// A catalog that follows others.
+/// A catalog that replicates others.
 #[derive(Default)]
 pub struct Follower {
     catalog: Catalog,
     wanted: BTreeMap<CompactString, Wanted>,
-    /// The highest version that this process was told of.
-    told: WorkersVersion,
-    /// The highest version that it has seen of anything: a home may be ahead of what was told.
+    /// Highest version announced by an index.
+    announced: WorkersVersion,
+    /// Highest version seen in any update; a home may be ahead of the announced version.
     seen: WorkersVersion,
 }
 
 impl Follower {
-    /// What is held.
+    /// The replicated catalog.
     pub fn catalog(&self) -> &Catalog {
         &self.catalog
     }
 
-    /// The highest version that this process was told of: others need only name what is newer.
+    /// Highest announced version; an index needs to name only newer services.
     pub fn told_version(&self) -> WorkersVersion {
-        self.told
+        self.announced
     }
 
-    /// The highest version that this process has seen: whoever numbers lists has to go on above it, as what is held
-    /// is never replaced by a lower one.
+    /// Highest version seen in any message. A reader of the platform's list has to use higher ones, because a list
+    /// is never replaced by one of a lower version.
     pub fn seen_version(&self) -> WorkersVersion {
-        self.seen.max(self.told)
+        self.seen.max(self.announced)
     }
 
-    /// Whether everything that this process was told of is held.
+    /// Whether everything announced has been applied.
     pub fn is_complete(&self) -> bool {
         self.wanted.is_empty()
     }
 
-    /// Names of all services that are held or wanted.
+    /// Names of all services that are held or missing.
     pub fn names(&self) -> impl Iterator<Item = &CompactString> {
         let only_wanted = self.wanted.keys().filter(|name| self.catalog.service(name).is_none());
         self.catalog.names().chain(only_wanted)
     }
 
-    /// Takes in the platform's list, read by this process. Tells whether anything changed.
+    /// Applies the platform's list, read by this process. Returns whether anything changed.
     pub fn read(&mut self, now: Micros, version: WorkersVersion, records: Vec<WorkerRecord>) -> bool {
-        if version <= self.told {
+        if version <= self.announced {
             return false;
         }
         let changed = self.catalog.read(now, version, records);
         if changed {
             self.wanted.clear();
-            self.told = version;
+            self.announced = version;
         }
         changed
     }
 
-    /// Takes in which services are newer somewhere. Tells whether a service is among them that was not known.
+    /// Applies an index of newer services. Returns whether it names a service that was unknown.
     pub fn told(&mut self, now: Micros, index: &ServiceIndex) -> bool {
-        if index.version <= self.told {
+        if index.version <= self.announced {
             return false;
         }
         if index.whole {
-            self.catalog.keep_named(index);
+            self.catalog.retain_indexed(index);
             self.wanted.retain(|name, _| index.services.iter().any(|(other, _)| other == name));
         }
         let mut unknown = false;
         for (name, version) in &index.services {
             unknown |= self.catalog.service(name).is_none() && !self.wanted.contains_key(name);
-            self.want(now, name, *version);
+            self.mark_wanted(now, name, *version);
         }
-        self.told = index.version;
-        self.settle();
+        self.announced = index.version;
+        self.advance_if_complete();
         unknown
     }
 
-    fn want(&mut self, now: Micros, name: &CompactString, version: WorkersVersion) {
+    fn mark_wanted(&mut self, now: Micros, name: &CompactString, version: WorkersVersion) {
         if self.catalog.service(name).is_some_and(|list| list.version() >= version) {
             return;
         }
-        let first = Wanted { version, since: now, asked_until: 0, needs_snapshot: false };
+        let first = Wanted { version, since: now, pending_until: 0, needs_snapshot: false };
         let wanted = self.wanted.entry(name.clone()).or_insert(first);
         wanted.version = wanted.version.max(version);
     }
 
-    fn settle(&mut self) {
+    fn advance_if_complete(&mut self) {
         if self.wanted.is_empty() {
-            self.catalog.advance(self.told);
+            self.catalog.advance(self.announced);
         }
     }
 
-    /// What to ask for now: services of which nothing is awaited, and for which `due` holds, given the name and how
-    /// long they have been wanted. An answer is awaited until `until`.
+    /// Services to request now: those without a pending request for which `due` holds, given the name and the time
+    /// since the newer version was announced. The requests are pending until `until`.
     pub fn ask(
         &mut self,
         now: Micros,
         until: Micros,
         due: impl Fn(&CompactString, Micros) -> bool,
     ) -> Vec<ServiceHave> {
-        let mut asked = Vec::new();
+        let mut names = Vec::new();
         for (name, wanted) in &mut self.wanted {
-            if now >= wanted.asked_until && due(name, now - wanted.since) {
-                wanted.asked_until = until;
-                asked.push(name.clone());
+            if now >= wanted.pending_until && due(name, now - wanted.since) {
+                wanted.pending_until = until;
+                names.push(name.clone());
             }
         }
-        asked.iter().map(|name| self.have(name)).collect()
+        names.iter().map(|name| self.have(name)).collect()
     }
 
-    /// The question has ended: what no answer brought may be asked again.
+    /// Ends a request; services that the answer didn't bring up to date may be requested again.
     pub fn unanswered(&mut self, asked: &[ServiceHave]) {
         for have in asked {
             if let Some(wanted) = self.wanted.get_mut(&have.service) {
-                wanted.asked_until = 0;
+                wanted.pending_until = 0;
             }
         }
     }
 
-    /// What is held of a service, as it is told to those who are asked for it.
+    /// The version of a service to request updates from; none if a snapshot is needed.
     pub fn have(&self, name: &CompactString) -> ServiceHave {
         let needs_snapshot = self.wanted.get(name).is_some_and(|wanted| wanted.needs_snapshot);
         let have = self.catalog.have(name);
         ServiceHave { version: have.version.filter(|_| !needs_snapshot), ..have }
     }
 
-    /// Takes in updates, from a registry or a home. Tells which services have changed.
+    /// Applies updates from a registry or a home. Returns the services that have changed.
     pub fn take(&mut self, now: Micros, updates: Vec<ServiceUpdate>) -> Vec<CompactString> {
         let mut changed = Vec::new();
         for update in updates {
@@ -151,15 +151,15 @@
                 }
                 Taken::Stale => {}
                 Taken::Gap => {
-                    self.want(now, &name, version);
+                    self.mark_wanted(now, &name, version);
                     if let Some(wanted) = self.wanted.get_mut(&name) {
                         wanted.needs_snapshot = true;
-                        wanted.asked_until = 0;
+                        wanted.pending_until = 0;
                     }
                 }
             }
         }
-        self.settle();
+        self.advance_if_complete();
         changed
     }
 }
--- a/crates/discovery/src/homes.rs
+++ b/crates/discovery/src/homes.rs
@@ -1,8 +1,8 @@
-//! Which proxy of a zone is the home of a service: the one that gets its updates from a registry and passes them on.
+//! Assignment of a home to each service: the proxy of a zone that fetches the service's updates and relays them.
 //!
-//! Rendezvous hashing over the zone's living proxies names it, so that proxies agree without talk. Where two disagree
-//! for a moment, an update takes one hop more or comes from a registry; versions decide what holds, so a home that has
-//! lost its duty can't set anyone back and needs no fence.
+//! Rendezvous hashing over the zone's live proxies selects it without coordination. If proxies disagree for a short
+//! time, an update takes one more hop or comes from a registry. Updates are ordered by version, so a former home can't
+//! roll anyone back and needs no fencing.
 
 use crate::Micros;
 use compact_str::CompactString;
@@ -13,39 +13,39 @@
 /// Another proxy of the zone.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct PeerProxy {
-    /// Name of its machine.
+    /// Name of the proxy's machine.
     pub name: CompactString,
-    /// Where it is called.
+    /// Address of its peer protocol.
     pub addr: SocketAddr,
 }
 
-/// Where the updates of a service come from.
+/// Source of a service's updates.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Home {
-    /// This proxy is the home: from a registry.
+    /// This proxy is the home and uses a registry.
     Me,
-    /// From another proxy of the zone.
+    /// Another proxy of the zone is the home.
     Peer(PeerProxy),
 }
 
 struct Peer {
     proxy: PeerProxy,
-    silent_until: Micros,
+    unresponsive_until: Micros,
 }
 
-/// The proxies of one zone, and the homes among them.
+/// The proxies of a zone, over which homes are assigned.
 pub struct Homes {
     me: u64,
     peers: BTreeMap<u64, Peer>,
 }
 
 impl Homes {
-    /// This proxy alone, by the name of its machine.
+    /// Creates a zone with only this proxy, given the name of its machine.
     pub fn new(me: &str) -> Homes {
         Homes { me: hash_bytes(me.as_bytes()), peers: BTreeMap::new() }
     }
 
-    /// Takes in the living proxies of the zone; this one may be among them. Tells whether they are others.
+    /// Replaces the live proxies of the zone, which may include this one. Returns whether they have changed.
     pub fn take(&mut self, living: impl IntoIterator<Item = PeerProxy>) -> bool {
         let mut old = std::mem::take(&mut self.peers);
         let mut changed = false;
@@ -56,8 +56,8 @@
             }
             let known = old.remove(&number);
             changed |= known.as_ref().is_none_or(|known| known.proxy != proxy);
-            let silent_until = known.map_or(0, |known| known.silent_until);
-            self.peers.insert(number, Peer { proxy, silent_until });
+            let unresponsive_until = known.map_or(0, |known| known.unresponsive_until);
+            self.peers.insert(number, Peer { proxy, unresponsive_until });
         }
         changed || !old.is_empty()
     }
@@ -67,24 +67,24 @@
         self.peers.values().map(|peer| &peer.proxy)
     }
 
-    /// A proxy has not answered in time: until some moment it is nobody's home as seen from here.
+    /// Excludes a proxy that did not answer from being a home until the given time.
     pub fn silent(&mut self, name: &str, until: Micros) {
         if let Some(peer) = self.peers.get_mut(&hash_bytes(name.as_bytes())) {
-            peer.silent_until = peer.silent_until.max(until);
+            peer.unresponsive_until = peer.unresponsive_until.max(until);
         }
     }
 
-    /// A proxy has answered.
+    /// Ends the exclusion of a proxy that has answered.
     pub fn answered(&mut self, name: &str) {
         if let Some(peer) = self.peers.get_mut(&hash_bytes(name.as_bytes())) {
-            peer.silent_until = 0;
+            peer.unresponsive_until = 0;
         }
     }
 
-    /// The home of a key, by the name of a service or of what else is passed on.
+    /// The home of a key: the name of a service, or of other relayed data.
     pub fn home(&self, now: Micros, key: &str) -> Home {
-        let answering = self.peers.iter().filter(|(_, peer)| now >= peer.silent_until);
-        let numbers = answering.map(|(number, _)| *number).chain([self.me]);
+        let responsive = self.peers.iter().filter(|(_, peer)| now >= peer.unresponsive_until);
+        let numbers = responsive.map(|(number, _)| *number).chain([self.me]);
         let number = owner(hash_bytes(key.as_bytes()), numbers);
         let peer = number.and_then(|number| self.peers.get(&number));
         peer.map_or(Home::Me, |peer| Home::Peer(peer.proxy.clone()))
--- a/crates/discovery/src/lib.rs
+++ b/crates/discovery/src/lib.rs
@@ -1,11 +1,11 @@
-//! Which workers there are, by service.
+//! Service discovery: versioned lists of workers by service, and their replication.
 //!
-//! One registry reads the platform's list and numbers its versions. Everyone else follows: an [index] says which
-//! services have changed, and updates bring their workers, as changes where the sender still keeps them, else as a
-//! snapshot. In each zone one proxy is the [home](Homes) of a service: it gets the service's updates from a registry and
-//! passes them on to the other proxies of its zone.
+//! One registry reads the platform's list and assigns versions. All other processes follow: an [index] names the
+//! services that have changed, and updates carry their workers, as incremental changes if the sender still has them and
+//! as a snapshot otherwise. In each zone one proxy is the [home](Homes) of a service: it fetches the service's updates
+//! from a registry and relays them to the other proxies of the zone.
 //!
-//! Time is passed in as [`Micros`] of one steady clock. Nothing here reads a clock, a socket or a random source.
+//! The crate does no I/O and reads no clock; time is passed in as [`Micros`].
 //!
 //! [index]: hingestage_rpc::workers::ServiceIndex
 #![forbid(unsafe_code)]
@@ -22,8 +22,7 @@
 pub use homes::{Home, Homes, PeerProxy};
 pub use service_list::{Listed, ServiceList, Taken, CHANGES_KEPT};
 
-/// A point in time or a span, in microseconds, on one clock that never goes back.
+/// A time on a monotonic clock, or a duration, in microseconds.
 pub type Micros = u64;
 
-/// Microseconds in a millisecond.
-const MILLI: Micros = 1_000;
+const MICROS_PER_MILLI: Micros = 1_000;
--- a/crates/discovery/src/neighbors.rs
+++ b/crates/discovery/src/neighbors.rs
@@ -1,23 +1,22 @@
-//! Which proxies a proxy knows: those of its zone, and the few that count for all.
+//! Selection of the proxies that a proxy connects to: members of its zone and the counters of the fleet.
 //!
-//! Rendezvous hashing names both sets, so that registries and proxies agree on them without talk, and a fleet of any
-//! size costs each proxy the same.
+//! Rendezvous hashing selects both sets without coordination. Their sizes are bounded, whatever the size of the fleet.
 
 use hingestage_rendezvous::{choose, hash_bytes};
 
-/// Proxies that keep the totals of tenants, over the whole fleet, at the most.
+/// Maximum number of proxies in the fleet that keep the totals of tenants.
 pub const COUNTERS_MAX: usize = 64;
-/// Other proxies of its zone that a proxy knows at the most.
+/// Maximum number of proxies of a zone that know each other.
 pub const ZONE_MAX: usize = 64;
 
 const COUNTERS_KEY: &[u8] = b"counters";
 
-/// The proxies that keep the totals of tenants. It takes the whole fleet, or any part that has these in it.
+/// Selects the proxies that keep the totals of tenants, from the fleet or any subset that contains them.
 pub fn counters<T>(proxies: impl IntoIterator<Item = T>, name: impl Fn(&T) -> &str) -> Vec<T> {
     choose(hash_bytes(COUNTERS_KEY), proxies, |proxy| hash_bytes(name(proxy).as_bytes()), COUNTERS_MAX)
 }
 
-/// The proxies of a zone that know each other, and among which the homes of services are.
+/// Selects the proxies of a zone that know each other and act as homes of services.
 pub fn zone_members<T>(
     zone: &str,
     proxies: impl IntoIterator<Item = T>,
--- a/crates/discovery/src/service_list.rs
+++ b/crates/discovery/src/service_list.rs
@@ -1,44 +1,44 @@
-//! The workers of one service, the version of that, and its last changes.
+//! Versioned list of one service's workers, with a bounded log of recent changes.
 
-use crate::{Micros, MILLI};
+use crate::{Micros, MICROS_PER_MILLI};
 use compact_str::CompactString;
 use hingestage_rpc::workers::{ServiceNews, WorkerRecord, WorkersVersion};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// Changes that are kept; one who is further behind gets a snapshot.
+/// Length of the change log; a follower further behind gets a snapshot.
 pub const CHANGES_KEPT: usize = 16;
-/// Milliseconds by which a worker may stay cold longer than was known without this being news.
-const COLD_TOLERANCE: u64 = 150;
+/// Increase of the remaining cold time that does not count as a change.
+const COLD_TOLERANCE_MS: u64 = 150;
 
 /// A worker on the list.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Listed {
-    /// As the platform lists it; `cold_left` says nothing here.
+    /// The platform's entry, with `cold_left` cleared.
     pub record: WorkerRecord,
-    /// Until when it stays cold, as far as was told; none where it is warm.
+    /// End of the warm-up; `None` if the worker is warm.
     pub cold_until: Option<Micros>,
 }
 
 impl Listed {
     fn new(now: Micros, mut record: WorkerRecord) -> Listed {
         let cold_left = std::mem::take(&mut record.cold_left);
-        let cold_until = (cold_left > 0).then(|| now + cold_left * MILLI);
+        let cold_until = (cold_left > 0).then(|| now + cold_left * MICROS_PER_MILLI);
         Listed { record, cold_until }
     }
 
-    /// Milliseconds for which the worker stays cold, never rounded down.
+    /// Remaining warm-up time in milliseconds, rounded up.
     fn cold_left(&self, now: Micros) -> u64 {
-        self.cold_until.map_or(0, |until| until.saturating_sub(now).div_ceil(MILLI))
+        self.cold_until.map_or(0, |until| until.saturating_sub(now).div_ceil(MICROS_PER_MILLI))
     }
 
     fn record(&self, now: Micros) -> WorkerRecord {
         WorkerRecord { cold_left: self.cold_left(now), ..self.record.clone() }
     }
 
-    /// Whether `later` says nothing new: of a cold worker, that it stays cold no longer than was known.
-    fn says(&self, now: Micros, later: &Listed) -> bool {
-        let as_cold = later.cold_left(now) <= self.cold_left(now) + COLD_TOLERANCE;
-        as_cold && self.record == later.record
+    /// Whether `later` is no change: the same record, and no longer warm-up within the tolerance.
+    fn covers(&self, now: Micros, later: &Listed) -> bool {
+        let no_colder = later.cold_left(now) <= self.cold_left(now) + COLD_TOLERANCE_MS;
+        no_colder && self.record == later.record
     }
 }
 
@@ -47,14 +47,14 @@
     ids: Vec<CompactString>,
 }
 
-/// What became of an update.
+/// Result of applying an update.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Taken {
-    /// It holds now.
+    /// The update was applied.
     Applied,
-    /// What is held is as new.
+    /// The list is already at this version or a newer one.
     Stale,
-    /// It tells of changes to a version that is not held: a snapshot is needed.
+    /// The changes start at a version that is not held; a snapshot is needed.
     Gap,
 }
 
@@ -67,7 +67,7 @@
 }
 
 impl ServiceList {
-    /// When the workers last changed.
+    /// Version of the last change.
     pub fn version(&self) -> WorkersVersion {
         self.version
     }
@@ -77,7 +77,7 @@
         self.workers.values()
     }
 
-    /// Whether there are none.
+    /// Whether the service has no workers.
     pub fn is_empty(&self) -> bool {
         self.workers.is_empty()
     }
@@ -87,20 +87,20 @@
         self.workers.contains_key(id)
     }
 
-    /// Takes in the platform's list as it was read under a version that is above the one held. Tells whether
-    /// anything changed: if nothing has, the version stays. With `anew` it counts as changed in any case, as what is
-    /// held may not be what the last reader saw.
+    /// Applies the service's workers from the platform's list, read as `version`, which is above the current one.
+    /// Returns whether anything changed; otherwise the version stays. With `new_reader` everything counts as
+    /// changed, because the previous reader may have published another list than the one held here.
     pub fn read(
         &mut self,
         now: Micros,
         version: WorkersVersion,
         records: Vec<WorkerRecord>,
-        anew: bool,
+        new_reader: bool,
     ) -> bool {
         let read: BTreeMap<CompactString, Listed> =
             records.into_iter().map(|record| (record.id.clone(), Listed::new(now, record))).collect();
         let ids = self.changed_ids(now, &read);
-        if anew {
+        if new_reader {
             self.replace(version, read);
             return true;
         }
@@ -108,20 +108,20 @@
             return false;
         }
         self.workers = read;
-        self.note(version, ids);
+        self.log_change(version, ids);
         true
     }
 
     fn changed_ids(&self, now: Micros, read: &BTreeMap<CompactString, Listed>) -> Vec<CompactString> {
-        let says_less = |(id, listed): &(&CompactString, &Listed)| {
-            !self.workers.get(*id).is_some_and(|held| held.says(now, listed))
+        let is_changed = |(id, listed): &(&CompactString, &Listed)| {
+            !self.workers.get(*id).is_some_and(|held| held.covers(now, listed))
         };
-        let listed = read.iter().filter(says_less).map(|(id, _)| id.clone());
+        let listed = read.iter().filter(is_changed).map(|(id, _)| id.clone());
         let removed = self.workers.keys().filter(|id| !read.contains_key(*id)).cloned();
         listed.chain(removed).collect()
     }
 
-    fn note(&mut self, version: WorkersVersion, ids: Vec<CompactString>) {
+    fn log_change(&mut self, version: WorkersVersion, ids: Vec<CompactString>) {
         self.changes.push_back(Change { since: self.version, ids });
         if self.changes.len() > CHANGES_KEPT {
             self.changes.pop_front();
@@ -135,20 +135,20 @@
         self.changes.clear();
     }
 
-    /// What is new to one who has a version; none where it has all.
+    /// Update for a follower at version `have`; `None` if it is up to date.
     pub fn news(&self, now: Micros, have: Option<WorkersVersion>) -> Option<ServiceNews> {
         if have.unwrap_or_default() >= self.version {
             return None;
         }
-        let kept = have.and_then(|have| self.changes_since(now, have));
-        Some(kept.unwrap_or_else(|| self.snapshot(now)))
+        let changes = have.and_then(|have| self.changes_since(now, have));
+        Some(changes.unwrap_or_else(|| self.snapshot(now)))
     }
 
     fn snapshot(&self, now: Micros) -> ServiceNews {
         ServiceNews::Snapshot(self.workers.values().map(|listed| listed.record(now)).collect())
     }
 
-    /// The changes since a version, where all of them are kept.
+    /// Changes since a version, if the log reaches back to it.
     fn changes_since(&self, now: Micros, since: WorkersVersion) -> Option<ServiceNews> {
         let first = self.changes.iter().position(|change| change.since == since)?;
         let ids: BTreeSet<&CompactString> =
@@ -164,7 +164,7 @@
         Some(ServiceNews::Changes { since, listed, removed })
     }
 
-    /// Takes in what another process tells.
+    /// Applies an update from another process.
     pub fn take(&mut self, now: Micros, version: WorkersVersion, news: ServiceNews) -> Taken {
         if version <= self.version {
             return Taken::Stale;
@@ -184,7 +184,7 @@
                 for record in listed {
                     self.workers.insert(record.id.clone(), Listed::new(now, record));
                 }
-                self.note(version, ids);
+                self.log_change(version, ids);
                 Taken::Applied
             }
         }
--- a/crates/discovery/tests/following.rs
+++ b/crates/discovery/tests/following.rs
@@ -1,4 +1,4 @@
-//! What followers hold as updates come late, twice, out of order or with gaps. Time is given.
+//! Replication of catalogs with late, duplicate, reordered and missing updates.
 
 use compact_str::CompactString;
 use hingestage_discovery::{Catalog, Follower, CHANGES_KEPT};
@@ -8,7 +8,7 @@
 
 const S: u64 = 1_000_000;
 
-/// Everything that is new is asked for and comes at once.
+/// Requests and applies everything that is new at `from`.
 fn catch_up(follower: &mut Follower, now: u64, from: &Catalog) {
     follower.told(now, &from.index_since(follower.told_version()));
     let asked = follower.ask(now, now + S, |_, _| true);
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn only_services_that_changed_are_named_and_one_change_is_told_as_a_change() {
+fn index_names_only_changed_services_and_updates_are_incremental() {
     let mut source = Catalog::default();
     source.read(S, version(1), vec![worker("a1", "a"), worker("a2", "a"), worker("b1", "b")]);
     let mut follower = Follower::default();
@@ -34,8 +34,8 @@
     assert!(source.read(S, version(3), vec![worker("a1", "a"), leaving.clone(), worker("b1", "b")]));
     let index = source.index_since(version(1));
     assert_eq!(index.services, [("a".into(), version(3))]);
-    assert!(!follower.told(S, &index), "no service that was not known");
-    assert_eq!(follower.catalog().version(), version(1), "told of, not held");
+    assert!(!follower.told(S, &index), "all services were known");
+    assert_eq!(follower.catalog().version(), version(1), "announced, not applied");
     let asked = follower.ask(S, 2 * S, |_, _| true);
     let updates = source.news(S, &asked);
     let change = ServiceNews::Changes { since: version(1), listed: vec![leaving], removed: Vec::new() };
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn a_subscriber_behind_by_more_than_what_is_kept_gets_a_snapshot() {
+fn follower_behind_the_change_log_gets_a_snapshot() {
     let mut source = Catalog::default();
     source.read(S, version(1), vec![worker("a0", "a")]);
     let mut follower = Follower::default();
@@ -55,7 +55,7 @@
     }
     let have = [follower.have(&"a".into())];
     let within = source.news(S, &have).remove(0).news;
-    assert!(matches!(within, ServiceNews::Changes { .. }), "the last that is kept: {within:?}");
+    assert!(matches!(within, ServiceNews::Changes { .. }), "the oldest logged change: {within:?}");
     source.read(S, version(90), vec![worker("a90", "a")]);
     let beyond = source.news(S, &have).remove(0).news;
     assert_eq!(beyond, ServiceNews::Snapshot(vec![worker("a90", "a")]));
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn changes_to_a_version_that_is_not_held_change_nothing_and_a_snapshot_is_asked_for() {
+fn changes_with_a_gap_are_rejected_and_a_snapshot_is_requested() {
     let mut source = Catalog::default();
     source.read(S, version(1), vec![worker("a1", "a")]);
     let mut behind = Follower::default();
@@ -77,13 +77,13 @@
     assert!(behind.take(S, for_ahead).is_empty());
     assert_eq!(ids(behind.catalog()), ["a1"]);
     let asked = behind.ask(S, 2 * S, |_, _| true);
-    assert_eq!(asked[0].version, None, "changes won't do");
+    assert_eq!(asked[0].version, None, "incremental changes can't be applied");
     behind.take(S, source.news(S, &asked));
     assert_eq!(ids(behind.catalog()), ["a2"]);
 }
 
 #[test]
-fn what_is_behind_passes_on_no_version_above_what_it_holds() {
+fn incomplete_relay_announces_no_version_above_what_it_holds() {
     let mut source = Catalog::default();
     source.read(S, version(1), vec![worker("a1", "a"), worker("b1", "b")]);
     let mut relay = Follower::default();
@@ -94,30 +94,30 @@
     relay.take(S, source.news(S, &only_a));
     assert!(!relay.is_complete());
     let index = relay.catalog().index_since(version(1));
-    assert_eq!((index.version, index.services.len()), (version(1), 0), "b would be passed over for ever");
+    assert_eq!((index.version, index.services.len()), (version(1), 0), "followers would skip b forever");
 }
 
 #[test]
-fn a_reader_that_is_new_tells_everything_anew() {
+fn new_reader_republishes_all_services() {
     let mut old = Follower::default();
     old.read(S, version(5), vec![worker("a1", "a"), worker("b1", "b")]);
     let mut follower = Follower::default();
     catch_up(&mut follower, S, old.catalog());
-    // The next reader has an older list, and reads one without b's worker.
+    // The next reader holds an older list and reads one without b's worker.
     let mut next = Follower::default();
     next.read(S, version(2), vec![worker("b1", "b")]);
-    let taken_over = WorkersVersion { fence: 2, reader: 9, number: 1 };
-    assert!(next.read(S, taken_over, vec![worker("a1", "a")]));
+    let takeover = WorkersVersion { fence: 2, reader: 9, number: 1 };
+    assert!(next.read(S, takeover, vec![worker("a1", "a")]));
     catch_up(&mut follower, S, next.catalog());
     assert_eq!(ids(follower.catalog()), ["a1"]);
-    assert_eq!(follower.catalog().version(), taken_over);
-    assert!(!old.read(S, version(6), vec![worker("a1", "a"), worker("b1", "b")]) || taken_over > version(6));
+    assert_eq!(follower.catalog().version(), takeover);
+    assert!(!old.read(S, version(6), vec![worker("a1", "a"), worker("b1", "b")]) || takeover > version(6));
     catch_up(&mut follower, S, old.catalog());
-    assert_eq!(ids(follower.catalog()), ["a1"], "the reader before sets nobody back");
+    assert_eq!(ids(follower.catalog()), ["a1"], "the former reader does not roll back followers");
 }
 
 #[test]
-fn what_a_home_passed_on_counts_as_seen_though_nobody_told_of_it() {
+fn versions_relayed_by_a_home_count_as_seen() {
     let mut source = Catalog::default();
     source.read(S, version(1), vec![worker("a1", "a"), worker("b1", "b")]);
     let mut follower = Follower::default();
@@ -125,19 +125,19 @@
     let ahead = WorkersVersion { fence: 9, reader: 3, number: 1 };
     source.read(S, ahead, vec![worker("a2", "a"), worker("b2", "b")]);
     follower.take(S, source.news(S, &[follower.have(&"a".into())]));
-    assert_eq!(follower.told_version(), version(1), "b is still to be named");
-    assert_eq!(follower.seen_version(), ahead, "lists have to go on above it");
+    assert_eq!(follower.told_version(), version(1), "b is not announced yet");
+    assert_eq!(follower.seen_version(), ahead, "new lists need a higher version");
 }
 
 #[test]
-fn a_cold_worker_stays_cold_no_longer_for_each_hand_that_the_news_goes_through() {
+fn relaying_does_not_extend_the_warm_up_of_a_worker() {
     let cold = WorkerRecord { cold_left: 5_000, ..worker("a1", "a") };
     let mut source = Catalog::default();
     source.read(S, version(1), vec![cold.clone()]);
     let mut relay = Follower::default();
     catch_up(&mut relay, 3 * S, &source);
     let mut last = Follower::default();
-    // Clocks count from each process's start.
+    // Each process has a clock of its own.
     let of_relay = relay.catalog().news(4 * S, &[last.have(&"a".into())]);
     let ServiceNews::Snapshot(records) = &of_relay[0].news else { panic!("{of_relay:?}") };
     assert_eq!(records[0].cold_left, 2_000);
@@ -145,12 +145,12 @@
     let until = last.catalog().workers().next().and_then(|listed| listed.cold_until);
     assert_eq!(until, Some(102 * S));
     let later = WorkerRecord { cold_left: 2_000, ..cold.clone() };
-    assert!(!source.read(4 * S, version(2), vec![later]), "as cold as was known is no news");
-    assert!(source.read(4 * S, version(3), vec![cold]), "colder is");
+    assert!(!source.read(4 * S, version(2), vec![later]), "the known warm-up is no change");
+    assert!(source.read(4 * S, version(3), vec![cold]), "a longer warm-up is a change");
 }
 
 #[test]
-fn what_was_asked_is_asked_again_only_after_its_time_or_without_an_answer() {
+fn pending_request_is_repeated_only_after_its_deadline_or_without_an_answer() {
     let mut source = Catalog::default();
     source.read(S, version(1), vec![worker("a1", "a")]);
     let mut follower = Follower::default();
@@ -158,16 +158,16 @@
     assert!(follower.ask(S, 2 * S, |_, waited| waited > 0).is_empty(), "not due");
     let asked = follower.ask(S, 2 * S, |_, _| true);
     assert_eq!(asked.len(), 1);
-    assert!(follower.ask(S + 1, 3 * S, |_, _| true).is_empty(), "under way");
+    assert!(follower.ask(S + 1, 3 * S, |_, _| true).is_empty(), "request pending");
     follower.unanswered(&asked);
     assert_eq!(follower.ask(S + 1, 2 * S, |_, _| true).len(), 1);
     assert_eq!(follower.ask(2 * S, 3 * S, |_, waited| waited == S).len(), 1);
 }
 
 proptest! {
-    /// However news goes about between a source and relays that follow each other, all end alike.
+    /// All followers converge to the source, in whatever order they exchange updates.
     #[test]
-    fn followers_end_with_what_the_source_has(
+    fn followers_converge_to_the_source(
         lists in prop::collection::vec(prop::collection::vec((0u8..6, 0u8..3, any::<bool>()), 0..8), 1..30),
         hops in prop::collection::vec((0usize..4, 0usize..4), 0..120),
     ) {
@@ -185,7 +185,7 @@
                     catch_up(&mut others[to], S, source.catalog());
                     continue;
                 }
-                // A home passes services on, whatever version it has.
+                // A home relays services at whatever version it holds.
                 let names: Vec<CompactString> = others[from].names().cloned().collect();
                 let have: Vec<_> = names.iter().map(|name| others[to].have(name)).collect();
                 let updates = others[from].catalog().news(S, &have);
@@ -197,8 +197,8 @@
             catch_up(follower, S, source.catalog());
             prop_assert!(follower.is_complete());
             let held: Vec<_> = follower.catalog().workers().collect();
-            let there: Vec<_> = source.catalog().workers().collect();
-            prop_assert_eq!(held, there);
+            let expected: Vec<_> = source.catalog().workers().collect();
+            prop_assert_eq!(held, expected);
         }
     }
 }
--- a/crates/discovery/tests/homes.rs
+++ b/crates/discovery/tests/homes.rs
@@ -1,4 +1,4 @@
-//! Which proxies are homes, and which are known.
+//! Assignment of homes, and selection of neighbors and counters.
 
 use compact_str::{format_compact, CompactString};
 use hingestage_discovery::neighbors::{counters, zone_members, COUNTERS_MAX, ZONE_MAX};
@@ -11,7 +11,7 @@
     PeerProxy { name: format_compact!("edge-{number}"), addr }
 }
 
-/// The homes as a proxy sees them that knows some others.
+/// Homes as seen by proxy `me` with the given zone members.
 fn homes(me: usize, of: &[usize]) -> Homes {
     let mut homes = Homes::new(&proxy(me).name);
     homes.take(of.iter().map(|number| proxy(*number)));
@@ -26,22 +26,22 @@
 }
 
 #[test]
-fn all_proxies_of_a_zone_name_the_same_home_and_services_are_spread_over_them() {
+fn all_proxies_of_a_zone_agree_on_evenly_spread_homes() {
     let zone: Vec<usize> = (1..=5).collect();
     let mut services_of = [0; 6];
     for service in 0..500 {
         let key = format!("service-{service}");
-        let named: Vec<CompactString> =
+        let chosen: Vec<CompactString> =
             zone.iter().map(|me| home_of(&homes(*me, &zone), *me, S, &key)).collect();
-        assert!(named.iter().all(|name| *name == named[0]), "{named:?}");
-        let home = zone.iter().find(|number| proxy(**number).name == named[0]).expect("one of the zone");
+        assert!(chosen.iter().all(|name| *name == chosen[0]), "{chosen:?}");
+        let home = zone.iter().find(|number| proxy(**number).name == chosen[0]).expect("one of the zone");
         services_of[*home] += 1;
     }
     assert!(services_of[1..].iter().all(|count| (60..140).contains(count)), "{services_of:?}");
 }
 
 #[test]
-fn when_a_home_goes_only_its_services_change_hands() {
+fn only_the_services_of_a_lost_home_are_reassigned() {
     let (all, left) = (homes(1, &[1, 2, 3, 4]), homes(1, &[1, 2, 4]));
     for service in 0..200 {
         let key = format!("service-{service}");
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn a_home_that_is_late_is_passed_over_until_its_time_is_over_or_it_answers() {
+fn unresponsive_home_is_skipped_until_its_timeout_or_answer() {
     let mut homes = homes(1, &[1, 2]);
     let key = (0..).map(|number| format!("s{number}")).find(|key| homes.is_home(S, key, "edge-2"));
     let key = key.expect("one of them");
@@ -61,14 +61,14 @@
     assert_eq!(homes.home(4 * S - 1, &key), Home::Me);
     assert!(homes.is_home(4 * S, &key, "edge-2"));
     homes.silent("edge-2", 9 * S);
-    assert!(!homes.take([proxy(1), proxy(2)]), "told of again: nothing new");
-    assert_eq!(homes.home(5 * S, &key), Home::Me, "being told of is no answer");
+    assert!(!homes.take([proxy(1), proxy(2)]), "the same members are no change");
+    assert_eq!(homes.home(5 * S, &key), Home::Me, "membership is no answer");
     homes.answered("edge-2");
     assert!(homes.is_home(5 * S, &key, "edge-2"));
 }
 
 #[test]
-fn a_proxy_alone_is_the_home_of_everything_and_others_that_come_or_move_are_news() {
+fn single_proxy_is_home_of_all_services_and_membership_changes_are_reported() {
     let mut homes = Homes::new("edge-1");
     assert_eq!(homes.home(S, "s"), Home::Me);
     assert!(!homes.take([proxy(1)]));
@@ -80,7 +80,7 @@
 }
 
 #[test]
-fn any_part_of_the_fleet_that_holds_the_counters_names_the_same_ones() {
+fn counters_selected_from_a_subset_match_those_of_the_fleet() {
     let fleet: Vec<String> = (0..3_600).map(|number| format!("edge-{number}")).collect();
     let all = counters(&fleet, |name| name);
     assert_eq!(all.len(), COUNTERS_MAX);
@@ -98,7 +98,7 @@
 }
 
 #[test]
-fn few_proxies_all_know_each_other_and_a_large_zone_is_bounded() {
+fn small_zones_are_fully_connected_and_large_ones_bounded() {
     let few: Vec<String> = (0..11).map(|number| format!("edge-{number}")).collect();
     assert_eq!(counters(&few, |name| name).len(), 11);
     let many: Vec<String> = (0..200).map(|number| format!("edge-{number}")).collect();
