--- a/crates/configuration/src/transfer.rs
+++ b/crates/configuration/src/transfer.rs
@@ -24,14 +24,14 @@
     /// The bytes are not a packed document, or the document is too long.
     Unreadable,
     /// The delta belongs to another base document.
-    OtherBase,
+    WrongBase,
 }
 
 impl fmt::Display for TransferError {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         f.write_str(match self {
             TransferError::Unreadable => "no packed document, or one that is too long",
-            TransferError::OtherBase => "a change to another document",
+            TransferError::WrongBase => "a change to another document",
         })
     }
 }
@@ -61,7 +61,7 @@
 }
 
 /// Encodes and compresses a document as a delta to `base`.
-pub fn pack_change(base: &[u8], document: &[u8]) -> Vec<u8> {
+pub fn pack_delta(base: &[u8], document: &[u8]) -> Vec<u8> {
     let segments = segments(base, document);
     let encoded = bincode::serde::encode_to_vec(&segments, bincode::config::standard()).unwrap_or_default();
     pack(&encoded)
@@ -71,7 +71,7 @@
 ///
 /// # Errors
 /// [`TransferError`].
-pub fn unpack_change(base: &[u8], packed: &[u8], bytes_max: usize) -> Result<Vec<u8>, TransferError> {
+pub fn unpack_delta(base: &[u8], packed: &[u8], bytes_max: usize) -> Result<Vec<u8>, TransferError> {
     let encoded = unpack(packed, bytes_max.saturating_mul(SEGMENT_OVERHEAD))?;
     let decoded = bincode::serde::decode_from_slice(&encoded, bincode::config::standard());
     let (segments, _): (Vec<Segment>, usize) = decoded.map_err(|_| TransferError::Unreadable)?;
@@ -80,7 +80,7 @@
         let bytes = match &segment {
             Segment::Literal(bytes) => bytes.as_slice(),
             Segment::Copy { from, length } => {
-                base_range(base, *from, *length).ok_or(TransferError::OtherBase)?
+                base_range(base, *from, *length).ok_or(TransferError::WrongBase)?
             }
         };
         if document.len() + bytes.len() > bytes_max {
--- a/crates/configuration/tests/transfer.rs
+++ b/crates/configuration/tests/transfer.rs
@@ -1,6 +1,6 @@
 //! Round trips of packed documents and deltas, and rejection of invalid input.
 
-use hingestage_configuration::transfer::{pack, pack_change, unpack, unpack_change, TransferError};
+use hingestage_configuration::transfer::{pack, pack_delta, unpack, unpack_delta, TransferError};
 use proptest::prelude::*;
 
 const BYTES_MAX: usize = 1 << 20;
@@ -26,9 +26,9 @@
     more.insert(700, "new".into());
     more.remove(3);
     let (base, document_bytes) = (document(&few), document(&more));
-    let delta = pack_change(&base, &document_bytes);
+    let delta = pack_delta(&base, &document_bytes);
     assert!(delta.len() < 200, "{}", delta.len());
-    assert_eq!(unpack_change(&base, &delta, BYTES_MAX), Ok(document_bytes.clone()));
+    assert_eq!(unpack_delta(&base, &delta, BYTES_MAX), Ok(document_bytes.clone()));
     let whole = pack(&document_bytes);
     assert!(whole.len() * 5 < document_bytes.len(), "{} of {}", whole.len(), document_bytes.len());
     assert_eq!(unpack(&whole, BYTES_MAX), Ok(document_bytes));
@@ -37,10 +37,10 @@
 #[test]
 fn delta_with_a_wrong_base_and_oversized_documents_are_rejected() {
     let (short, long) = (document(&names(0..1)), document(&names(0..50)));
-    let delta = pack_change(&long, &document(&names(1..50)));
-    assert_eq!(unpack_change(&short, &delta, BYTES_MAX), Err(TransferError::OtherBase));
+    let delta = pack_delta(&long, &document(&names(1..50)));
+    assert_eq!(unpack_delta(&short, &delta, BYTES_MAX), Err(TransferError::WrongBase));
     assert_eq!(unpack(&pack(&long), long.len() - 1), Err(TransferError::Unreadable));
-    assert_eq!(unpack_change(&long, &delta, 10), Err(TransferError::Unreadable));
+    assert_eq!(unpack_delta(&long, &delta, 10), Err(TransferError::Unreadable));
     assert_eq!(unpack(b"no packed document", BYTES_MAX), Err(TransferError::Unreadable));
 }
 
@@ -54,8 +54,8 @@
             document(&numbers.iter().map(|number| format!("n{number}")).collect::<Vec<_>>())
         };
         let (base, document_bytes) = (text(&base), text(&document_bytes));
-        let delta = pack_change(&base, &document_bytes);
-        prop_assert_eq!(unpack_change(&base, &delta, BYTES_MAX), Ok(document_bytes));
+        let delta = pack_delta(&base, &document_bytes);
+        prop_assert_eq!(unpack_delta(&base, &delta, BYTES_MAX), Ok(document_bytes));
     }
 
     #[test]
@@ -64,8 +64,8 @@
         base in prop::collection::vec(any::<u8>(), 0..50),
     ) {
         let _ = unpack(&bytes, 1_000);
-        let _ = unpack_change(&base, &bytes, 1_000);
-        let _ = unpack_change(&base, &pack(&bytes), 1_000);
-        prop_assert_eq!(unpack_change(&base, &pack_change(&base, &bytes), 1_000), Ok(bytes));
+        let _ = unpack_delta(&base, &bytes, 1_000);
+        let _ = unpack_delta(&base, &pack(&bytes), 1_000);
+        prop_assert_eq!(unpack_delta(&base, &pack_delta(&base, &bytes), 1_000), Ok(bytes));
     }
 }
--- a/crates/rpc/src/messages.rs
+++ b/crates/rpc/src/messages.rs
@@ -56,7 +56,7 @@
     /// Packs a document, whole or as a change to one that the receiver has.
     pub fn new(document: &ConfigDocument, base: Option<&ConfigDocument>) -> ConfigTransfer {
         let packed = match base {
-            Some(base) => transfer::pack_change(&base.json, &document.json),
+            Some(base) => transfer::pack_delta(&base.json, &document.json),
             None => transfer::pack(&document.json),
         };
         ConfigTransfer { version: document.version, base: base.map(|base| base.version), packed }
@@ -69,7 +69,7 @@
             None => transfer::unpack(&self.packed, DOCUMENT_MAX),
             Some(base) => {
                 let held = held.filter(|held| held.version == base)?;
-                transfer::unpack_change(&held.json, &self.packed, DOCUMENT_MAX)
+                transfer::unpack_delta(&held.json, &self.packed, DOCUMENT_MAX)
             }
         };
         let json = json.ok().filter(|json| digest(json) == self.version.digest)?;
