--- a/crates/capacity/src/directory.rs
+++ b/crates/capacity/src/directory.rs
@@ -3,7 +3,7 @@
 use crate::fixtures;
 use crate::measure::{resident, seconds_each, Report};
 use eyre::Result;
-use hingestage_registry::directory::{Directory, Figures};
+use hingestage_registry::directory::{Directory, DirectorySettings};
 use hingestage_rpc::encoded;
 use hingestage_rpc::messages::{Have, RegistryAddress, RegistryAnswer, RegistryRequest, Watched, ZoneDrain};
 use std::hint::black_box;
@@ -21,7 +21,7 @@
 pub fn play(count: usize) -> Result<()> {
     let report = Report::new("directory", &format!("{count} proxies"));
     let before = resident();
-    let mut directory = Directory::new(Figures::default());
+    let mut directory = Directory::new(DirectorySettings::default());
     for number in 0..count {
         directory.heard(NOW, fixtures::proxy_status(number), WAIT);
     }
--- a/crates/capacity/src/heartbeats.rs
+++ b/crates/capacity/src/heartbeats.rs
@@ -8,7 +8,7 @@
 use crate::servers::{Machine, Process, TemporaryDir, REGISTRY, STORE};
 use eyre::Result;
 use hingestage_node::settings::InnerPort;
-use hingestage_registry::directory::{Directory, Figures};
+use hingestage_registry::directory::{Directory, DirectorySettings};
 use hingestage_rpc::messages::{ConfigVersion, Have, ProxyStatus, RegistryAnswer, RegistryRequest, Watched};
 use hingestage_rpc::{encoded, Client};
 use std::cell::{Cell, RefCell};
@@ -143,7 +143,7 @@
     /// Waits until every proxy was told of all.
     async fn settle(&self, report: &Report, registry: &Process) {
         let before = self.mark(registry);
-        let mut directory = Directory::new(Figures::default());
+        let mut directory = Directory::new(DirectorySettings::default());
         for proxy in &self.proxies {
             directory.heard(0, proxy.status.borrow().clone(), 0);
         }
--- a/crates/capacity/src/trials.rs
+++ b/crates/capacity/src/trials.rs
@@ -50,7 +50,7 @@
     report.bytes("a step to one proxy, as sent", one.len() as u64);
     report.bytes("all steps at a proxy's start, as sent", encoded(&news(1)).len() as u64);
     let mut log = TrialLog::new(1, 0);
-    log.take(NOW, news(0));
+    log.apply(NOW, news(0));
     let due = || drop(black_box(log.steps_due(NOW, TIME_OF_DAY)));
     report.seconds("TrialLog::steps_due, all trials", seconds_each(1, due));
     Ok(())
--- a/crates/capacity/src/workers.rs
+++ b/crates/capacity/src/workers.rs
@@ -39,7 +39,7 @@
 fn measure_view_memory(report: &Report, count: usize) -> View {
     let before = resident();
     let mut view = View::new(SPANS);
-    view.followed_mut().take(NOW, fixtures::all_workers(1, count));
+    view.followed_mut().apply_updates(NOW, fixtures::all_workers(1, count));
     report.bytes("memory of the view", resident().saturating_sub(before));
     view
 }
@@ -55,7 +55,7 @@
     }
     report.seconds("Services::get, all services", (thread_cpu() - started).as_secs_f64());
     report.bytes("memory of the services' decisions", resident().saturating_sub(before));
-    view.followed_mut().take(NOW, fixtures::all_workers(2, workers));
+    view.followed_mut().apply_updates(NOW, fixtures::all_workers(2, workers));
     report.seconds("Services::refresh, all services", seconds_each(1, || services.refresh(view, NOW)));
     let changed = fixtures::service(0);
     let refresh = || services.refresh_those(view, NOW, |name| *name == changed);
@@ -66,13 +66,13 @@
     let mut numbers = 3..;
     let take_all = || {
         let updates = fixtures::all_workers(numbers.next().unwrap_or_default(), count);
-        black_box(view.followed_mut().take(NOW, updates));
+        black_box(view.followed_mut().apply_updates(NOW, updates));
     };
     report.seconds("Follower::take, all services, and making them", seconds_each(TAKEN, take_all));
     let mut numbers = (3 + (RUNS * TAKEN) as u64)..;
     let take_change = || {
         let update = fixtures::worker_change(numbers.next().unwrap_or_default(), count);
-        black_box(view.followed_mut().take(NOW, vec![update]));
+        black_box(view.followed_mut().apply_updates(NOW, vec![update]));
     };
     report.seconds("Follower::take, a change of one worker", seconds_each(TAKEN, take_change));
 }
--- a/crates/control-sim/src/core_node.rs
+++ b/crates/control-sim/src/core_node.rs
@@ -7,11 +7,11 @@
 use compact_str::format_compact;
 use fastrand::Rng;
 use hingestage_discovery::Follower;
-use hingestage_registry::admission::{self, Admissions};
-use hingestage_registry::directory::{self, Directory};
-use hingestage_registry::duty::{self, Duty};
+use hingestage_registry::admission::{AdmissionSettings, Admissions};
+use hingestage_registry::committed::CommittedState;
+use hingestage_registry::directory::{Directory, DirectorySettings};
+use hingestage_registry::reader_election::{ElectionSettings, ReaderElection};
 use hingestage_registry::trials::TrialLog;
-use hingestage_registry::watch::InForce;
 use hingestage_replication::{Disk as ReplicaDisk, Figures, Outgoing, Plan, Record, Replica};
 use hingestage_rpc::messages::{
     Change, ConfigVersion, Have, ProcessId, Proposed, ProxyStatus, RegistryMember, StoreMember, Watched,
@@ -102,8 +102,8 @@
     defect: Option<Defect>,
     disk: Disk,
     pub replica: Replica,
-    in_force: InForce,
-    pub duty: Duty,
+    in_force: CommittedState,
+    pub duty: ReaderElection,
     pub workers: Follower,
     admissions: Admissions,
     directory: Directory,
@@ -127,7 +127,7 @@
         let member = store_member(number, layout.zones[number], 0);
         let mut node = CoreNode {
             process: Process::default(),
-            duty: Duty::new(registry_member(&member, 0), duty::Figures::default()),
+            duty: ReaderElection::new(registry_member(&member, 0), ElectionSettings::default()),
             replica: Replica::new(member.clone(), Record::default(), Vec::new(), figures(), 1),
             member,
             number,
@@ -137,7 +137,7 @@
             in_force: in_force(0, defect),
             workers: Follower::default(),
             admissions: Admissions::new(true, admission_figures(defect)),
-            directory: Directory::new(directory::Figures::default()),
+            directory: Directory::new(DirectorySettings::default()),
             orders: Vec::new(),
             reads: Vec::new(),
             ticks: 0,
@@ -182,10 +182,10 @@
         }
         self.in_force = in_force(self.process.life, self.defect);
         let me = registry_member(&self.member, self.process.life);
-        self.duty = Duty::new(me, duty::Figures::default());
+        self.duty = ReaderElection::new(me, ElectionSettings::default());
         self.workers = Follower::default();
         self.admissions = Admissions::new(false, admission_figures(self.defect));
-        self.directory = Directory::new(directory::Figures::default());
+        self.directory = Directory::new(DirectorySettings::default());
         self.orders.clear();
         self.reads.clear();
     }
@@ -292,17 +292,17 @@
         self.disk.sync(now);
         let mut sent = self.poll(now);
         let news = self.replica.news(clock, &self.in_force.summary);
-        self.in_force.take(clock, clock, news);
-        self.directory.tidy(clock);
-        self.duty.tidy(clock);
+        self.in_force.apply(clock, clock, news);
+        self.directory.remove_expired(clock);
+        self.duty.remove_expired(clock);
         if self.ticks.is_multiple_of(EXCHANGE_TICKS) {
             sent.extend(self.exchange(now));
         }
         if self.ticks.is_multiple_of(MEET_TICKS) {
             self.to_other_cores(&mut sent, |node| Message::Meet {
-                from: node.duty.me(clock),
+                from: node.duty.local_member(clock),
                 members: node.duty.members(clock),
-                workers: node.workers.told_version(),
+                workers: node.workers.announced_version(),
                 workers_seen: node.workers.seen_version(),
             });
         }
@@ -329,7 +329,7 @@
     }
 
     fn admit(&mut self, now: Micros) -> Vec<Envelope> {
-        let names = self.admissions.due(self.process.clock(now), &self.in_force.proxies);
+        let names = self.admissions.due_changes(self.process.clock(now), &self.in_force.proxies);
         if names.is_empty() {
             return Vec::new();
         }
@@ -355,15 +355,15 @@
 
     fn read_list(&mut self, now: Micros, platform: &mut Platform, random: &mut Rng) {
         let clock = self.process.clock(now);
-        let Some(mut version) = self.duty.read_under(clock) else { return };
+        let Some(mut version) = self.duty.next_version(clock) else { return };
         if self.defect == Some(Defect::DutyWithoutFence) {
             version = WorkersVersion { fence: 1, reader: 1, number: version.number };
         }
         let read = platform.read(now, random);
-        self.duty.has_read(clock, read.is_some());
+        self.duty.record_read(clock, read.is_some());
         if let Some(workers) = read {
-            self.workers.read(clock, version, workers);
-            self.duty.saw(self.workers.told_version());
+            self.workers.apply_list(clock, version, workers);
+            self.duty.observe_version(self.workers.announced_version());
         }
     }
 
@@ -388,9 +388,9 @@
             }
             Message::Meet { from, members, workers, workers_seen } => {
                 self.met(clock, from, members);
-                self.duty.saw(workers_seen);
+                self.duty.observe_version(workers_seen);
                 Message::Met {
-                    from: self.duty.me(clock),
+                    from: self.duty.local_member(clock),
                     members: self.duty.members(clock),
                     workers: self.workers.catalog().index_since(workers),
                 }
@@ -403,13 +403,17 @@
                 Message::Watched { asked_at, news: Box::new(self.watched(clock, status, have)) }
             }
             Message::FetchConfig => match self.in_force.configs.newest() {
-                Some(document) if self.in_force.offered(clock).is_some() => Message::Config(document.clone()),
+                Some(document) if self.in_force.offered_version(clock).is_some() => {
+                    Message::Config(document.clone())
+                }
                 _ => return Vec::new(),
             },
-            Message::FetchServices(have) => Message::Services(self.workers.catalog().news(clock, &have)),
+            Message::FetchServices(have) => {
+                Message::Services(self.workers.catalog().updates_for(clock, &have))
+            }
             Message::Services(updates) => {
-                self.workers.take(clock, updates);
-                self.duty.saw(self.workers.seen_version());
+                self.workers.apply_updates(clock, updates);
+                self.duty.observe_version(self.workers.seen_version());
                 return Vec::new();
             }
             Message::Watched { .. } | Message::Config(_) => return Vec::new(),
@@ -418,14 +422,14 @@
     }
 
     fn met(&mut self, clock: Micros, from: RegistryMember, members: Vec<RegistryMember>) {
-        self.duty.heard(clock, from);
-        members.into_iter().for_each(|member| self.duty.told_of(member));
+        self.duty.record_heartbeat(clock, from);
+        members.into_iter().for_each(|member| self.duty.add_candidate(member));
     }
 
     fn follow(&mut self, clock: Micros, from: NodeId, index: &ServiceIndex) -> Vec<Envelope> {
-        self.duty.saw(index.version);
-        self.workers.told(clock, index);
-        let asked = self.workers.ask(clock, clock + SERVICES_WITHIN, |_, _| true);
+        self.duty.observe_version(index.version);
+        self.workers.apply_index(clock, index);
+        let asked = self.workers.next_requests(clock, clock + SERVICES_WITHIN, |_, _| true);
         if asked.is_empty() {
             return Vec::new();
         }
@@ -435,19 +439,19 @@
     fn watched(&mut self, clock: Micros, status: ProxyStatus, theirs: Have) -> Watched {
         let (name, zone) = (status.id.node.clone(), status.zone.clone());
         self.directory.heard(clock, status, WATCH_WITHIN);
-        self.duty.saw(theirs.workers_seen);
-        self.admissions.heard(&name, &self.in_force.proxies);
+        self.duty.observe_version(theirs.workers_seen);
+        self.admissions.observe(&name, &self.in_force.proxies);
         let summary = &self.in_force.summary;
         Watched {
             have: Have {
-                config: self.in_force.offered(clock),
+                config: self.in_force.offered_version(clock),
                 drains: summary.drains.clone(),
                 workers: self.workers.catalog().version(),
                 workers_seen: self.workers.seen_version(),
                 directory: 0,
                 trials: self.in_force.trials.revision(),
             },
-            trials: self.in_force.trials.since(clock, theirs.trials),
+            trials: self.in_force.trials.updates_since(clock, theirs.trials),
             services: self.workers.catalog().index_since(theirs.workers),
             directory: Some(self.directory.neighbors(clock, &zone).into_iter().cloned().collect()),
             fresh_age: self.in_force.fresh_age(clock),
@@ -458,18 +462,18 @@
     }
 }
 
-fn in_force(life: u32, defect: Option<Defect>) -> InForce {
-    let mut in_force = InForce::new(life.into());
+fn in_force(life: u32, defect: Option<Defect>) -> CommittedState {
+    let mut in_force = CommittedState::new(life.into());
     if defect == Some(Defect::StepWithoutNotice) {
         in_force.trials = TrialLog::new(life.into(), 0);
     }
     in_force
 }
 
-fn admission_figures(defect: Option<Defect>) -> admission::Figures {
-    let figures = admission::Figures::default();
+fn admission_figures(defect: Option<Defect>) -> AdmissionSettings {
+    let figures = AdmissionSettings::default();
     let lease = if defect == Some(Defect::NewcomerAtOnce) { 0 } else { figures.lease };
-    admission::Figures { lease, ..figures }
+    AdmissionSettings { lease, ..figures }
 }
 
 pub(crate) fn core_name(number: NodeId) -> compact_str::CompactString {
--- a/crates/control-sim/src/judge.rs
+++ b/crates/control-sim/src/judge.rs
@@ -288,7 +288,7 @@
             return Err(format!(
                 "{name} has the workers {held:?} up to {:?} (told of {:?}, complete: {}), the platform {:?}",
                 followed.catalog().version(),
-                followed.told_version(),
+                followed.announced_version(),
                 followed.is_complete(),
                 platform.truth()
             ));
--- a/crates/control-sim/src/proxy_node.rs
+++ b/crates/control-sim/src/proxy_node.rs
@@ -119,10 +119,11 @@
         }
         if self.ticks.is_multiple_of(LATE_TICKS) {
             let until = clock + SERVICES_WITHIN;
-            let late = self.view.followed_mut().ask(clock, until, |_, waited| waited >= HOME_PATIENCE);
+            let late =
+                self.view.followed_mut().next_requests(clock, until, |_, waited| waited >= HOME_PATIENCE);
             for have in &late {
                 if let Home::Peer(peer) = self.homes.home(clock, &have.service) {
-                    self.homes.silent(&peer.name, clock + HOME_SILENT);
+                    self.homes.mark_unresponsive(&peer.name, clock + HOME_SILENT);
                 }
             }
             if !late.is_empty() {
@@ -173,11 +174,11 @@
                 Vec::new()
             }
             Message::Services(updates) => {
-                self.view.followed_mut().take(clock, updates);
+                self.view.followed_mut().apply_updates(clock, updates);
                 Vec::new()
             }
             Message::FetchServices(have) => {
-                let updates = self.view.followed().catalog().news(clock, &have);
+                let updates = self.view.followed().catalog().updates_for(clock, &have);
                 let answer = self.envelope(envelope.from, Message::Services(updates));
                 vec![Envelope { to_life: Some(envelope.from_life), ..answer }]
             }
@@ -192,14 +193,14 @@
         if let Some(peers) = news.directory {
             let of_zone = peers.iter().filter(|peer| peer.zone == self.zone);
             let living = of_zone.map(|peer| PeerProxy { name: peer.id.node.clone(), addr: peer.peer });
-            self.homes.take(living);
+            self.homes.set_live_proxies(living);
             self.view.take_peers(peers);
         }
         self.view.take_drains(clock, &news.have.drains);
-        self.view.followed_mut().told(clock, &news.services);
+        self.view.followed_mut().apply_index(clock, &news.services);
         let (homes, until) = (&self.homes, clock + SERVICES_WITHIN);
-        let due = |name: &CompactString, _| homes.home(clock, name) == Home::Me;
-        let asked = self.view.followed_mut().ask(clock, until, due);
+        let due = |name: &CompactString, _| homes.home(clock, name) == Home::Local;
+        let asked = self.view.followed_mut().next_requests(clock, until, due);
         if !asked.is_empty() {
             sent.push(self.envelope(from, Message::FetchServices(asked)));
         }
--- a/crates/discovery/src/catalog.rs
+++ b/crates/discovery/src/catalog.rs
@@ -1,6 +1,6 @@
 //! Catalog of all services' workers, with an overall version.
 
-use crate::service_list::{Listed, ServiceList, Taken};
+use crate::service_list::{ListedWorker, ServiceList, UpdateOutcome};
 use crate::Micros;
 use compact_str::CompactString;
 use hingestage_rpc::workers::{ServiceHave, ServiceIndex, ServiceUpdate, WorkerRecord, WorkersVersion};
@@ -35,7 +35,7 @@
     }
 
     /// All workers.
-    pub fn workers(&self) -> impl Iterator<Item = &Listed> {
+    pub fn workers(&self) -> impl Iterator<Item = &ListedWorker> {
         self.services.values().flat_map(ServiceList::workers)
     }
 
@@ -46,16 +46,16 @@
 
     /// Applies the platform's list, read as `version`, which is above the current one. Returns whether anything
     /// changed. Everything counts as changed if the reader is a new one.
-    pub fn read(&mut self, now: Micros, version: WorkersVersion, records: Vec<WorkerRecord>) -> bool {
+    pub fn apply_list(&mut self, now: Micros, version: WorkersVersion, records: Vec<WorkerRecord>) -> bool {
         let new_reader = !version.has_reader_of(&self.version);
-        let mut read: BTreeMap<CompactString, Vec<WorkerRecord>> =
+        let mut records_by_service: BTreeMap<CompactString, Vec<WorkerRecord>> =
             self.services.keys().map(|name| (name.clone(), Vec::new())).collect();
         for record in records {
-            read.entry(record.service.clone()).or_default().push(record);
+            records_by_service.entry(record.service.clone()).or_default().push(record);
         }
         let mut changed = new_reader;
-        for (name, records) in read {
-            changed |= self.services.entry(name).or_default().read(now, version, records, new_reader);
+        for (name, records) in records_by_service {
+            changed |= self.services.entry(name).or_default().apply_list(now, version, records, new_reader);
         }
         if changed {
             self.version = version;
@@ -95,10 +95,10 @@
     }
 
     /// Updates for a follower that has the given versions. Services that are unknown here are skipped.
-    pub fn news(&self, now: Micros, have: &[ServiceHave]) -> Vec<ServiceUpdate> {
+    pub fn updates_for(&self, now: Micros, have: &[ServiceHave]) -> Vec<ServiceUpdate> {
         let updates = have.iter().filter_map(|have| {
             let list = self.services.get(&have.service)?;
-            let news = list.news(now, have.version)?;
+            let news = list.update_for(now, have.version)?;
             Some(ServiceUpdate { service: have.service.clone(), version: list.version(), news })
         });
         updates.collect()
@@ -110,11 +110,11 @@
         ServiceHave { service: service.clone(), version }
     }
 
-    pub(crate) fn take(&mut self, now: Micros, update: ServiceUpdate) -> Taken {
+    pub(crate) fn apply(&mut self, now: Micros, update: ServiceUpdate) -> UpdateOutcome {
         let known = self.services.contains_key(&update.service);
         if !known && self.services.len() >= SERVICES_MAX {
-            return Taken::Stale;
+            return UpdateOutcome::Stale;
         }
-        self.services.entry(update.service).or_default().take(now, update.version, update.news)
+        self.services.entry(update.service).or_default().apply(now, update.version, update.news)
     }
 }
--- a/crates/discovery/src/follower.rs
+++ b/crates/discovery/src/follower.rs
@@ -1,7 +1,7 @@
 //! Follower of other processes' catalogs: announced versions, missing services and pending requests.
 
 use crate::catalog::Catalog;
-use crate::service_list::Taken;
+use crate::service_list::UpdateOutcome;
 use crate::Micros;
 use compact_str::CompactString;
 use hingestage_rpc::workers::{ServiceHave, ServiceIndex, ServiceUpdate, WorkerRecord, WorkersVersion};
@@ -36,7 +36,7 @@
     }
 
     /// Highest announced version; an index needs to name only newer services.
-    pub fn told_version(&self) -> WorkersVersion {
+    pub fn announced_version(&self) -> WorkersVersion {
         self.announced
     }
 
@@ -58,11 +58,11 @@
     }
 
     /// Applies the platform's list, read by this process. Returns whether anything changed.
-    pub fn read(&mut self, now: Micros, version: WorkersVersion, records: Vec<WorkerRecord>) -> bool {
+    pub fn apply_list(&mut self, now: Micros, version: WorkersVersion, records: Vec<WorkerRecord>) -> bool {
         if version <= self.announced {
             return false;
         }
-        let changed = self.catalog.read(now, version, records);
+        let changed = self.catalog.apply_list(now, version, records);
         if changed {
             self.wanted.clear();
             self.announced = version;
@@ -71,7 +71,7 @@
     }
 
     /// Applies an index of newer services. Returns whether it names a service that was unknown.
-    pub fn told(&mut self, now: Micros, index: &ServiceIndex) -> bool {
+    pub fn apply_index(&mut self, now: Micros, index: &ServiceIndex) -> bool {
         if index.version <= self.announced {
             return false;
         }
@@ -106,7 +106,7 @@
 
     /// Services to request now: those without a pending request for which `due` holds, given the name and the time
     /// since the newer version was announced. The requests are pending until `until`.
-    pub fn ask(
+    pub fn next_requests(
         &mut self,
         now: Micros,
         until: Micros,
@@ -123,8 +123,8 @@
     }
 
     /// Ends a request; services that the answer didn't bring up to date may be requested again.
-    pub fn unanswered(&mut self, asked: &[ServiceHave]) {
-        for have in asked {
+    pub fn end_request(&mut self, requested: &[ServiceHave]) {
+        for have in requested {
             if let Some(wanted) = self.wanted.get_mut(&have.service) {
                 wanted.pending_until = 0;
             }
@@ -139,18 +139,18 @@
     }
 
     /// Applies updates from a registry or a home. Returns the services that have changed.
-    pub fn take(&mut self, now: Micros, updates: Vec<ServiceUpdate>) -> Vec<CompactString> {
+    pub fn apply_updates(&mut self, now: Micros, updates: Vec<ServiceUpdate>) -> Vec<CompactString> {
         let mut changed = Vec::new();
         for update in updates {
             let (name, version) = (update.service.clone(), update.version);
             self.seen = self.seen.max(version);
-            match self.catalog.take(now, update) {
-                Taken::Applied => {
+            match self.catalog.apply(now, update) {
+                UpdateOutcome::Applied => {
                     self.wanted.retain(|wanted, entry| *wanted != name || entry.version > version);
                     changed.push(name);
                 }
-                Taken::Stale => {}
-                Taken::Gap => {
+                UpdateOutcome::Stale => {}
+                UpdateOutcome::Gap => {
                     self.mark_wanted(now, &name, version);
                     if let Some(wanted) = self.wanted.get_mut(&name) {
                         wanted.needs_snapshot = true;
--- a/crates/discovery/src/homes.rs
+++ b/crates/discovery/src/homes.rs
@@ -23,7 +23,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Home {
     /// This proxy is the home and uses a registry.
-    Me,
+    Local,
     /// Another proxy of the zone is the home.
     Peer(PeerProxy),
 }
@@ -46,7 +46,7 @@
     }
 
     /// Replaces the live proxies of the zone, which may include this one. Returns whether they have changed.
-    pub fn take(&mut self, living: impl IntoIterator<Item = PeerProxy>) -> bool {
+    pub fn set_live_proxies(&mut self, living: impl IntoIterator<Item = PeerProxy>) -> bool {
         let mut old = std::mem::take(&mut self.peers);
         let mut changed = false;
         for proxy in living {
@@ -68,14 +68,14 @@
     }
 
     /// Excludes a proxy that did not answer from being a home until the given time.
-    pub fn silent(&mut self, name: &str, until: Micros) {
+    pub fn mark_unresponsive(&mut self, name: &str, until: Micros) {
         if let Some(peer) = self.peers.get_mut(&hash_bytes(name.as_bytes())) {
             peer.unresponsive_until = peer.unresponsive_until.max(until);
         }
     }
 
     /// Ends the exclusion of a proxy that has answered.
-    pub fn answered(&mut self, name: &str) {
+    pub fn mark_responsive(&mut self, name: &str) {
         if let Some(peer) = self.peers.get_mut(&hash_bytes(name.as_bytes())) {
             peer.unresponsive_until = 0;
         }
@@ -87,7 +87,7 @@
         let numbers = responsive.map(|(number, _)| *number).chain([self.me]);
         let number = owner(hash_bytes(key.as_bytes()), numbers);
         let peer = number.and_then(|number| self.peers.get(&number));
-        peer.map_or(Home::Me, |peer| Home::Peer(peer.proxy.clone()))
+        peer.map_or(Home::Local, |peer| Home::Peer(peer.proxy.clone()))
     }
 
     /// Whether a proxy is the home of a key.
--- a/crates/discovery/src/lib.rs
+++ b/crates/discovery/src/lib.rs
@@ -20,7 +20,7 @@
 pub use catalog::{Catalog, SERVICES_MAX};
 pub use follower::Follower;
 pub use homes::{Home, Homes, PeerProxy};
-pub use service_list::{Listed, ServiceList, Taken, CHANGES_KEPT};
+pub use service_list::{ListedWorker, ServiceList, UpdateOutcome, CHANGE_LOG_MAX};
 
 /// A time on a monotonic clock, or a duration, in microseconds.
 pub type Micros = u64;
--- a/crates/discovery/src/service_list.rs
+++ b/crates/discovery/src/service_list.rs
@@ -6,24 +6,24 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 /// Length of the change log; a follower further behind gets a snapshot.
-pub const CHANGES_KEPT: usize = 16;
+pub const CHANGE_LOG_MAX: usize = 16;
 /// Increase of the remaining cold time that does not count as a change.
 const COLD_TOLERANCE_MS: u64 = 150;
 
 /// A worker on the list.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Listed {
+pub struct ListedWorker {
     /// The platform's entry, with `cold_left` cleared.
     pub record: WorkerRecord,
     /// End of the warm-up; `None` if the worker is warm.
     pub cold_until: Option<Micros>,
 }
 
-impl Listed {
-    fn new(now: Micros, mut record: WorkerRecord) -> Listed {
+impl ListedWorker {
+    fn new(now: Micros, mut record: WorkerRecord) -> ListedWorker {
         let cold_left = std::mem::take(&mut record.cold_left);
         let cold_until = (cold_left > 0).then(|| now + cold_left * MICROS_PER_MILLI);
-        Listed { record, cold_until }
+        ListedWorker { record, cold_until }
     }
 
     /// Remaining warm-up time in milliseconds, rounded up.
@@ -36,7 +36,7 @@
     }
 
     /// Whether `later` is no change: the same record, and no longer warm-up within the tolerance.
-    fn covers(&self, now: Micros, later: &Listed) -> bool {
+    fn covers(&self, now: Micros, later: &ListedWorker) -> bool {
         let no_colder = later.cold_left(now) <= self.cold_left(now) + COLD_TOLERANCE_MS;
         no_colder && self.record == later.record
     }
@@ -49,7 +49,7 @@
 
 /// Result of applying an update.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Taken {
+pub enum UpdateOutcome {
     /// The update was applied.
     Applied,
     /// The list is already at this version or a newer one.
@@ -62,7 +62,7 @@
 #[derive(Default)]
 pub struct ServiceList {
     version: WorkersVersion,
-    workers: BTreeMap<CompactString, Listed>,
+    workers: BTreeMap<CompactString, ListedWorker>,
     changes: VecDeque<Change>,
 }
 
@@ -73,7 +73,7 @@
     }
 
     /// All workers, by id.
-    pub fn workers(&self) -> impl Iterator<Item = &Listed> {
+    pub fn workers(&self) -> impl Iterator<Item = &ListedWorker> {
         self.workers.values()
     }
 
@@ -83,22 +83,22 @@
     }
 
     /// Whether a worker is on the list.
-    pub fn lists(&self, id: &str) -> bool {
+    pub fn contains(&self, id: &str) -> bool {
         self.workers.contains_key(id)
     }
 
     /// Applies the service's workers from the platform's list, read as `version`, which is above the current one.
     /// Returns whether anything changed; otherwise the version stays. With `new_reader` everything counts as
     /// changed, because the previous reader may have published another list than the one held here.
-    pub fn read(
+    pub fn apply_list(
         &mut self,
         now: Micros,
         version: WorkersVersion,
         records: Vec<WorkerRecord>,
         new_reader: bool,
     ) -> bool {
-        let read: BTreeMap<CompactString, Listed> =
-            records.into_iter().map(|record| (record.id.clone(), Listed::new(now, record))).collect();
+        let read: BTreeMap<CompactString, ListedWorker> =
+            records.into_iter().map(|record| (record.id.clone(), ListedWorker::new(now, record))).collect();
         let ids = self.changed_ids(now, &read);
         if new_reader {
             self.replace(version, read);
@@ -112,8 +112,8 @@
         true
     }
 
-    fn changed_ids(&self, now: Micros, read: &BTreeMap<CompactString, Listed>) -> Vec<CompactString> {
-        let is_changed = |(id, listed): &(&CompactString, &Listed)| {
+    fn changed_ids(&self, now: Micros, read: &BTreeMap<CompactString, ListedWorker>) -> Vec<CompactString> {
+        let is_changed = |(id, listed): &(&CompactString, &ListedWorker)| {
             !self.workers.get(*id).is_some_and(|held| held.covers(now, listed))
         };
         let listed = read.iter().filter(is_changed).map(|(id, _)| id.clone());
@@ -123,20 +123,20 @@
 
     fn log_change(&mut self, version: WorkersVersion, ids: Vec<CompactString>) {
         self.changes.push_back(Change { since: self.version, ids });
-        if self.changes.len() > CHANGES_KEPT {
+        if self.changes.len() > CHANGE_LOG_MAX {
             self.changes.pop_front();
         }
         self.version = version;
     }
 
-    fn replace(&mut self, version: WorkersVersion, workers: BTreeMap<CompactString, Listed>) {
+    fn replace(&mut self, version: WorkersVersion, workers: BTreeMap<CompactString, ListedWorker>) {
         self.workers = workers;
         self.version = version;
         self.changes.clear();
     }
 
     /// Update for a follower at version `have`; `None` if it is up to date.
-    pub fn news(&self, now: Micros, have: Option<WorkersVersion>) -> Option<ServiceNews> {
+    pub fn update_for(&self, now: Micros, have: Option<WorkersVersion>) -> Option<ServiceNews> {
         if have.unwrap_or_default() >= self.version {
             return None;
         }
@@ -165,27 +165,28 @@
     }
 
     /// Applies an update from another process.
-    pub fn take(&mut self, now: Micros, version: WorkersVersion, news: ServiceNews) -> Taken {
+    pub fn apply(&mut self, now: Micros, version: WorkersVersion, news: ServiceNews) -> UpdateOutcome {
         if version <= self.version {
-            return Taken::Stale;
+            return UpdateOutcome::Stale;
         }
         match news {
             ServiceNews::Snapshot(records) => {
-                let listed = records.into_iter().map(|record| (record.id.clone(), Listed::new(now, record)));
+                let listed =
+                    records.into_iter().map(|record| (record.id.clone(), ListedWorker::new(now, record)));
                 self.replace(version, listed.collect());
-                Taken::Applied
+                UpdateOutcome::Applied
             }
-            ServiceNews::Changes { since, .. } if since != self.version => Taken::Gap,
+            ServiceNews::Changes { since, .. } if since != self.version => UpdateOutcome::Gap,
             ServiceNews::Changes { listed, removed, .. } => {
                 let ids = removed.iter().chain(listed.iter().map(|record| &record.id)).cloned().collect();
                 for id in &removed {
                     self.workers.remove(id);
                 }
                 for record in listed {
-                    self.workers.insert(record.id.clone(), Listed::new(now, record));
+                    self.workers.insert(record.id.clone(), ListedWorker::new(now, record));
                 }
                 self.log_change(version, ids);
-                Taken::Applied
+                UpdateOutcome::Applied
             }
         }
     }
--- a/crates/discovery/tests/homes.rs
+++ b/crates/discovery/tests/homes.rs
@@ -14,13 +14,13 @@
 /// Homes as seen by proxy `me` with the given zone members.
 fn homes(me: usize, of: &[usize]) -> Homes {
     let mut homes = Homes::new(&proxy(me).name);
-    homes.take(of.iter().map(|number| proxy(*number)));
+    homes.set_live_proxies(of.iter().map(|number| proxy(*number)));
     homes
 }
 
 fn home_of(homes: &Homes, me: usize, now: u64, key: &str) -> CompactString {
     match homes.home(now, key) {
-        Home::Me => proxy(me).name,
+        Home::Local => proxy(me).name,
         Home::Peer(peer) => peer.name,
     }
 }
@@ -57,25 +57,25 @@
     let mut homes = homes(1, &[1, 2]);
     let key = (0..).map(|number| format!("s{number}")).find(|key| homes.is_home(S, key, "edge-2"));
     let key = key.expect("one of them");
-    homes.silent("edge-2", 4 * S);
-    assert_eq!(homes.home(4 * S - 1, &key), Home::Me);
+    homes.mark_unresponsive("edge-2", 4 * S);
+    assert_eq!(homes.home(4 * S - 1, &key), Home::Local);
     assert!(homes.is_home(4 * S, &key, "edge-2"));
-    homes.silent("edge-2", 9 * S);
-    assert!(!homes.take([proxy(1), proxy(2)]), "the same members are no change");
-    assert_eq!(homes.home(5 * S, &key), Home::Me, "membership is no answer");
-    homes.answered("edge-2");
+    homes.mark_unresponsive("edge-2", 9 * S);
+    assert!(!homes.set_live_proxies([proxy(1), proxy(2)]), "the same members are no change");
+    assert_eq!(homes.home(5 * S, &key), Home::Local, "membership is no answer");
+    homes.mark_responsive("edge-2");
     assert!(homes.is_home(5 * S, &key, "edge-2"));
 }
 
 #[test]
 fn single_proxy_is_home_of_all_services_and_membership_changes_are_reported() {
     let mut homes = Homes::new("edge-1");
-    assert_eq!(homes.home(S, "s"), Home::Me);
-    assert!(!homes.take([proxy(1)]));
-    assert!(homes.take([proxy(1), proxy(2)]));
+    assert_eq!(homes.home(S, "s"), Home::Local);
+    assert!(!homes.set_live_proxies([proxy(1)]));
+    assert!(homes.set_live_proxies([proxy(1), proxy(2)]));
     let moved = PeerProxy { addr: proxy(9).addr, ..proxy(2) };
-    assert!(homes.take([proxy(1), moved]));
-    assert!(homes.take([proxy(1)]));
+    assert!(homes.set_live_proxies([proxy(1), moved]));
+    assert!(homes.set_live_proxies([proxy(1)]));
     assert_eq!(homes.peers().count(), 0);
 }
 
--- a/crates/proxy/src/control.rs
+++ b/crates/proxy/src/control.rs
@@ -100,7 +100,7 @@
     if proxy.view.borrow_mut().take_drains(proxy.now(), &news.have.drains) {
         proxy.refresh_workers();
     }
-    if proxy.view.borrow_mut().followed_mut().told(proxy.now(), &news.services) {
+    if proxy.view.borrow_mut().followed_mut().apply_index(proxy.now(), &news.services) {
         proxy.relay.asks_anew();
     }
     if !proxy.view.borrow().followed().is_complete() {
@@ -130,7 +130,7 @@
 /// Gets the workers of services that this proxy is the home of at once, and those that another home is late with
 /// after a moment.
 async fn fetch_services(proxy: Rc<Proxy>, registry: Rc<Registry>) {
-    let ours = |name: &str| proxy.relay.home(proxy.now(), name) == Home::Me;
+    let ours = |name: &str| proxy.relay.home(proxy.now(), name) == Home::Local;
     fetch_due(&proxy, &registry, |name, _| ours(name)).await;
     tokio::time::sleep(HOME_PATIENCE).await;
     let patience = HOME_PATIENCE.as_micros() as Micros;
@@ -148,7 +148,8 @@
 ) -> Vec<ServiceHave> {
     let now = proxy.now();
     let until = now + SERVICES_HEDGE.as_micros() as Micros;
-    let asked = proxy.view.borrow_mut().followed_mut().ask(now, until, |name, waited| due(name, waited));
+    let asked =
+        proxy.view.borrow_mut().followed_mut().next_requests(now, until, |name, waited| due(name, waited));
     if asked.is_empty() {
         return asked;
     }
@@ -156,7 +157,7 @@
     if let Ok(RegistryAnswer::Services(updates)) = answer {
         proxy.take_services(updates);
     }
-    proxy.view.borrow_mut().followed_mut().unanswered(&asked);
+    proxy.view.borrow_mut().followed_mut().end_request(&asked);
     asked
 }
 
--- a/crates/proxy/src/relay.rs
+++ b/crates/proxy/src/relay.rs
@@ -59,7 +59,7 @@
         let members = neighbors::zone_members(zone, of_zone, |peer| &peer.id.node);
         let living =
             members.into_iter().map(|peer| PeerProxy { name: peer.id.node.clone(), addr: peer.peer });
-        if self.homes.borrow_mut().take(living) {
+        if self.homes.borrow_mut().set_live_proxies(living) {
             let homes = self.homes.borrow();
             let known = |addr: &SocketAddr| homes.peers().any(|peer| peer.addr == *addr);
             self.clients.borrow_mut().retain(|addr, _| known(addr));
@@ -81,7 +81,7 @@
 
     fn silent(&self, now: Micros, peer: &PeerProxy) {
         log::info!("{} does not pass news on", peer.name);
-        self.homes.borrow_mut().silent(&peer.name, now + HOME_SILENT.as_micros() as Micros);
+        self.homes.borrow_mut().mark_unresponsive(&peer.name, now + HOME_SILENT.as_micros() as Micros);
         self.follows_others.notify_waiters();
     }
 
@@ -97,7 +97,7 @@
 
     /// Keeps the configuration for the others of the zone, where this proxy is its home.
     pub(crate) fn pass_config_on(&self, now: Micros, transfer: ConfigTransfer) {
-        let is_home = self.home(now, CONFIGURATION) == Home::Me;
+        let is_home = self.home(now, CONFIGURATION) == Home::Local;
         *self.config.borrow_mut() = Some(transfer).filter(|_| is_home);
         self.news.notify_waiters();
     }
@@ -166,7 +166,7 @@
         tokio::select! {
             answer = client.call(&request, FOLLOW_WAIT + ANSWER_WITHIN) => match answer {
                 Ok(ProxyAnswer::Services(updates)) => {
-                    proxy.relay.homes.borrow_mut().answered(&peer.name);
+                    proxy.relay.homes.borrow_mut().mark_responsive(&peer.name);
                     proxy.take_services(updates);
                 }
                 _ => proxy.relay.silent(proxy.now(), &peer),
@@ -191,7 +191,7 @@
         let until = tokio::time::Instant::now() + wait.min(FOLLOW_WAIT);
         loop {
             let changed = self.relay.news.notified();
-            let news = self.view.borrow().followed().catalog().news(self.now(), &have);
+            let news = self.view.borrow().followed().catalog().updates_for(self.now(), &have);
             if !news.is_empty() || tokio::time::timeout_at(until, changed).await.is_err() {
                 return news;
             }
@@ -214,7 +214,7 @@
                 return Some(config).filter(|config| config.base.is_none() || config.base == have);
             }
             let in_force = self.view.borrow().config_version() >= Some(version);
-            let is_home = self.relay.home(self.now(), CONFIGURATION) == Home::Me;
+            let is_home = self.relay.home(self.now(), CONFIGURATION) == Home::Local;
             if in_force || !is_home || tokio::time::timeout_at(until, changed).await.is_err() {
                 return None;
             }
--- a/crates/proxy/src/server.rs
+++ b/crates/proxy/src/server.rs
@@ -315,7 +315,7 @@
 
     /// Takes in news of services' workers.
     pub(crate) fn take_services(&self, updates: Vec<ServiceUpdate>) {
-        let changed = self.view.borrow_mut().followed_mut().take(self.now(), updates);
+        let changed = self.view.borrow_mut().followed_mut().apply_updates(self.now(), updates);
         if changed.is_empty() {
             return;
         }
--- a/crates/proxy/src/view.rs
+++ b/crates/proxy/src/view.rs
@@ -2,7 +2,7 @@
 
 use compact_str::CompactString;
 use hingestage_configuration::{Configuration, KeyTable, RouteTable};
-use hingestage_discovery::{Follower, Listed};
+use hingestage_discovery::{Follower, ListedWorker};
 use hingestage_quota::Part;
 use hingestage_replication::{Freshness, Micros};
 use hingestage_rpc::messages::{ConfigDocument, ConfigVersion, Have, ProxyStatus, ZoneDrains};
@@ -116,7 +116,7 @@
         Have {
             config: self.config_version(),
             drains: self.drains.clone(),
-            workers: self.workers.told_version(),
+            workers: self.workers.announced_version(),
             workers_seen: self.workers.seen_version(),
             directory: 0,
             trials: TrialRevision::default(),
@@ -207,7 +207,7 @@
         workers.map(move |listed| (&listed.record, self.usability(now, listed)))
     }
 
-    fn usability(&self, now: Micros, listed: &Listed) -> Usability {
+    fn usability(&self, now: Micros, listed: &ListedWorker) -> Usability {
         let worker = &listed.record;
         let drained = self.drains.get(&worker.zone).is_some_and(|drain| drain.drained);
         let returned = self.returned_at.get(&worker.zone);
@@ -229,13 +229,13 @@
         returns.chain(warm).filter(|at| *at > now).min()
     }
 
-    fn cold_until(&self, listed: &Listed) -> Option<Micros> {
+    fn cold_until(&self, listed: &ListedWorker) -> Option<Micros> {
         listed.cold_until.map(|until| until + self.spans.cold_margin)
     }
 
     /// Whether a worker is on the list of its service.
     pub fn lists(&self, service: &str, id: &str) -> bool {
-        self.workers.catalog().service(service).is_some_and(|list| list.lists(id))
+        self.workers.catalog().service(service).is_some_and(|list| list.contains(id))
     }
 
     /// Whether keys may be believed: none that was taken away long ago can be unknown to this proxy.
--- a/crates/proxy/tests/relay.rs
+++ b/crates/proxy/tests/relay.rs
@@ -193,7 +193,7 @@
         let living = self.registry.proxies.iter();
         let living = living.map(|proxy| PeerProxy { name: proxy.id.node.clone(), addr: proxy.peer });
         let mut homes = Homes::new(&edge(1));
-        homes.take(living);
+        homes.set_live_proxies(living);
         let Home::Peer(peer) = homes.home(0, service) else { return 0 };
         let place = self.registry.proxies.iter().position(|proxy| proxy.id.node == peer.name);
         place.expect("one of the zone")
--- a/crates/proxy/tests/view.rs
+++ b/crates/proxy/tests/view.rs
@@ -42,7 +42,7 @@
 
 /// Takes an update in. Tells whether it changed anything.
 fn take(view: &mut View, now: u64, update: ServiceUpdate) -> bool {
-    !view.followed_mut().take(now, vec![update]).is_empty()
+    !view.followed_mut().apply_updates(now, vec![update]).is_empty()
 }
 
 fn usability(view: &View, now: u64) -> Vec<Usability> {
--- a/crates/registry/src/admission.rs
+++ b/crates/registry/src/admission.rs
@@ -10,56 +10,56 @@
 
 /// Timing and size limits of admission.
 #[derive(Clone, Copy, Debug)]
-pub struct Figures {
+pub struct AdmissionSettings {
     /// Longest time a proxy may use its share of a limit without contact.
     pub lease: Micros,
     /// Time after a bootstrap in which proxies are settled at once, as no leases exist yet.
-    pub first_start: Micros,
+    pub bootstrap_window: Micros,
     /// Maximum number of proxies waiting for admission.
-    pub newcomers_max: usize,
+    pub pending_max: usize,
 }
 
-impl Default for Figures {
+impl Default for AdmissionSettings {
     fn default() -> Self {
-        Figures { lease: 12_000_000, first_start: 6_000_000, newcomers_max: 8_192 }
+        AdmissionSettings { lease: 12_000_000, bootstrap_window: 6_000_000, pending_max: 8_192 }
     }
 }
 
 /// Proxies that this registry has seen and that are not settled yet.
 pub struct Admissions {
-    figures: Figures,
+    settings: AdmissionSettings,
     /// Whether this process started as part of a bootstrap.
     bootstrap: bool,
     /// Each waiting proxy, with the time its name was first seen committed.
-    newcomers: BTreeMap<CompactString, Option<Micros>>,
+    pending: BTreeMap<CompactString, Option<Micros>>,
 }
 
 impl Admissions {
     /// Creates an empty set.
-    pub fn new(bootstrap: bool, figures: Figures) -> Admissions {
-        Admissions { figures, bootstrap, newcomers: BTreeMap::new() }
+    pub fn new(bootstrap: bool, settings: AdmissionSettings) -> Admissions {
+        Admissions { settings, bootstrap, pending: BTreeMap::new() }
     }
 
     /// Records a heartbeat of a proxy; `names` are the committed ones.
-    pub fn heard(&mut self, name: &CompactString, names: &ProxyNames) {
+    pub fn observe(&mut self, name: &CompactString, names: &ProxyNames) {
         let settled = names.get(name) == Some(&true);
-        if !settled && self.newcomers.len() < self.figures.newcomers_max {
-            self.newcomers.entry(name.clone()).or_default();
+        if !settled && self.pending.len() < self.settings.pending_max {
+            self.pending.entry(name.clone()).or_default();
         }
     }
 
     /// Names to commit now, each with whether that settles the proxy.
-    pub fn due(&mut self, now: Micros, names: &ProxyNames) -> ProxyNames {
-        let first_start = self.bootstrap && now < self.figures.first_start;
-        self.newcomers.retain(|name, _| names.get(name) != Some(&true));
+    pub fn due_changes(&mut self, now: Micros, names: &ProxyNames) -> ProxyNames {
+        let bootstrapping = self.bootstrap && now < self.settings.bootstrap_window;
+        self.pending.retain(|name, _| names.get(name) != Some(&true));
         let mut due = ProxyNames::new();
-        for (name, seen_at) in &mut self.newcomers {
+        for (name, seen_at) in &mut self.pending {
             if names.contains_key(name) {
                 seen_at.get_or_insert(now);
             }
-            let waited = seen_at.is_some_and(|at| now >= at + self.figures.lease);
-            if first_start || waited || seen_at.is_none() {
-                due.insert(name.clone(), first_start || waited);
+            let waited = seen_at.is_some_and(|at| now >= at + self.settings.lease);
+            if bootstrapping || waited || seen_at.is_none() {
+                due.insert(name.clone(), bootstrapping || waited);
             }
         }
         due
--- a/crates/registry/src/directory.rs
+++ b/crates/registry/src/directory.rs
@@ -14,26 +14,26 @@
 
 /// Timeouts and size limits of the directory.
 #[derive(Clone, Copy, Debug)]
-pub struct Figures {
+pub struct DirectorySettings {
     /// Delay of a due heartbeat after which a proxy is no longer handed out.
-    pub late_after: Micros,
+    pub heartbeat_grace: Micros,
     /// Silence after which a proxy is removed.
-    pub forget_after: Micros,
+    pub expire_after: Micros,
     /// Maximum number of proxies.
     pub proxies_max: usize,
     /// Number of ready proxies at which a lookup stops widening beyond zone and region.
-    pub enough: usize,
+    pub sufficient: usize,
     /// Maximum number of addresses in one lookup answer.
     pub answer_max: usize,
 }
 
-impl Default for Figures {
+impl Default for DirectorySettings {
     fn default() -> Self {
-        Figures {
-            late_after: 1_300_000,
-            forget_after: 60_000_000,
+        DirectorySettings {
+            heartbeat_grace: 1_300_000,
+            expire_after: 60_000_000,
             proxies_max: 8_192,
-            enough: 2,
+            sufficient: 2,
             answer_max: 64,
         }
     }
@@ -41,7 +41,7 @@
 
 struct Entry {
     status: ProxyStatus,
-    heard_at: Micros,
+    last_heartbeat: Micros,
     /// When its next heartbeat is due.
     due_at: Micros,
     /// Digest of the status.
@@ -58,7 +58,7 @@
 
 /// Proxies known by their heartbeats.
 pub struct Directory {
-    figures: Figures,
+    settings: DirectorySettings,
     proxies: BTreeMap<CompactString, Entry>,
     /// Cached versions; `None` after a change.
     versions: RefCell<Option<Versions>>,
@@ -66,8 +66,8 @@
 
 impl Directory {
     /// Creates an empty directory.
-    pub fn new(figures: Figures) -> Self {
-        Directory { figures, proxies: BTreeMap::new(), versions: RefCell::default() }
+    pub fn new(settings: DirectorySettings) -> Self {
+        Directory { settings, proxies: BTreeMap::new(), versions: RefCell::default() }
     }
 
     /// Records a heartbeat and returns whether it changed the directory. A delayed heartbeat of an earlier
@@ -87,43 +87,43 @@
         let digest = digest_of(&status);
         let known = self.proxies.get_mut(&status.id.node);
         if let Some(entry) = known {
-            let revived = now >= entry.due_at + self.figures.late_after;
+            let revived = now >= entry.due_at + self.settings.heartbeat_grace;
             // After a clock was set back, a new incarnation may have a lower number than the one before.
             if entry.status.id.incarnation > status.id.incarnation && !revived {
                 return false;
             }
             let changed = entry.status != status;
-            *entry = Entry { status, heard_at: now, due_at, digest };
+            *entry = Entry { status, last_heartbeat: now, due_at, digest };
             return changed || revived;
         }
-        if self.proxies.len() >= self.figures.proxies_max {
+        if self.proxies.len() >= self.settings.proxies_max {
             return false;
         }
-        self.proxies.insert(status.id.node.clone(), Entry { status, heard_at: now, due_at, digest });
+        self.proxies.insert(status.id.node.clone(), Entry { status, last_heartbeat: now, due_at, digest });
         true
     }
 
     /// Removes proxies that have been silent for too long.
-    pub fn tidy(&mut self, now: Micros) {
-        let forget_after = self.figures.forget_after;
-        self.proxies.retain(|_, entry| now < entry.heard_at + forget_after);
+    pub fn remove_expired(&mut self, now: Micros) {
+        let expire_after = self.settings.expire_after;
+        self.proxies.retain(|_, entry| now < entry.last_heartbeat + expire_after);
     }
 
     /// Proxies whose heartbeats are not overdue.
-    pub fn living(&self, now: Micros) -> impl Iterator<Item = &ProxyStatus> {
-        self.living_entries(now).map(|entry| &entry.status)
+    pub fn live_proxies(&self, now: Micros) -> impl Iterator<Item = &ProxyStatus> {
+        self.live_entries(now).map(|entry| &entry.status)
     }
 
-    fn living_entries(&self, now: Micros) -> impl Iterator<Item = &Entry> {
-        let late_after = self.figures.late_after;
-        self.proxies.values().filter(move |entry| now < entry.due_at + late_after)
+    fn live_entries(&self, now: Micros) -> impl Iterator<Item = &Entry> {
+        let heartbeat_grace = self.settings.heartbeat_grace;
+        self.proxies.values().filter(move |entry| now < entry.due_at + heartbeat_grace)
     }
 
     /// Live proxies that a proxy of `zone` connects to: members of its zone and those that keep fleet-wide totals.
     pub fn neighbors(&self, now: Micros, zone: &str) -> Vec<&ProxyStatus> {
-        let of_zone = self.living(now).filter(|status| status.zone == zone);
+        let of_zone = self.live_proxies(now).filter(|status| status.zone == zone);
         let members = neighbors::zone_members(zone, of_zone, |status| &status.id.node);
-        let counters = neighbors::counters(self.living(now), |status| &status.id.node);
+        let counters = neighbors::counters(self.live_proxies(now), |status| &status.id.node);
         let all = members.into_iter().chain(counters);
         let by_name: BTreeMap<&CompactString, &ProxyStatus> =
             all.map(|status| (&status.id.node, status)).collect();
@@ -131,7 +131,7 @@
     }
 
     /// Digest of all live proxies.
-    pub fn living_digest(&self, now: Micros) -> u64 {
+    pub fn live_digest(&self, now: Micros) -> u64 {
         self.with_versions(now, |versions| versions.zones.values().fold(0, |sum, zone| sum ^ zone))
     }
 
@@ -155,11 +155,11 @@
 
     fn compute_versions(&self, now: Micros) -> Versions {
         let mut zones: BTreeMap<CompactString, u64> = BTreeMap::new();
-        for entry in self.living_entries(now) {
+        for entry in self.live_entries(now) {
             let sum = zones.entry(entry.status.zone.clone()).or_default();
             *sum ^= entry.digest;
         }
-        let counters = neighbors::counters(self.living_entries(now), |entry| &entry.status.id.node);
+        let counters = neighbors::counters(self.live_entries(now), |entry| &entry.status.id.node);
         let counters = counters.into_iter().fold(0, |sum, entry| sum ^ entry.digest);
         Versions { computed_at: now, zones, counters }
     }
@@ -167,14 +167,15 @@
     /// Addresses of ready proxies for a client: those of its zone, widened to its region and then to all proxies
     /// until there are enough. The nearest come first.
     pub fn lookup(&self, now: Micros, zone: &str, region: &str) -> Vec<SocketAddr> {
-        let ready = self.living(now).filter(|status| status.ready);
+        let ready = self.live_proxies(now).filter(|status| status.ready);
         let mut ready: Vec<(Distance, SocketAddr)> =
             ready.map(|status| (Distance::of(status, zone, region), status.http)).collect();
         ready.sort_by_key(|(distance, _)| *distance);
-        let farthest_needed = ready.get(self.figures.enough.saturating_sub(1)).map(|(distance, _)| *distance);
+        let farthest_needed =
+            ready.get(self.settings.sufficient.saturating_sub(1)).map(|(distance, _)| *distance);
         let max_distance = farthest_needed.unwrap_or(Distance::Elsewhere);
         let near = ready.into_iter().take_while(|(distance, _)| *distance <= max_distance);
-        near.map(|(_, addr)| addr).take(self.figures.answer_max).collect()
+        near.map(|(_, addr)| addr).take(self.settings.answer_max).collect()
     }
 }
 
--- a/crates/registry/src/lib.rs
+++ b/crates/registry/src/lib.rs
@@ -7,14 +7,14 @@
 #![warn(missing_docs)]
 
 pub mod admission;
+pub mod committed;
 pub mod directory;
-pub mod duty;
 pub mod first_terms;
 mod http;
 pub mod platform_list;
+pub mod reader_election;
 pub mod server;
 mod status;
 pub mod transfers;
 mod trial_handlers;
 pub mod trials;
-pub mod watch;
--- a/crates/registry/src/reader_election.rs
+++ b/crates/registry/src/reader_election.rs
@@ -12,105 +12,105 @@
 
 /// Timeouts and size limits of the election.
 #[derive(Clone, Copy, Debug)]
-pub struct Figures {
+pub struct ElectionSettings {
     /// Silence after which a registry is considered dead.
-    pub away_after: Micros,
+    pub failure_timeout: Micros,
     /// Silence after which a registry is removed.
-    pub forget_after: Micros,
+    pub expire_after: Micros,
     /// Consecutive failed reads after which this registry steps down.
-    pub failures: u32,
+    pub failures_max: u32,
     /// Time for which a registry stays out of the election after stepping down.
-    pub rests_for: Micros,
+    pub step_down_time: Micros,
     /// Maximum number of other registries.
     pub members_max: usize,
 }
 
-impl Default for Figures {
+impl Default for ElectionSettings {
     fn default() -> Self {
-        Figures {
-            away_after: 2_500_000,
-            forget_after: 60_000_000,
-            failures: 2,
-            rests_for: 3_000_000,
+        ElectionSettings {
+            failure_timeout: 2_500_000,
+            expire_after: 60_000_000,
+            failures_max: 2,
+            step_down_time: 3_000_000,
             members_max: 64,
         }
     }
 }
 
-struct Known {
+struct Peer {
     member: RegistryMember,
-    heard_at: Micros,
+    last_heartbeat: Micros,
 }
 
 /// The known registries, and whether this one is the reader.
-pub struct Duty {
+pub struct ReaderElection {
     me: RegistryMember,
-    figures: Figures,
-    others: BTreeMap<CompactString, Known>,
+    settings: ElectionSettings,
+    others: BTreeMap<CompactString, Peer>,
     /// Highest list version seen.
     seen: WorkersVersion,
     /// Fencing number of this registry while it is the reader.
     fence: Option<u64>,
-    failed: u32,
-    rests_until: Micros,
+    consecutive_failures: u32,
+    stepped_down_until: Micros,
 }
 
-impl Duty {
+impl ReaderElection {
     /// Creates an election in which only this registry takes part.
-    pub fn new(me: RegistryMember, figures: Figures) -> Self {
-        Duty {
+    pub fn new(me: RegistryMember, settings: ElectionSettings) -> Self {
+        ReaderElection {
             me,
-            figures,
+            settings,
             others: BTreeMap::new(),
             seen: WorkersVersion::default(),
             fence: None,
-            failed: 0,
-            rests_until: 0,
+            consecutive_failures: 0,
+            stepped_down_until: 0,
         }
     }
 
     /// This registry as announced to others.
-    pub fn me(&self, now: Micros) -> RegistryMember {
-        RegistryMember { reads_list: now >= self.rests_until, ..self.me.clone() }
+    pub fn local_member(&self, now: Micros) -> RegistryMember {
+        RegistryMember { reads_list: now >= self.stepped_down_until, ..self.me.clone() }
     }
 
     /// Records a heartbeat of another registry.
-    pub fn heard(&mut self, now: Micros, member: RegistryMember) {
+    pub fn record_heartbeat(&mut self, now: Micros, member: RegistryMember) {
         let full =
-            self.others.len() >= self.figures.members_max && !self.others.contains_key(&member.id.node);
+            self.others.len() >= self.settings.members_max && !self.others.contains_key(&member.id.node);
         if member.id.node != self.me.id.node && !full {
-            self.others.insert(member.id.node.clone(), Known { member, heard_at: now });
+            self.others.insert(member.id.node.clone(), Peer { member, last_heartbeat: now });
         }
     }
 
     /// Adds a registry named by another one. It is called, and counts as alive only once it answers.
-    pub fn told_of(&mut self, member: RegistryMember) {
-        let full = self.others.len() >= self.figures.members_max;
+    pub fn add_candidate(&mut self, member: RegistryMember) {
+        let full = self.others.len() >= self.settings.members_max;
         if member.id.node != self.me.id.node && !full {
-            self.others.entry(member.id.node.clone()).or_insert(Known { member, heard_at: 0 });
+            self.others.entry(member.id.node.clone()).or_insert(Peer { member, last_heartbeat: 0 });
         }
     }
 
     /// Removes registries that have been silent for too long.
-    pub fn tidy(&mut self, now: Micros) {
-        let forget_after = self.figures.forget_after;
-        self.others.retain(|_, known| now < known.heard_at + forget_after);
+    pub fn remove_expired(&mut self, now: Micros) {
+        let expire_after = self.settings.expire_after;
+        self.others.retain(|_, peer| now < peer.last_heartbeat + expire_after);
     }
 
     /// All known registries, including this one.
     pub fn members(&self, now: Micros) -> Vec<RegistryMember> {
-        let others = self.others.values().map(|known| known.member.clone());
-        std::iter::once(self.me(now)).chain(others).collect()
+        let others = self.others.values().map(|peer| peer.member.clone());
+        std::iter::once(self.local_member(now)).chain(others).collect()
     }
 
     /// Records the version of a list that was seen.
-    pub fn saw(&mut self, version: WorkersVersion) {
+    pub fn observe_version(&mut self, version: WorkersVersion) {
         self.seen = self.seen.max(version);
     }
 
     /// Version for the next read of the list, or `None` if another registry is the reader.
-    pub fn read_under(&mut self, now: Micros) -> Option<WorkersVersion> {
-        if !self.is_first(now) {
+    pub fn next_version(&mut self, now: Micros) -> Option<WorkersVersion> {
+        if !self.ranks_first(now) {
             self.fence = None;
             return None;
         }
@@ -136,19 +136,21 @@
     }
 
     /// Records the result of a read; after repeated failures this registry steps down for a while.
-    pub fn has_read(&mut self, now: Micros, good: bool) {
-        self.failed = if good { 0 } else { self.failed + 1 };
-        if self.failed >= self.figures.failures {
-            self.failed = 0;
-            self.rests_until = now + self.figures.rests_for;
+    pub fn record_read(&mut self, now: Micros, succeeded: bool) {
+        self.consecutive_failures = if succeeded { 0 } else { self.consecutive_failures + 1 };
+        if self.consecutive_failures >= self.settings.failures_max {
+            self.consecutive_failures = 0;
+            self.stepped_down_until = now + self.settings.step_down_time;
         }
     }
 
     /// Whether this registry ranks first among the live ones that can read the list. If none can, each elects itself.
-    fn is_first(&self, now: Micros) -> bool {
-        let living = |known: &&Known| known.heard_at > 0 && now < known.heard_at + self.figures.away_after;
-        let able = self.others.values().filter(living).filter(|known| known.member.reads_list);
-        let mine = (!self.me(now).reads_list, digest(self.me.id.node.as_bytes()));
-        able.map(|known| (false, digest(known.member.id.node.as_bytes()))).all(|other| mine < other)
+    fn ranks_first(&self, now: Micros) -> bool {
+        let live = |peer: &&Peer| {
+            peer.last_heartbeat > 0 && now < peer.last_heartbeat + self.settings.failure_timeout
+        };
+        let candidates = self.others.values().filter(live).filter(|peer| peer.member.reads_list);
+        let mine = (!self.local_member(now).reads_list, digest(self.me.id.node.as_bytes()));
+        candidates.map(|peer| (false, digest(peer.member.id.node.as_bytes()))).all(|other| mine < other)
     }
 }
--- a/crates/registry/src/server.rs
+++ b/crates/registry/src/server.rs
@@ -1,11 +1,11 @@
 //! The registry server: peer protocol, store watch, worker list and admission loops.
 
-use crate::admission::{self, Admissions};
-use crate::directory::{self, Directory};
-use crate::duty::{self, Duty};
+use crate::admission::{AdmissionSettings, Admissions};
+use crate::committed::CommittedState;
+use crate::directory::{Directory, DirectorySettings};
 use crate::http;
 use crate::platform_list;
-use crate::watch::InForce;
+use crate::reader_election::{ElectionSettings, ReaderElection};
 use eyre::{eyre, Context, Result};
 use hingestage_discovery::Follower;
 use hingestage_node::settings::InnerPort;
@@ -54,8 +54,8 @@
     file: SettingsFile,
     pub(crate) store: StoreClient,
     pub(crate) directory: RefCell<Directory>,
-    pub(crate) in_force: RefCell<InForce>,
-    pub(crate) duty: RefCell<Duty>,
+    pub(crate) committed: RefCell<CommittedState>,
+    pub(crate) election: RefCell<ReaderElection>,
     /// Workers, as read from the platform or received from other registries.
     pub(crate) workers: RefCell<Follower>,
     /// When the workers last changed.
@@ -78,14 +78,14 @@
     let me = RegistryMember { id: id.clone(), zone: settings.zone.as_str().into(), addr, reads_list: true };
     let registry = Rc::new(Registry {
         store: StoreClient::new(settings.inner(InnerPort::ConfigStore)),
-        directory: RefCell::new(Directory::new(directory::Figures::default())),
-        in_force: RefCell::new(InForce::new(id.incarnation)),
+        directory: RefCell::new(Directory::new(DirectorySettings::default())),
+        committed: RefCell::new(CommittedState::new(id.incarnation)),
         workers: RefCell::default(),
         workers_at: Cell::new(0),
-        duty: RefCell::new(Duty::new(me, duty::Figures::default())),
+        election: RefCell::new(ReaderElection::new(me, ElectionSettings::default())),
         started: Instant::now(),
         changed: Notify::new(),
-        admissions: RefCell::new(Admissions::new(settings.bootstrap, admission::Figures::default())),
+        admissions: RefCell::new(Admissions::new(settings.bootstrap, AdmissionSettings::default())),
         peers: RefCell::default(),
         file: SettingsFile::new(settings.clone()),
         settings: settings.clone(),
@@ -117,12 +117,12 @@
     /// Watches the store on this machine for committed state.
     async fn follow_store(self: Rc<Self>) {
         loop {
-            let have = self.in_force.borrow().summary.clone();
+            let have = self.committed.borrow().summary.clone();
             let asked_at = self.now();
             let request = StoreRequest::Watch { have, wait: STORE_WAIT.as_millis() as u64 };
             match self.store.call(&request, STORE_WAIT + CALL_TIMEOUT).await {
                 Ok(StoreAnswer::Watched(news)) => {
-                    if self.in_force.borrow_mut().take(self.now(), asked_at, *news) {
+                    if self.committed.borrow_mut().apply(self.now(), asked_at, *news) {
                         self.changed.notify_waiters();
                     }
                 }
@@ -137,10 +137,10 @@
         tokio::time::sleep(PEER_HEARTBEAT_PERIOD).await;
         loop {
             let cloud = self.file.current().cloud_api.clone();
-            let version = self.duty.borrow_mut().read_under(self.now());
+            let version = self.election.borrow_mut().next_version(self.now());
             if let (Some(cloud), Some(version)) = (cloud, version) {
                 let read = platform_list::read(cloud.addr).await;
-                self.duty.borrow_mut().has_read(self.now(), read.is_ok());
+                self.election.borrow_mut().record_read(self.now(), read.is_ok());
                 match read {
                     Ok(workers) => self.apply_list(version, workers),
                     Err(error) => log::warn!("list of workers: {error}"),
@@ -152,14 +152,14 @@
 
     /// Applies a list that was read, and notifies watchers if it differs from the known one.
     fn apply_list(&self, version: WorkersVersion, workers: Vec<WorkerRecord>) {
-        if self.workers.borrow_mut().read(self.now(), version, workers) {
+        if self.workers.borrow_mut().apply_list(self.now(), version, workers) {
             self.workers_changed();
         }
     }
 
     fn workers_changed(&self) {
         let version = self.workers.borrow().seen_version();
-        self.duty.borrow_mut().saw(version);
+        self.election.borrow_mut().observe_version(version);
         self.workers_at.set(self.now());
         self.changed.notify_waiters();
     }
@@ -167,19 +167,19 @@
     /// Fetches the services that are newer at another registry.
     async fn fetch_updates(&self, peer: &Peer, index: &ServiceIndex) {
         let now = self.now();
-        self.duty.borrow_mut().saw(index.version);
-        self.workers.borrow_mut().told(now, index);
+        self.election.borrow_mut().observe_version(index.version);
+        self.workers.borrow_mut().apply_index(now, index);
         let until = now + SERVICES_TIMEOUT.as_micros() as Micros;
-        let asked = self.workers.borrow_mut().ask(now, until, |_, _| true);
+        let asked = self.workers.borrow_mut().next_requests(now, until, |_, _| true);
         if asked.is_empty() {
             return;
         }
         let answer = peer.call(&RegistryRequest::FetchServices(asked.clone()), SERVICES_TIMEOUT).await;
         if let Ok(RegistryAnswer::Services(updates)) = answer {
-            self.workers.borrow_mut().take(self.now(), updates);
+            self.workers.borrow_mut().apply_updates(self.now(), updates);
             self.workers_changed();
         }
-        self.workers.borrow_mut().unanswered(&asked);
+        self.workers.borrow_mut().end_request(&asked);
     }
 
     /// Starts a heartbeat loop for each other registry that becomes known.
@@ -200,7 +200,7 @@
     /// Addresses of the other registries: known ones and the seeds of the current settings.
     fn peer_addrs(&self) -> Vec<SocketAddr> {
         let me = self.settings.inner(InnerPort::Registry);
-        let known = self.duty.borrow().members(self.now()).into_iter().map(|member| member.addr);
+        let known = self.election.borrow().members(self.now()).into_iter().map(|member| member.addr);
         // The port comes from the settings read at startup; only the seed list is reloaded.
         let current = self.file.current();
         let seeds = current.seeds.iter().map(|seed| self.settings.inner_at(seed.ip(), InnerPort::Registry));
@@ -211,9 +211,9 @@
         loop {
             let now = self.now();
             let request = RegistryRequest::Meet {
-                from: self.duty.borrow().me(now),
-                members: self.duty.borrow().members(now),
-                workers: self.workers.borrow().told_version(),
+                from: self.election.borrow().local_member(now),
+                members: self.election.borrow().members(now),
+                workers: self.workers.borrow().announced_version(),
                 workers_seen: self.workers.borrow().seen_version(),
             };
             if let Ok(RegistryAnswer::Met { from, members, workers }) =
@@ -227,7 +227,7 @@
     }
 
     fn heartbeat_period(&self, addr: SocketAddr) -> Duration {
-        let members = self.duty.borrow().members(self.now());
+        let members = self.election.borrow().members(self.now());
         let member = members.iter().find(|member| member.addr == addr);
         if member.is_some_and(|member| self.settings.is_far(&member.zone)) {
             REMOTE_HEARTBEAT_PERIOD
@@ -237,16 +237,17 @@
     }
 
     fn record_peers(&self, from: RegistryMember, members: Vec<RegistryMember>) {
-        let mut duty = self.duty.borrow_mut();
-        duty.heard(self.now(), from);
-        members.into_iter().for_each(|member| duty.told_of(member));
+        let mut election = self.election.borrow_mut();
+        election.record_heartbeat(self.now(), from);
+        members.into_iter().for_each(|member| election.add_candidate(member));
     }
 
     /// Admits new proxies to the shared limits.
     async fn admit_proxies(self: Rc<Self>) {
         loop {
             tokio::time::sleep(MAINTENANCE_PERIOD).await;
-            let names = self.admissions.borrow_mut().due(self.now(), &self.in_force.borrow().proxies);
+            let names =
+                self.admissions.borrow_mut().due_changes(self.now(), &self.committed.borrow().proxies);
             if names.is_empty() {
                 continue;
             }
@@ -265,9 +266,9 @@
         loop {
             tokio::time::sleep(MAINTENANCE_PERIOD).await;
             let now = self.now();
-            self.directory.borrow_mut().tidy(now);
-            self.duty.borrow_mut().tidy(now);
-            let current = self.directory.borrow().living_digest(now);
+            self.directory.borrow_mut().remove_expired(now);
+            self.election.borrow_mut().remove_expired(now);
+            let current = self.directory.borrow().live_digest(now);
             if current != last_digest {
                 last_digest = current;
                 self.changed.notify_waiters();
@@ -277,14 +278,14 @@
 
     /// Versions of the state that this registry offers to proxies of a zone.
     pub(crate) fn have(&self, zone: &str) -> Have {
-        let in_force = self.in_force.borrow();
+        let committed = self.committed.borrow();
         Have {
-            config: in_force.offered(self.now()),
-            drains: in_force.summary.drains.clone(),
+            config: committed.offered_version(self.now()),
+            drains: committed.summary.drains.clone(),
             workers: self.workers.borrow().catalog().version(),
             workers_seen: self.workers.borrow().seen_version(),
             directory: self.directory.borrow().version(self.now(), zone),
-            trials: in_force.trials.revision(),
+            trials: committed.trials.revision(),
         }
     }
 
@@ -295,8 +296,8 @@
             self.changed.notify_waiters();
         }
         // After a restart of all registries only the proxies know the highest list version.
-        self.duty.borrow_mut().saw(theirs.workers_seen);
-        self.admissions.borrow_mut().heard(&name, &self.in_force.borrow().proxies);
+        self.election.borrow_mut().observe_version(theirs.workers_seen);
+        self.admissions.borrow_mut().observe(&name, &self.committed.borrow().proxies);
         loop {
             let changed = self.changed.notified();
             let have = self.have(&zone);
@@ -304,7 +305,7 @@
                 || has_newer_drain(&have.drains, &theirs.drains)
                 || have.workers > theirs.workers
                 || have.directory != theirs.directory
-                || self.in_force.borrow().trials.has_news_for(theirs.trials);
+                || self.committed.borrow().trials.has_updates_for(theirs.trials);
             let now = self.now();
             if has_news || now >= until {
                 return RegistryAnswer::Watched(Box::new(self.watched(now, have, &theirs, &name, &zone)));
@@ -315,7 +316,7 @@
 
     fn watched(&self, now: Micros, have: Have, theirs: &Have, name: &str, zone: &str) -> Watched {
         let config_bytes = if have.config > theirs.config { self.config_bytes(theirs.config) } else { 0 };
-        let in_force = self.in_force.borrow();
+        let committed = self.committed.borrow();
         let other_directory = have.directory != theirs.directory;
         let directory = self.directory.borrow();
         let neighbors = || directory.neighbors(now, zone).into_iter().cloned().collect();
@@ -323,23 +324,23 @@
             config_bytes,
             services: self.workers.borrow().catalog().index_since(theirs.workers),
             directory: other_directory.then(neighbors),
-            trials: in_force.trials.since(now, theirs.trials),
+            trials: committed.trials.updates_since(now, theirs.trials),
             registries: self.registries(now),
-            fresh_age: in_force.fresh_age(now),
-            members: in_force.proxies.len() as u32,
-            settled: in_force.proxies.get(name) == Some(&true),
+            fresh_age: committed.fresh_age(now),
+            members: committed.proxies.len() as u32,
+            settled: committed.proxies.get(name) == Some(&true),
             have,
         }
     }
 
     /// Size in bytes of the configuration as sent to a proxy that has the given version.
     fn config_bytes(&self, have: Option<ConfigVersion>) -> u64 {
-        let mut in_force = self.in_force.borrow_mut();
-        in_force.transfer_for(self.now(), have).map_or(0, |transfer| transfer.packed.len() as u64)
+        let mut committed = self.committed.borrow_mut();
+        committed.transfer_for(self.now(), have).map_or(0, |transfer| transfer.packed.len() as u64)
     }
 
     fn registries(&self, now: Micros) -> Vec<RegistryAddress> {
-        let members = self.duty.borrow().members(now).into_iter();
+        let members = self.election.borrow().members(now).into_iter();
         members.map(|member| RegistryAddress { addr: member.addr, zone: member.zone }).collect()
     }
 
@@ -347,9 +348,9 @@
     pub(crate) fn status(&self) -> String {
         let now = self.now();
         let have = self.have(&self.settings.zone);
-        let in_force = self.in_force.borrow();
-        let proxy_count = self.directory.borrow().living(now).count();
-        let fresh = in_force.freshness.age(now).map(|age| age / 1_000);
+        let committed = self.committed.borrow();
+        let proxy_count = self.directory.borrow().live_proxies(now).count();
+        let fresh = committed.freshness.age(now).map(|age| age / 1_000);
         serde_json::json!({
             "node": self.settings.node,
             "config": have.config.map(|version| format!("{:08x}", version.serial)),
@@ -357,9 +358,9 @@
             "workers": self.workers.borrow().catalog().workers().count(),
             "workers_version": [have.workers.fence, have.workers.number],
             "proxies": proxy_count,
-            "members": in_force.proxies.len(),
+            "members": committed.proxies.len(),
             "fresh_ms": fresh,
-            "recovering": in_force.summary.recovering,
+            "recovering": committed.summary.recovering,
         })
         .to_string()
     }
@@ -381,19 +382,19 @@
             }
             RegistryRequest::Meet { from, members, workers, workers_seen } => {
                 self.record_peers(from, members);
-                self.duty.borrow_mut().saw(workers_seen);
+                self.election.borrow_mut().observe_version(workers_seen);
                 let now = self.now();
                 RegistryAnswer::Met {
-                    from: self.duty.borrow().me(now),
-                    members: self.duty.borrow().members(now),
+                    from: self.election.borrow().local_member(now),
+                    members: self.election.borrow().members(now),
                     workers: self.workers.borrow().catalog().index_since(workers),
                 }
             }
             RegistryRequest::FetchConfig { have } => {
-                RegistryAnswer::Config(self.in_force.borrow_mut().transfer_for(self.now(), have).cloned())
+                RegistryAnswer::Config(self.committed.borrow_mut().transfer_for(self.now(), have).cloned())
             }
             RegistryRequest::FetchServices(have) => {
-                RegistryAnswer::Services(self.workers.borrow().catalog().news(self.now(), &have))
+                RegistryAnswer::Services(self.workers.borrow().catalog().updates_for(self.now(), &have))
             }
             RegistryRequest::Status => RegistryAnswer::Status(Box::new(self.registry_status())),
         }
--- a/crates/registry/src/status.rs
+++ b/crates/registry/src/status.rs
@@ -2,7 +2,7 @@
 
 use crate::server::Registry;
 use compact_str::CompactString;
-use hingestage_discovery::Listed;
+use hingestage_discovery::ListedWorker;
 use hingestage_node::settings::InnerPort;
 use hingestage_replication::Micros;
 use hingestage_rpc::messages::ZoneDrains;
@@ -16,22 +16,22 @@
     pub(crate) fn registry_status(&self) -> RegistryStatus {
         let now = self.now();
         let have = self.have(&self.settings.zone);
-        let in_force = self.in_force.borrow();
-        let duty = self.duty.borrow();
+        let committed = self.committed.borrow();
+        let election = self.election.borrow();
         let drained = have.drains.iter().filter(|(_, drain)| drain.drained);
         RegistryStatus {
-            member: duty.me(now),
+            member: election.local_member(now),
             config: have.config,
-            fresh_age: in_force.freshness.age(now).map(|age| age / MICROS_PER_MILLI),
-            fence: duty.fence(),
+            fresh_age: committed.freshness.age(now).map(|age| age / MICROS_PER_MILLI),
+            fence: election.fence(),
             workers_version: have.workers,
             workers_age: now.saturating_sub(self.workers_at.get()) / MICROS_PER_MILLI,
             workers: group_workers(now, self.workers.borrow().catalog().workers(), &have.drains),
             drained: drained.map(|(zone, _)| zone.clone()).collect(),
-            members: in_force.proxies.len() as u32,
+            members: committed.proxies.len() as u32,
             store: self.settings.inner(InnerPort::ConfigStore),
-            registries: duty.members(now),
-            proxies: self.directory.borrow().living(now).cloned().collect(),
+            registries: election.members(now),
+            proxies: self.directory.borrow().live_proxies(now).cloned().collect(),
         }
     }
 }
@@ -39,7 +39,7 @@
 /// Counts workers by service, zone and state.
 fn group_workers<'a>(
     now: Micros,
-    workers: impl Iterator<Item = &'a Listed>,
+    workers: impl Iterator<Item = &'a ListedWorker>,
     drains: &ZoneDrains,
 ) -> Vec<WorkerGroup> {
     let mut groups: BTreeMap<(CompactString, CompactString), WorkerGroup> = BTreeMap::new();
--- a/crates/registry/src/trial_handlers.rs
+++ b/crates/registry/src/trial_handlers.rs
@@ -96,16 +96,19 @@
 
     /// `GET /trials`.
     pub(crate) fn get_trials(&self) -> HttpResponse {
-        let in_force = self.in_force.borrow();
-        let trials: Vec<TrialState> =
-            in_force.trials.all(self.now()).filter_map(|(record, age)| TrialState::of(record, age)).collect();
+        let committed = self.committed.borrow();
+        let trials: Vec<TrialState> = committed
+            .trials
+            .all(self.now())
+            .filter_map(|(record, age)| TrialState::of(record, age))
+            .collect();
         json(StatusCode::OK, serde_json::json!({ "trials": trials }).to_string())
     }
 
     /// `GET /trials/TENANT`.
     pub(crate) fn get_trial(&self, tenant: &str) -> HttpResponse {
-        let in_force = self.in_force.borrow();
-        let mut trials = in_force.trials.all(self.now());
+        let committed = self.committed.borrow();
+        let mut trials = committed.trials.all(self.now());
         let state = trials.find(|(record, _)| record.tenant == tenant);
         match state.and_then(|(record, age)| TrialState::of(record, age)) {
             Some(state) => json(StatusCode::OK, serde_json::json!(state).to_string()),
@@ -126,7 +129,7 @@
     }
 
     async fn propose_first_terms(self: Rc<Self>, first: FirstTerms) {
-        while self.in_force.borrow().trials.is_empty() {
+        while self.committed.borrow().trials.is_empty() {
             tokio::time::sleep(RETRY_PAUSE).await;
             let records = self.first_records(&first).unwrap_or_default();
             for record in records {
@@ -138,9 +141,9 @@
 
     /// Records of the default terms, if this registry is the elected reader and has a configuration.
     fn first_records(&self, first: &FirstTerms) -> Option<Vec<TrialRecord>> {
-        self.duty.borrow().fence()?;
-        let in_force = self.in_force.borrow();
-        let document = in_force.configs.newest()?;
+        self.election.borrow().fence()?;
+        let committed = self.committed.borrow();
+        let document = committed.configs.newest()?;
         let configuration = Configuration::parse(&document.json).ok()?;
         Some(first.records(&configuration, time_of_day()))
     }
@@ -149,10 +152,10 @@
     pub(crate) async fn announce_steps(self: Rc<Self>) {
         loop {
             tokio::time::sleep(STEP_PERIOD).await;
-            if self.duty.borrow().fence().is_none() || self.in_force.borrow().trials.is_empty() {
+            if self.election.borrow().fence().is_none() || self.committed.borrow().trials.is_empty() {
                 continue;
             }
-            let steps = self.in_force.borrow().trials.steps_due(self.now(), time_of_day());
+            let steps = self.committed.borrow().trials.steps_due(self.now(), time_of_day());
             if steps.is_empty() {
                 continue;
             }
--- a/crates/registry/src/trials.rs
+++ b/crates/registry/src/trials.rs
@@ -9,10 +9,10 @@
 const MICROS_PER_MILLI: Micros = 1_000;
 /// Time from when terms are durable until their first step is announced. The lease on a quota share is shorter, so by
 /// then a proxy that has not received the terms holds no share.
-pub const NOTICE: Micros = 12_000_000;
+pub const NOTICE_PERIOD: Micros = 12_000_000;
 
 /// A durable trial.
-struct Known {
+struct Trial {
     record: TrialRecord,
     /// Parsed terms; `None` if they were accepted by a build with weaker validation.
     terms: Option<Terms>,
@@ -27,19 +27,19 @@
 /// All durable trials, with revisions for incremental distribution.
 pub struct TrialLog {
     incarnation: u64,
-    notice: Micros,
+    notice_period: Micros,
     number: u64,
-    trials: BTreeMap<CompactString, Known>,
+    trials: BTreeMap<CompactString, Trial>,
 }
 
 impl TrialLog {
-    /// Creates an empty log. `incarnation` identifies this run of the registry; `notice` is usually [`NOTICE`].
-    pub fn new(incarnation: u64, notice: Micros) -> TrialLog {
-        TrialLog { incarnation, notice, number: 0, trials: BTreeMap::new() }
+    /// Creates an empty log. `incarnation` identifies this run of the registry; `notice_period` is usually [`NOTICE_PERIOD`].
+    pub fn new(incarnation: u64, notice_period: Micros) -> TrialLog {
+        TrialLog { incarnation, notice_period, number: 0, trials: BTreeMap::new() }
     }
 
     /// Applies updates from the store and returns whether any was new.
-    pub fn take(&mut self, now: Micros, news: Vec<TrialNews>) -> bool {
+    pub fn apply(&mut self, now: Micros, news: Vec<TrialNews>) -> bool {
         let number = self.number + 1;
         for TrialNews { record, age } in news {
             let held = self.trials.get(&record.tenant);
@@ -50,7 +50,7 @@
             let noticed_at = held.map_or(durable_at, |held| held.noticed_at);
             self.number = number;
             let terms = Terms::parse(&record.terms).ok();
-            let known = Known { record, terms, durable_at, number, noticed_at };
+            let known = Trial { record, terms, durable_at, number, noticed_at };
             self.trials.insert(known.record.tenant.clone(), known);
         }
         self.number == number
@@ -62,13 +62,13 @@
     }
 
     /// Whether there are trials that a receiver at revision `theirs` lacks.
-    pub fn has_news_for(&self, theirs: TrialRevision) -> bool {
+    pub fn has_updates_for(&self, theirs: TrialRevision) -> bool {
         let known = if theirs.incarnation == self.incarnation { theirs.number } else { 0 };
         self.number > known
     }
 
     /// Trials that a receiver at revision `theirs` lacks: all of them if that is of another incarnation.
-    pub fn since(&self, now: Micros, theirs: TrialRevision) -> Vec<TrialNews> {
+    pub fn updates_since(&self, now: Micros, theirs: TrialRevision) -> Vec<TrialNews> {
         let known = if theirs.incarnation == self.incarnation { theirs.number } else { 0 };
         let newer = self.trials.values().filter(|trial| trial.number > known);
         newer.map(|trial| TrialNews { record: trial.record.clone(), age: trial.age(now) }).collect()
@@ -97,12 +97,12 @@
     /// Steps due at `time_of_day`, in milliseconds since the Unix epoch.
     pub fn steps_due(&self, now: Micros, time_of_day: u64) -> Vec<TrialStep> {
         let noticed =
-            self.trials.values().filter(|trial| signed(now) >= trial.noticed_at + signed(self.notice));
+            self.trials.values().filter(|trial| signed(now) >= trial.noticed_at + signed(self.notice_period));
         noticed.filter_map(|trial| due_step(&trial.record, trial.terms.as_ref()?, time_of_day)).collect()
     }
 }
 
-impl Known {
+impl Trial {
     fn age(&self, now: Micros) -> u64 {
         (signed(now) - self.durable_at).max(0).unsigned_abs() / MICROS_PER_MILLI
     }
--- a/crates/registry/tests/directory.rs
+++ b/crates/registry/tests/directory.rs
@@ -1,7 +1,7 @@
 //! Proxy directory: heartbeats, expiry and client lookups.
 
 use hingestage_fixtures::proxy_status;
-use hingestage_registry::directory::{Directory, Figures};
+use hingestage_registry::directory::{Directory, DirectorySettings};
 use hingestage_rpc::messages::{ProcessId, ProxyStatus};
 use std::net::SocketAddr;
 
@@ -11,7 +11,7 @@
 
 /// Silence after which a proxy is no longer live.
 fn expiry() -> u64 {
-    HEARTBEAT_PERIOD + Figures::default().late_after
+    HEARTBEAT_PERIOD + DirectorySettings::default().heartbeat_grace
 }
 
 fn proxy(number: u8, zone: &str, region: &str) -> ProxyStatus {
@@ -23,7 +23,7 @@
 }
 
 fn directory(proxies: &[ProxyStatus]) -> Directory {
-    let mut directory = Directory::new(Figures::default());
+    let mut directory = Directory::new(DirectorySettings::default());
     for status in proxies {
         assert!(directory.heard(S, status.clone(), HEARTBEAT_PERIOD), "a new proxy is a change");
     }
@@ -93,18 +93,18 @@
 
 #[test]
 fn directory_and_answers_are_bounded_and_keep_the_nearest() {
-    let figures = Figures { proxies_max: 100, ..Figures::default() };
-    let mut directory = Directory::new(figures);
+    let settings = DirectorySettings { proxies_max: 100, ..DirectorySettings::default() };
+    let mut directory = Directory::new(settings);
     for number in 0..99 {
         directory.heard(S, proxy(number, "b", "x"), HEARTBEAT_PERIOD);
     }
     directory.heard(S, proxy(200, "a", "x"), HEARTBEAT_PERIOD);
     assert!(!directory.heard(S, proxy(201, "a", "x"), HEARTBEAT_PERIOD), "the directory is full");
     let answer = lookup_numbers(&directory, S);
-    assert_eq!((answer.len(), answer[0]), (figures.answer_max, 200));
-    directory.tidy(S + figures.forget_after);
+    assert_eq!((answer.len(), answer[0]), (settings.answer_max, 200));
+    directory.remove_expired(S + settings.expire_after);
     assert!(
-        directory.heard(S + figures.forget_after, proxy(201, "a", "x"), HEARTBEAT_PERIOD),
+        directory.heard(S + settings.expire_after, proxy(201, "a", "x"), HEARTBEAT_PERIOD),
         "expired entries free space"
     );
 }
--- a/crates/registry/tests/trials.rs
+++ b/crates/registry/tests/trials.rs
@@ -2,7 +2,7 @@
 
 use hingestage_configuration::Configuration;
 use hingestage_registry::first_terms::FirstTerms;
-use hingestage_registry::trials::{TrialLog, NOTICE};
+use hingestage_registry::trials::{TrialLog, NOTICE_PERIOD};
 use hingestage_rpc::trials::{TrialNews, TrialPosition, TrialRecord, TrialRevision};
 
 const S: u64 = 1_000_000;
@@ -25,24 +25,24 @@
 
 #[test]
 fn first_step_is_not_due_before_the_notice_period_ends() {
-    let mut log = TrialLog::new(1, NOTICE);
-    log.take(S, vec![news("t", 0, 0)]);
-    assert!(steps_due(&log, S + NOTICE - 1, END).is_empty());
-    assert_eq!(steps_due(&log, S + NOTICE, END), [3], "steps that fell due meanwhile are merged");
+    let mut log = TrialLog::new(1, NOTICE_PERIOD);
+    log.apply(S, vec![news("t", 0, 0)]);
+    assert!(steps_due(&log, S + NOTICE_PERIOD - 1, END).is_empty());
+    assert_eq!(steps_due(&log, S + NOTICE_PERIOD, END), [3], "steps that fell due meanwhile are merged");
     // A restarted registry uses the age reported by its store.
-    let mut log = TrialLog::new(2, NOTICE);
-    log.take(S, vec![news("t", 0, 11_000)]);
+    let mut log = TrialLog::new(2, NOTICE_PERIOD);
+    log.apply(S, vec![news("t", 0, 11_000)]);
     assert!(steps_due(&log, 2 * S - 1, END).is_empty());
     assert_eq!(steps_due(&log, 2 * S, END), [3]);
 }
 
 #[test]
 fn decided_step_is_not_repeated_after_a_clock_change() {
-    let mut log = TrialLog::new(1, NOTICE);
-    log.take(0, vec![news("t", 0, 0)]);
+    let mut log = TrialLog::new(1, NOTICE_PERIOD);
+    log.apply(0, vec![news("t", 0, 0)]);
     let clock_ahead = END + 5_000;
     assert_eq!(steps_due(&log, 20 * S, clock_ahead), [3]);
-    log.take(20 * S, vec![news("t", 3, 0)]);
+    log.apply(20 * S, vec![news("t", 3, 0)]);
     // The clock is set back, or another registry with a correct clock is elected.
     assert!(steps_due(&log, 21 * S, END - 61_000).is_empty());
     assert!(steps_due(&log, 21 * S, END + 5_000).is_empty());
@@ -50,31 +50,31 @@
 
 #[test]
 fn restarted_registry_sends_all_trials_with_ages_from_the_store() {
-    let mut log = TrialLog::new(1, NOTICE);
-    assert!(log.take(10 * S, vec![news("t", 1, 4_000)]));
-    assert!(!log.take(11 * S, vec![news("t", 1, 0), news("t", 0, 0)]), "already known");
+    let mut log = TrialLog::new(1, NOTICE_PERIOD);
+    assert!(log.apply(10 * S, vec![news("t", 1, 4_000)]));
+    assert!(!log.apply(11 * S, vec![news("t", 1, 0), news("t", 0, 0)]), "already known");
     let revision = log.revision();
-    assert!(!log.has_news_for(revision));
-    assert!(log.has_news_for(TrialRevision::default()));
+    assert!(!log.has_updates_for(revision));
+    assert!(log.has_updates_for(TrialRevision::default()));
     assert!(
-        log.has_news_for(TrialRevision { incarnation: 7, ..revision }),
+        log.has_updates_for(TrialRevision { incarnation: 7, ..revision }),
         "revisions of another incarnation are not comparable"
     );
-    assert_eq!(log.since(12 * S, TrialRevision::default()), [news("t", 1, 6_000)]);
+    assert_eq!(log.updates_since(12 * S, TrialRevision::default()), [news("t", 1, 6_000)]);
     // The age reaches back to before this process started.
-    let mut restarted = TrialLog::new(2, NOTICE);
-    restarted.take(S, vec![news("t", 1, 60_000)]);
-    assert_eq!(restarted.since(2 * S, revision), [news("t", 1, 61_000)]);
+    let mut restarted = TrialLog::new(2, NOTICE_PERIOD);
+    restarted.apply(S, vec![news("t", 1, 60_000)]);
+    assert_eq!(restarted.updates_since(2 * S, revision), [news("t", 1, 61_000)]);
 }
 
 #[test]
 fn only_newer_trials_are_sent() {
-    let mut log = TrialLog::new(1, NOTICE);
-    log.take(0, vec![news("a", 0, 0), news("b", 0, 0)]);
+    let mut log = TrialLog::new(1, NOTICE_PERIOD);
+    log.apply(0, vec![news("a", 0, 0), news("b", 0, 0)]);
     let revision = log.revision();
-    log.take(S, vec![news("a", 0, 0), news("b", 1, 0)]);
+    log.apply(S, vec![news("a", 0, 0), news("b", 1, 0)]);
     let tenants: Vec<String> =
-        log.since(S, revision).into_iter().map(|news| news.record.tenant.to_string()).collect();
+        log.updates_since(S, revision).into_iter().map(|news| news.record.tenant.to_string()).collect();
     assert_eq!(tenants, ["b"]);
 }
 
