--- a/crates/configuration/src/model.rs
+++ b/crates/configuration/src/model.rs
@@ -184,16 +184,16 @@
     pub idle_timeout: Duration,
 }
 
-const DEFAULT_HEADER_BYTES: u64 = 16 * 1024;
-const DEFAULT_BODY_BYTES: u64 = 64 * 1024 * 1024;
+const DEFAULT_MAX_HEADER_BYTES: u64 = 16 * 1024;
+const DEFAULT_MAX_BODY_BYTES: u64 = 64 * 1024 * 1024;
 const DEFAULT_HEADER_TIMEOUT: Duration = Duration::from_secs(3);
 const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(15);
 
 impl Default for Limits {
     fn default() -> Self {
         Limits {
-            max_header_bytes: DEFAULT_HEADER_BYTES,
-            max_body_bytes: DEFAULT_BODY_BYTES,
+            max_header_bytes: DEFAULT_MAX_HEADER_BYTES,
+            max_body_bytes: DEFAULT_MAX_BODY_BYTES,
             header_timeout: DEFAULT_HEADER_TIMEOUT,
             idle_timeout: DEFAULT_IDLE_TIMEOUT,
         }
--- a/crates/configuration/src/serial.rs
+++ b/crates/configuration/src/serial.rs
@@ -6,7 +6,8 @@
 
 const DIGITS: usize = 8;
 const RADIX: u32 = 16;
-const MAX: u64 = 0xffff_ffff;
+/// Largest value that fits in eight hexadecimal digits.
+const MAX_VALUE: u64 = 0xffff_ffff;
 
 /// Version of a configuration, written as eight hexadecimal digits. The highest one wins.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -15,7 +16,7 @@
 impl Serial {
     /// The next serial, or `None` if it does not fit in eight digits.
     pub fn next(self) -> Option<Serial> {
-        (self.0 < MAX).then(|| Serial(self.0 + 1))
+        (self.0 < MAX_VALUE).then(|| Serial(self.0 + 1))
     }
 }
 
--- a/crates/discovery/src/service_list.rs
+++ b/crates/discovery/src/service_list.rs
@@ -35,15 +35,18 @@
         WorkerRecord { cold_left: self.cold_left(now), ..self.record.clone() }
     }
 
-    /// Whether `later` is no change: the same record, and no longer warm-up within the tolerance.
+    /// Whether `later` is no change: the record is equal and the warm-up isn't extended beyond the tolerance.
     fn covers(&self, now: Micros, later: &ListedWorker) -> bool {
-        let no_colder = later.cold_left(now) <= self.cold_left(now) + COLD_TOLERANCE_MS;
-        no_colder && self.record == later.record
+        let not_extended = later.cold_left(now) <= self.cold_left(now) + COLD_TOLERANCE_MS;
+        not_extended && self.record == later.record
     }
 }
 
+/// An entry of the change log.
 struct Change {
+    /// Version before the change.
     since: WorkersVersion,
+    /// Workers that were added, changed or removed.
     ids: Vec<CompactString>,
 }
 
@@ -97,27 +100,31 @@
         records: Vec<WorkerRecord>,
         new_reader: bool,
     ) -> bool {
-        let read: BTreeMap<CompactString, ListedWorker> =
+        let workers: BTreeMap<CompactString, ListedWorker> =
             records.into_iter().map(|record| (record.id.clone(), ListedWorker::new(now, record))).collect();
-        let ids = self.changed_ids(now, &read);
+        let ids = self.changed_ids(now, &workers);
         if new_reader {
-            self.replace(version, read);
+            self.replace(version, workers);
             return true;
         }
         if ids.is_empty() {
             return false;
         }
-        self.workers = read;
+        self.workers = workers;
         self.log_change(version, ids);
         true
     }
 
-    fn changed_ids(&self, now: Micros, read: &BTreeMap<CompactString, ListedWorker>) -> Vec<CompactString> {
+    fn changed_ids(
+        &self,
+        now: Micros,
+        workers: &BTreeMap<CompactString, ListedWorker>,
+    ) -> Vec<CompactString> {
         let is_changed = |(id, listed): &(&CompactString, &ListedWorker)| {
             !self.workers.get(*id).is_some_and(|held| held.covers(now, listed))
         };
-        let listed = read.iter().filter(is_changed).map(|(id, _)| id.clone());
-        let removed = self.workers.keys().filter(|id| !read.contains_key(*id)).cloned();
+        let listed = workers.iter().filter(is_changed).map(|(id, _)| id.clone());
+        let removed = self.workers.keys().filter(|id| !workers.contains_key(*id)).cloned();
         listed.chain(removed).collect()
     }
 
--- a/crates/registry/src/first_terms.rs
+++ b/crates/registry/src/first_terms.rs
@@ -11,7 +11,7 @@
 use std::time::{Duration, UNIX_EPOCH};
 
 /// Version of default terms, below any that an operator sets.
-const VERSION: u64 = 1;
+const DEFAULT_TERMS_VERSION: u64 = 1;
 
 /// Contents of the JSON file with the default terms.
 #[derive(Clone, Debug, PartialEq, Deserialize, Validate)]
@@ -44,7 +44,7 @@
     fn terms_ending_at(&self, end: u64) -> Result<Vec<u8>, InvalidTerms> {
         let mut terms = self.terms.clone();
         let end = humantime::format_rfc3339_millis(UNIX_EPOCH + Duration::from_millis(end));
-        terms.insert("version".to_owned(), VERSION.into());
+        terms.insert("version".to_owned(), DEFAULT_TERMS_VERSION.into());
         terms.insert("end".to_owned(), end.to_string().into());
         let json = Value::from(terms).to_string().into_bytes();
         Terms::parse(&json).map(|_| json)
@@ -57,7 +57,7 @@
         let mut tenants: Vec<(f64, &CompactString)> =
             configuration.tenants.iter().map(|tenant| (tenant.rate_per_s, &tenant.name)).collect();
         tenants.sort_by(|a, b| b.0.total_cmp(&a.0).then_with(|| a.1.cmp(b.1)));
-        let position = TrialPosition { version: VERSION, digest: digest(&terms), step: 0 };
+        let position = TrialPosition { version: DEFAULT_TERMS_VERSION, digest: digest(&terms), step: 0 };
         let record =
             |tenant: &CompactString| TrialRecord { tenant: tenant.clone(), position, terms: terms.clone() };
         tenants.into_iter().take(self.tenants).map(|(_, tenant)| record(tenant)).collect()
--- a/crates/registry/src/reader_election.rs
+++ b/crates/registry/src/reader_election.rs
@@ -44,14 +44,17 @@
 
 /// The known registries, and whether this one is the reader.
 pub struct ReaderElection {
+    /// This registry.
     me: RegistryMember,
     settings: ElectionSettings,
+    /// The other registries by node name.
     others: BTreeMap<CompactString, Peer>,
     /// Highest list version seen.
-    seen: WorkersVersion,
+    highest_seen: WorkersVersion,
     /// Fencing number of this registry while it is the reader.
     fence: Option<u64>,
     consecutive_failures: u32,
+    /// Time until which this registry does not take part.
     stepped_down_until: Micros,
 }
 
@@ -62,7 +65,7 @@
             me,
             settings,
             others: BTreeMap::new(),
-            seen: WorkersVersion::default(),
+            highest_seen: WorkersVersion::default(),
             fence: None,
             consecutive_failures: 0,
             stepped_down_until: 0,
@@ -105,7 +108,7 @@
 
     /// Records the version of a list that was seen.
     pub fn observe_version(&mut self, version: WorkersVersion) {
-        self.seen = self.seen.max(version);
+        self.highest_seen = self.highest_seen.max(version);
     }
 
     /// Version for the next read of the list, or `None` if another registry is the reader.
@@ -114,19 +117,19 @@
             self.fence = None;
             return None;
         }
-        let reader = self.reader();
+        let reader = self.reader_id();
         let fence = match self.fence {
-            Some(fence) if (fence, reader) >= (self.seen.fence, self.seen.reader) => fence,
-            _ => self.seen.fence + 1,
+            Some(fence) if (fence, reader) >= (self.highest_seen.fence, self.highest_seen.reader) => fence,
+            _ => self.highest_seen.fence + 1,
         };
         self.fence = Some(fence);
         let first = WorkersVersion { fence, reader, number: 1 };
-        let number = if self.seen.has_reader_of(&first) { self.seen.number + 1 } else { 1 };
+        let number = if self.highest_seen.has_reader_of(&first) { self.highest_seen.number + 1 } else { 1 };
         Some(WorkersVersion { number, ..first })
     }
 
     /// Identifier of this process in list versions.
-    fn reader(&self) -> u64 {
+    fn reader_id(&self) -> u64 {
         digest(format!("{} {}", self.me.id.node, self.me.id.incarnation).as_bytes())
     }
 
--- a/crates/registry/src/server.rs
+++ b/crates/registry/src/server.rs
@@ -28,7 +28,7 @@
 
 /// Long-poll wait of a watch on the local store.
 const STORE_WAIT: Duration = Duration::from_millis(300);
-/// Margin for the answer of another process beyond the wait requested of it.
+/// Timeout of calls to other processes, in addition to the wait requested of them.
 const CALL_TIMEOUT: Duration = Duration::from_millis(1_000);
 /// Backoff after a failed call.
 const CALL_BACKOFF: Duration = Duration::from_millis(150);
@@ -201,7 +201,7 @@
     fn peer_addrs(&self) -> Vec<SocketAddr> {
         let me = self.settings.inner(InnerPort::Registry);
         let known = self.election.borrow().members(self.now()).into_iter().map(|member| member.addr);
-        // The port comes from the settings read at startup; only the seed list is reloaded.
+        // Seeds are reloaded from the settings file, which falls back to its last valid state.
         let current = self.file.current();
         let seeds = current.seeds.iter().map(|seed| self.settings.inner_at(seed.ip(), InnerPort::Registry));
         known.chain(seeds).filter(|addr| *addr != me).collect()
--- a/crates/registry/src/transfers.rs
+++ b/crates/registry/src/transfers.rs
@@ -7,7 +7,7 @@
 /// Maximum number of documents held as bases for deltas.
 const DOCUMENTS_MAX: usize = 8;
 /// Maximum total size of the held documents, except for the last `DOCUMENTS_MIN`.
-const DOCUMENT_BYTES_MAX: usize = 8 << 20;
+const TOTAL_BYTES_MAX: usize = 8 << 20;
 /// Number of documents held whatever their size: the newest and the one before.
 const DOCUMENTS_MIN: usize = 2;
 
@@ -36,7 +36,7 @@
             documents.iter().map(|document| document.json.len()).sum()
         };
         while self.documents.len() > DOCUMENTS_MAX
-            || (self.documents.len() > DOCUMENTS_MIN && bytes(&self.documents) > DOCUMENT_BYTES_MAX)
+            || (self.documents.len() > DOCUMENTS_MIN && bytes(&self.documents) > TOTAL_BYTES_MAX)
         {
             self.documents.pop_front();
         }
--- a/crates/registry/src/trials.rs
+++ b/crates/registry/src/trials.rs
@@ -74,7 +74,7 @@
         newer.map(|trial| TrialNews { record: trial.record.clone(), age: trial.age(now) }).collect()
     }
 
-    /// A tenant's trial.
+    /// The trial of a tenant.
     pub fn get(&self, tenant: &str) -> Option<&TrialRecord> {
         self.trials.get(tenant).map(|trial| &trial.record)
     }
