--- a/crates/config-store/src/lib.rs
+++ b/crates/config-store/src/lib.rs
@@ -1,7 +1,7 @@
-//! The store of configuration: replicas of the operator's orders as plain files, mended by comparing versions.
+//! The configuration store: a replica of the operator's configuration with file storage, networking and an audit log.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
 pub mod audit;
-pub mod files;
+pub mod data_dir;
 pub mod server;
--- a/crates/proxy/src/server.rs
+++ b/crates/proxy/src/server.rs
@@ -210,7 +210,7 @@
             cold_margin: micros(COLD_MARGIN),
             key_lease,
             share_lease: micros(SHARE_LEASE),
-            trials: hingestage_trial::Spans::default(),
+            trials: hingestage_trial::TrialTiming::default(),
         };
         let started = Instant::now();
         let incarnation = incarnation();
--- a/crates/registry/src/committed.rs
+++ b/crates/registry/src/committed.rs
@@ -48,7 +48,7 @@
         }
         let trials_changed = news.trials.is_some_and(|trials| self.trials.apply(now, trials));
         if let Some(age) = news.fresh_age {
-            self.freshness.note(asked_at, age * MICROS_PER_MILLI);
+            self.freshness.observe(asked_at, age * MICROS_PER_MILLI);
         }
         self.summary = news.summary;
         self.summary.config = self.configs.newest().map(|config| config.version);
