--- a/crates/policy/tests/views.rs
+++ b/crates/policy/tests/views.rs
@@ -119,13 +119,13 @@
 fn superseded_gateway_sends_nothing() {
     let mut s = Harness::new(settings(), &[1, 2]);
     s.event(Event::Fleet(LeaseView {
-        number: 1,
+        version: 1,
         me: 0,
         gateways: GATEWAYS,
         reserved_fraction: 0.0,
         holds_lease: false,
         absent: Default::default(),
-        until: FOREVER,
+        valid_until: FOREVER,
     }));
     assert_eq!(admitted_rate(&mut s, 5), 0.0);
 }
--- a/crates/proxy/tests/view.rs
+++ b/crates/proxy/tests/view.rs
@@ -43,7 +43,7 @@
 
 /// Applies an update. Returns whether it changed anything.
 fn apply(view: &mut View, now: u64, update: ServiceUpdate) -> bool {
-    !view.followed_mut().take(now, vec![update]).is_empty()
+    !view.followed_mut().apply_updates(now, vec![update]).is_empty()
 }
 
 fn usability(view: &View, now: u64) -> Vec<Usability> {
