--- a/crates/discovery/tests/following.rs
+++ b/crates/discovery/tests/following.rs
@@ -1,19 +1,19 @@
-//! What followers hold as updates come late, twice, out of order or with gaps. Time is given.
+//! Replication of catalogs with late, duplicate, reordered and missing updates.
 
 use compact_str::CompactString;
-use hingestage_discovery::{Catalog, Follower, CHANGES_KEPT};
+use hingestage_discovery::{Catalog, Follower, CHANGE_LOG_MAX};
 use hingestage_fixtures::{worker, workers_version as version};
 use hingestage_rpc::workers::{ServiceNews, WorkerRecord, WorkersVersion};
 use proptest::prelude::*;
 
 const S: u64 = 1_000_000;
 
-/// Everything that is new is asked for and comes at once.
+/// Requests and applies everything that is new at `from`.
 fn catch_up(follower: &mut Follower, now: u64, from: &Catalog) {
-    follower.told(now, &from.index_since(follower.told_version()));
-    let asked = follower.ask(now, now + S, |_, _| true);
-    follower.take(now, from.news(now, &asked));
-    follower.unanswered(&asked);
+    follower.apply_index(now, &from.index_since(follower.announced_version()));
+    let asked = follower.next_requests(now, now + S, |_, _| true);
+    follower.apply_updates(now, from.updates_for(now, &asked));
+    follower.end_request(&asked);
 }
 
 fn ids(catalog: &Catalog) -> Vec<CompactString> {
@@ -23,151 +23,153 @@
 }
 
 #[test]
-fn only_services_that_changed_are_named_and_one_change_is_told_as_a_change() {
+fn index_names_only_changed_services_and_updates_are_incremental() {
     let mut source = Catalog::default();
-    source.read(S, version(1), vec![worker("a1", "a"), worker("a2", "a"), worker("b1", "b")]);
+    source.apply_list(S, version(1), vec![worker("a1", "a"), worker("a2", "a"), worker("b1", "b")]);
     let mut follower = Follower::default();
     catch_up(&mut follower, S, &source);
     assert_eq!(follower.catalog().version(), version(1));
-    assert!(!source.read(S, version(2), vec![worker("a1", "a"), worker("a2", "a"), worker("b1", "b")]));
+    assert!(!source.apply_list(S, version(2), vec![worker("a1", "a"), worker("a2", "a"), worker("b1", "b")]));
     let leaving = WorkerRecord { draining: true, ..worker("a2", "a") };
-    assert!(source.read(S, version(3), vec![worker("a1", "a"), leaving.clone(), worker("b1", "b")]));
+    assert!(source.apply_list(S, version(3), vec![worker("a1", "a"), leaving.clone(), worker("b1", "b")]));
     let index = source.index_since(version(1));
     assert_eq!(index.services, [("a".into(), version(3))]);
-    assert!(!follower.told(S, &index), "no service that was not known");
-    assert_eq!(follower.catalog().version(), version(1), "told of, not held");
-    let asked = follower.ask(S, 2 * S, |_, _| true);
-    let updates = source.news(S, &asked);
+    assert!(!follower.apply_index(S, &index), "all services were known");
+    assert_eq!(follower.catalog().version(), version(1), "announced, not applied");
+    let asked = follower.next_requests(S, 2 * S, |_, _| true);
+    let updates = source.updates_for(S, &asked);
     let change = ServiceNews::Changes { since: version(1), listed: vec![leaving], removed: Vec::new() };
     assert_eq!(updates[0].news, change);
-    assert_eq!(follower.take(S, updates), ["a"]);
+    assert_eq!(follower.apply_updates(S, updates), ["a"]);
     assert_eq!(follower.catalog().version(), version(3));
 }
 
 #[test]
-fn a_subscriber_behind_by_more_than_what_is_kept_gets_a_snapshot() {
+fn follower_behind_the_change_log_gets_a_snapshot() {
     let mut source = Catalog::default();
-    source.read(S, version(1), vec![worker("a0", "a")]);
+    source.apply_list(S, version(1), vec![worker("a0", "a")]);
     let mut follower = Follower::default();
     catch_up(&mut follower, S, &source);
-    for number in 1..=CHANGES_KEPT as u64 {
-        source.read(S, version(1 + number), vec![worker(&format!("a{number}"), "a")]);
+    for number in 1..=CHANGE_LOG_MAX as u64 {
+        source.apply_list(S, version(1 + number), vec![worker(&format!("a{number}"), "a")]);
     }
     let have = [follower.have(&"a".into())];
-    let within = source.news(S, &have).remove(0).news;
-    assert!(matches!(within, ServiceNews::Changes { .. }), "the last that is kept: {within:?}");
-    source.read(S, version(90), vec![worker("a90", "a")]);
-    let beyond = source.news(S, &have).remove(0).news;
+    let within = source.updates_for(S, &have).remove(0).news;
+    assert!(matches!(within, ServiceNews::Changes { .. }), "the oldest logged change: {within:?}");
+    source.apply_list(S, version(90), vec![worker("a90", "a")]);
+    let beyond = source.updates_for(S, &have).remove(0).news;
     assert_eq!(beyond, ServiceNews::Snapshot(vec![worker("a90", "a")]));
     catch_up(&mut follower, S, &source);
     assert_eq!(ids(follower.catalog()), ["a90"]);
 }
 
 #[test]
-fn changes_to_a_version_that_is_not_held_change_nothing_and_a_snapshot_is_asked_for() {
+fn changes_with_a_gap_are_rejected_and_a_snapshot_is_requested() {
     let mut source = Catalog::default();
-    source.read(S, version(1), vec![worker("a1", "a")]);
+    source.apply_list(S, version(1), vec![worker("a1", "a")]);
     let mut behind = Follower::default();
     catch_up(&mut behind, S, &source);
     let mut ahead = Follower::default();
-    source.read(S, version(2), vec![worker("a1", "a"), worker("a2", "a")]);
+    source.apply_list(S, version(2), vec![worker("a1", "a"), worker("a2", "a")]);
     catch_up(&mut ahead, S, &source);
-    source.read(S, version(3), vec![worker("a2", "a")]);
-    let for_ahead = source.news(S, &[ahead.have(&"a".into())]);
-    assert!(behind.take(S, for_ahead).is_empty());
+    source.apply_list(S, version(3), vec![worker("a2", "a")]);
+    let for_ahead = source.updates_for(S, &[ahead.have(&"a".into())]);
+    assert!(behind.apply_updates(S, for_ahead).is_empty());
     assert_eq!(ids(behind.catalog()), ["a1"]);
-    let asked = behind.ask(S, 2 * S, |_, _| true);
-    assert_eq!(asked[0].version, None, "changes won't do");
-    behind.take(S, source.news(S, &asked));
+    let asked = behind.next_requests(S, 2 * S, |_, _| true);
+    assert_eq!(asked[0].version, None, "incremental changes can't be applied");
+    behind.apply_updates(S, source.updates_for(S, &asked));
     assert_eq!(ids(behind.catalog()), ["a2"]);
 }
 
 #[test]
-fn what_is_behind_passes_on_no_version_above_what_it_holds() {
+fn incomplete_relay_announces_no_version_above_what_it_holds() {
     let mut source = Catalog::default();
-    source.read(S, version(1), vec![worker("a1", "a"), worker("b1", "b")]);
+    source.apply_list(S, version(1), vec![worker("a1", "a"), worker("b1", "b")]);
     let mut relay = Follower::default();
     catch_up(&mut relay, S, &source);
-    source.read(S, version(2), vec![worker("a2", "a"), worker("b2", "b")]);
-    relay.told(S, &source.index_since(relay.told_version()));
-    let only_a = relay.ask(S, 2 * S, |name, _| name == "a");
-    relay.take(S, source.news(S, &only_a));
+    source.apply_list(S, version(2), vec![worker("a2", "a"), worker("b2", "b")]);
+    relay.apply_index(S, &source.index_since(relay.announced_version()));
+    let only_a = relay.next_requests(S, 2 * S, |name, _| name == "a");
+    relay.apply_updates(S, source.updates_for(S, &only_a));
     assert!(!relay.is_complete());
     let index = relay.catalog().index_since(version(1));
-    assert_eq!((index.version, index.services.len()), (version(1), 0), "b would be passed over for ever");
+    assert_eq!((index.version, index.services.len()), (version(1), 0), "followers would skip b forever");
 }
 
 #[test]
-fn a_reader_that_is_new_tells_everything_anew() {
+fn new_reader_republishes_all_services() {
     let mut old = Follower::default();
-    old.read(S, version(5), vec![worker("a1", "a"), worker("b1", "b")]);
+    old.apply_list(S, version(5), vec![worker("a1", "a"), worker("b1", "b")]);
     let mut follower = Follower::default();
     catch_up(&mut follower, S, old.catalog());
-    // The next reader has an older list, and reads one without b's worker.
+    // The next reader holds an older list and reads one without b's worker.
     let mut next = Follower::default();
-    next.read(S, version(2), vec![worker("b1", "b")]);
-    let taken_over = WorkersVersion { fence: 2, reader: 9, number: 1 };
-    assert!(next.read(S, taken_over, vec![worker("a1", "a")]));
+    next.apply_list(S, version(2), vec![worker("b1", "b")]);
+    let takeover = WorkersVersion { fence: 2, reader: 9, number: 1 };
+    assert!(next.apply_list(S, takeover, vec![worker("a1", "a")]));
     catch_up(&mut follower, S, next.catalog());
     assert_eq!(ids(follower.catalog()), ["a1"]);
-    assert_eq!(follower.catalog().version(), taken_over);
-    assert!(!old.read(S, version(6), vec![worker("a1", "a"), worker("b1", "b")]) || taken_over > version(6));
+    assert_eq!(follower.catalog().version(), takeover);
+    assert!(
+        !old.apply_list(S, version(6), vec![worker("a1", "a"), worker("b1", "b")]) || takeover > version(6)
+    );
     catch_up(&mut follower, S, old.catalog());
-    assert_eq!(ids(follower.catalog()), ["a1"], "the reader before sets nobody back");
+    assert_eq!(ids(follower.catalog()), ["a1"], "the former reader does not roll back followers");
 }
 
 #[test]
-fn what_a_home_passed_on_counts_as_seen_though_nobody_told_of_it() {
+fn versions_relayed_by_a_home_count_as_seen() {
     let mut source = Catalog::default();
-    source.read(S, version(1), vec![worker("a1", "a"), worker("b1", "b")]);
+    source.apply_list(S, version(1), vec![worker("a1", "a"), worker("b1", "b")]);
     let mut follower = Follower::default();
     catch_up(&mut follower, S, &source);
     let ahead = WorkersVersion { fence: 9, reader: 3, number: 1 };
-    source.read(S, ahead, vec![worker("a2", "a"), worker("b2", "b")]);
-    follower.take(S, source.news(S, &[follower.have(&"a".into())]));
-    assert_eq!(follower.told_version(), version(1), "b is still to be named");
-    assert_eq!(follower.seen_version(), ahead, "lists have to go on above it");
+    source.apply_list(S, ahead, vec![worker("a2", "a"), worker("b2", "b")]);
+    follower.apply_updates(S, source.updates_for(S, &[follower.have(&"a".into())]));
+    assert_eq!(follower.announced_version(), version(1), "b is not announced yet");
+    assert_eq!(follower.seen_version(), ahead, "new lists need a higher version");
 }
 
 #[test]
-fn a_cold_worker_stays_cold_no_longer_for_each_hand_that_the_news_goes_through() {
+fn relaying_does_not_extend_the_warm_up_of_a_worker() {
     let cold = WorkerRecord { cold_left: 5_000, ..worker("a1", "a") };
     let mut source = Catalog::default();
-    source.read(S, version(1), vec![cold.clone()]);
+    source.apply_list(S, version(1), vec![cold.clone()]);
     let mut relay = Follower::default();
     catch_up(&mut relay, 3 * S, &source);
     let mut last = Follower::default();
-    // Clocks count from each process's start.
-    let of_relay = relay.catalog().news(4 * S, &[last.have(&"a".into())]);
+    // Each process has a clock of its own.
+    let of_relay = relay.catalog().updates_for(4 * S, &[last.have(&"a".into())]);
     let ServiceNews::Snapshot(records) = &of_relay[0].news else { panic!("{of_relay:?}") };
     assert_eq!(records[0].cold_left, 2_000);
-    last.take(100 * S, of_relay);
+    last.apply_updates(100 * S, of_relay);
     let until = last.catalog().workers().next().and_then(|listed| listed.cold_until);
     assert_eq!(until, Some(102 * S));
     let later = WorkerRecord { cold_left: 2_000, ..cold.clone() };
-    assert!(!source.read(4 * S, version(2), vec![later]), "as cold as was known is no news");
-    assert!(source.read(4 * S, version(3), vec![cold]), "colder is");
+    assert!(!source.apply_list(4 * S, version(2), vec![later]), "the known warm-up is no change");
+    assert!(source.apply_list(4 * S, version(3), vec![cold]), "a longer warm-up is a change");
 }
 
 #[test]
-fn what_was_asked_is_asked_again_only_after_its_time_or_without_an_answer() {
+fn pending_request_is_repeated_only_after_its_deadline_or_without_an_answer() {
     let mut source = Catalog::default();
-    source.read(S, version(1), vec![worker("a1", "a")]);
+    source.apply_list(S, version(1), vec![worker("a1", "a")]);
     let mut follower = Follower::default();
-    assert!(follower.told(S, &source.index_since(follower.told_version())), "an unknown service");
-    assert!(follower.ask(S, 2 * S, |_, waited| waited > 0).is_empty(), "not due");
-    let asked = follower.ask(S, 2 * S, |_, _| true);
+    assert!(follower.apply_index(S, &source.index_since(follower.announced_version())), "an unknown service");
+    assert!(follower.next_requests(S, 2 * S, |_, waited| waited > 0).is_empty(), "not due");
+    let asked = follower.next_requests(S, 2 * S, |_, _| true);
     assert_eq!(asked.len(), 1);
-    assert!(follower.ask(S + 1, 3 * S, |_, _| true).is_empty(), "under way");
-    follower.unanswered(&asked);
-    assert_eq!(follower.ask(S + 1, 2 * S, |_, _| true).len(), 1);
-    assert_eq!(follower.ask(2 * S, 3 * S, |_, waited| waited == S).len(), 1);
+    assert!(follower.next_requests(S + 1, 3 * S, |_, _| true).is_empty(), "request pending");
+    follower.end_request(&asked);
+    assert_eq!(follower.next_requests(S + 1, 2 * S, |_, _| true).len(), 1);
+    assert_eq!(follower.next_requests(2 * S, 3 * S, |_, waited| waited == S).len(), 1);
 }
 
 proptest! {
-    /// However news goes about between a source and relays that follow each other, all end alike.
+    /// All followers converge to the source, in whatever order they exchange updates.
     #[test]
-    fn followers_end_with_what_the_source_has(
+    fn followers_converge_to_the_source(
         lists in prop::collection::vec(prop::collection::vec((0u8..6, 0u8..3, any::<bool>()), 0..8), 1..30),
         hops in prop::collection::vec((0usize..4, 0usize..4), 0..120),
     ) {
@@ -179,17 +181,17 @@
                 draining: *draining,
                 ..worker(&format!("{service}-{id}"), &format!("s{service}"))
             });
-            source.read(S, version(number as u64 + 1), records.collect());
+            source.apply_list(S, version(number as u64 + 1), records.collect());
             for (to, from) in hops.by_ref().take(4) {
                 if from == to {
                     catch_up(&mut others[to], S, source.catalog());
                     continue;
                 }
-                // A home passes services on, whatever version it has.
+                // A home relays services at whatever version it holds.
                 let names: Vec<CompactString> = others[from].names().cloned().collect();
                 let have: Vec<_> = names.iter().map(|name| others[to].have(name)).collect();
-                let updates = others[from].catalog().news(S, &have);
-                others[to].take(S, updates);
+                let updates = others[from].catalog().updates_for(S, &have);
+                others[to].apply_updates(S, updates);
             }
         }
         for follower in &mut others {
@@ -197,8 +199,8 @@
             catch_up(follower, S, source.catalog());
             prop_assert!(follower.is_complete());
             let held: Vec<_> = follower.catalog().workers().collect();
-            let there: Vec<_> = source.catalog().workers().collect();
-            prop_assert_eq!(held, there);
+            let expected: Vec<_> = source.catalog().workers().collect();
+            prop_assert_eq!(held, expected);
         }
     }
 }
