--- a/crates/policy/src/rules.rs
+++ b/crates/policy/src/rules.rs
@@ -17,6 +17,36 @@
 const IDLE_WINDOWS: f64 = 4.0;
 /// Window of plans without a rate, µs.
 const DEFAULT_WINDOW: f64 = 10e6;
+/// Pending units are reported at once above this share of the remaining quota, and at the latest after this
+/// share of a window.
+const REPORT_SHARE: f64 = 0.1;
+const REPORT_DELAY: f64 = 0.25;
+/// Margin of error of the others' use, relative to the forecast and in largest requests.
+const FORECAST_ERROR: f64 = 2.0;
+const FORECAST_ERROR_REQUESTS: f64 = 0.5;
+/// Age up to which a total counts as fresh, µs.
+const FRESH_TOTAL: Micros = 5_000;
+/// Most counter calls in flight.
+const CALLS_MAX: usize = 32;
+/// Time between counter calls, µs: initial for all gateways together, shortest, and longest unless twice the
+/// last good interval is longer.
+const CALL_INTERVAL_START: f64 = 2_000.0;
+const CALL_INTERVAL_MIN: f64 = 500.0;
+const CALL_INTERVAL_CAP: f64 = 1e5;
+/// Factors of the call interval: after a bad call, a good one above the last good interval, and a quick one.
+const CALL_BACKOFF: f64 = 1.3;
+const CALL_RECOVERY: f64 = 0.7;
+const CALL_SPEEDUP: f64 = 0.85;
+/// Shares of the call timeout below which an answer is quick, and from which on it is late.
+const CALL_QUICK: f64 = 0.125;
+const CALL_LATE: f64 = 0.5;
+/// Calls that may be saved up, and those of them reserved for calls that decide on a request.
+const CALLS_SAVED: f64 = 2.0;
+const CALLS_RESERVED: f64 = 1.5;
+/// Assumed level, as a share of the burst, at the start of a slot that follows an unread one.
+const FIRST_READ_LEVEL: f64 = 0.5;
+/// Highest weight of a reported unit.
+const UNIT_WEIGHT_MAX: f64 = 4.0;
 /// Share of a ceiling's slack in use; the rest covers rounding.
 const SLACK_USED: f64 = 0.9;
 /// Share of a ceiling that the counter grants, and the gateways from which on it does.
@@ -24,12 +54,20 @@
 const POOL_GATEWAYS: f64 = 5.0;
 /// Share of its even part of a rate that a gateway always keeps.
 const OWN_SHARE_MIN: f64 = 0.5;
-/// Share of the latency target for which a request may wait for a worker.
+/// Shares of the latency target: longest wait for a worker, and age from which a second copy may be sent.
 const HOLD_SHARE: f64 = 0.12;
-/// Share of the latency target after which a second copy may be sent.
 const HEDGE_SHARE: f64 = 0.75;
+/// Retries earned by each first attempt, and the default of the largest retry budget.
+const RETRY_EARNED: f64 = 0.15;
+const RETRY_BUDGET_MAX: f64 = 20.0;
 /// Share of the remaining retry budget that one customer may owe.
 const RETRY_DEBT_SHARE: f64 = 0.5;
+/// Weights of a new sample in the mean latencies and in a worker's slowness.
+const LATENCY_WEIGHT: f64 = 0.05;
+const SLOWNESS_WEIGHT: f64 = 0.15;
+/// Shortest and longest avoidance of a worker for a class, µs; repeated failures double it up to three times.
+const EJECT_MIN: f64 = 1e6;
+const EJECT_MAX: f64 = 30e6;
 /// Consecutive failures in one class from which on the worker is avoided.
 const FAILURES_MAX: u32 = 3;
 /// Strikes added by an ejection; each served attempt takes one back.
@@ -37,13 +75,28 @@
 /// Typical latencies without an answer after which an attempt is lost, and the same at a lost site.
 const SILENT_LATENCIES: f64 = 7.0;
 const SILENT_LOST_SITE: f64 = 2.0;
+/// In-flight limit of one worker over all gateways, requests: initial, bounds, and growth per good answer.
+const INFLIGHT_START: f64 = 4.0;
+const INFLIGHT_MIN: f64 = 0.9;
+const INFLIGHT_MAX: f64 = 96.0;
+const INFLIGHT_GROWTH: f64 = 0.15;
+/// Factor of the in-flight limit after a slow answer, at most once in ten ticks.
+const INFLIGHT_CUT: f64 = 0.92;
+/// Send tokens of a gateway whose share of the in-flight limit is below one request: two let a pair
+/// through after a pause and bound a burst of all gateways.
+const SEND_TOKENS_MAX: f64 = 2.0;
+/// Share of the latency target above which an answer is slow and cuts the in-flight limit.
+const LATE_SHARE: f64 = 0.8;
+/// Multiple of the unloaded latency above which a worker is congested.
+const CONGESTED_RATIO: f64 = 2.3;
+/// Growth of the unloaded latency with each answer, so that it follows a changed fleet.
+const BASELINE_DRIFT: f64 = 1.0001;
 /// Factor of the expected wait at workers of other zones.
 const CROSS_ZONE: f64 = 1.1;
 /// Share of a one-core worker's overload rate that a cold worker is sent.
 const COLD_RATE_SHARE: f64 = 1.0;
-/// Least number of gateways that share a cold worker.
+/// Least number of gateways that share a cold worker, and mean number of cold workers of a gateway.
 const COLD_SHARERS_MIN: u32 = 12;
-/// Mean number of cold workers of a gateway.
 const COLD_WORKERS_MEAN: u32 = 4;
 /// Mean number of workers in a gateway's subset.
 const SUBSET_SIZE: u32 = 12;
@@ -102,7 +155,7 @@
     typical_latency: Vec<f64>,
     /// Mean latency as a ratio of the latency target, and its slowly rising minimum (no queueing).
     latency_ratio: f64,
-    base_latency_ratio: f64,
+    base_ratio: f64,
     answer_count: f64,
     retry_budget: f64,
     /// Mean time between sends of this gateway, µs, and the last send.
@@ -124,10 +177,9 @@
     /// Creates a gatekeeper with no history.
     pub fn new(settings: Settings, seed: u64, now: Micros) -> Self {
         // Initial estimate: a quarter of the latency target.
-        let mut typical_latency: Vec<f64> =
-            settings.classes.iter().map(|c| (c.aim as f64 / 4.0).max(1.0)).collect();
-        typical_latency.push(100_000.0);
-        let mean_in_flight = typical_latency.iter().copied().fold(f64::MAX, f64::min);
+        let mut typical: Vec<_> = settings.classes.iter().map(|c| (c.aim as f64 / 4.0).max(1.0)).collect();
+        typical.push(100_000.0);
+        let mean_in_flight = typical.iter().copied().fold(f64::MAX, f64::min);
         let n = f64::from(settings.instances.max(1));
         let mut rng = fastrand::Rng::with_seed(seed);
         let retry_budget = settings.limits.max_retry_budget(RETRY_BUDGET_MAX) / 2.0;
@@ -144,7 +196,7 @@
             send_tokens_at: now,
             mean_in_flight,
             next_timer: 1,
-            typical_latency,
+            typical_latency: typical,
             retry_budget,
             call_interval: n * CALL_INTERVAL_START,
             good_call_interval: n * CALL_INTERVAL_START,
@@ -215,7 +267,7 @@
         // When calls are scarce, customers with the largest unreported share of their quota go first.
         if self.may_start_call(0.0) {
             let part = |key: &Key| match self.customers.get(key) {
-                Some(c) if c.calls_in_flight == 0 => c.pending.abs() / self.plan(key).burst.max(1e-9),
+                Some(c) if c.open_calls == 0 => c.pending.abs() / self.plan(key).burst.max(1e-9),
                 _ => 0.0,
             };
             let mut due: Vec<(f64, Key)> = self.unreported.iter().map(|k| (part(k), k.clone())).collect();
@@ -254,15 +306,14 @@
 
     /// Switches to a new fleet view after refilling all levels by the old one.
     fn on_fleet(&mut self, view: LeaseView, actions: &mut Vec<Action>) {
-        let goes_on =
-            self.view.as_ref().is_some_and(|old| old.same_version(&view) && self.now < old.valid_until);
-        if !goes_on {
+        let renewed = self.view.as_ref().is_some_and(|v| v.same_version(&view) && self.now < v.valid_until);
+        if !renewed {
             self.advance_all();
             self.store_credits();
             self.view_since = self.now;
         }
         self.view = Some(view);
-        if !goes_on {
+        if !renewed {
             self.rerank_workers();
             self.release_held(actions);
         }
--- a/crates/policy/src/rules/customers.rs
+++ b/crates/policy/src/rules/customers.rs
@@ -44,10 +44,8 @@
     /// Moves a customer to another plan together with its recorded use.
     fn migrate_customer(&mut self, key: &Key) {
         let of = |plan: usize| (plan, key.1.clone());
-        let Some(old) = (0..self.settings.plans.len()).map(of).find(|old| self.customers.contains_key(old))
-        else {
-            return;
-        };
+        let mut keys = (0..self.settings.plans.len()).map(of);
+        let Some(old) = keys.find(|old| self.customers.contains_key(old)) else { return };
         self.advance(&old);
         let Some(customer) = self.customers.remove(&old) else { return };
         self.customers.insert(key.clone(), customer);
@@ -86,13 +84,12 @@
         if slot != c.slot {
             c.previous = if slot == c.slot + 1 { c.current } else { Slot::default() };
             // Units to give back apply only to the slot they were taken from.
-            (c.current, c.slot, c.pending, c.others_forecast) =
-                (Slot::default(), slot, c.pending.max(0.0), 0.0);
+            (c.current, c.slot, c.pending, c.forecast) = (Slot::default(), slot, c.pending.max(0.0), 0.0);
         }
         let dt = secs(now - c.updated_at);
         let others = c.others_rate.min(p.rate * (1.0 - OWN_SHARE_MIN / quota_sharers));
         // The forecast covers at most one window.
-        c.others_forecast = (c.others_forecast + others * dt).min(others * window / 1e6);
+        c.forecast = (c.forecast + others * dt).min(others * window / 1e6);
         c.level = (c.level + (p.rate - others) * dt).min(p.burst);
         c.updated_at = now;
         let split = 1.0 - pool_share(self.settings.counter, c.gateways);
@@ -106,7 +103,7 @@
     pub(super) fn known_use(&self, c: &Customer, window: f64) -> f64 {
         let left = 1.0 - ((self.now + c.slot_offset) % window as u64) as f64 / window;
         let last = (c.previous.mine + c.previous.others) * left;
-        c.current.mine + c.current.others + last + c.pending + c.in_transit + c.others_forecast - c.prepaid
+        c.current.mine + c.current.others + last + c.pending + c.in_transit + c.forecast - c.prepaid
     }
 
     /// Checks the quota, the penalty and the cap on open requests. Returns retry advice on refusal.
@@ -152,13 +149,11 @@
     /// Whether a fresh total could change the decision.
     pub(super) fn needs_fresh_total(&self, key: &Key, units: f64) -> bool {
         let (Some(c), p) = (self.customers.get(key), self.plan(key)) else { return false };
-        let spread = c.others_forecast * FORECAST_ERROR + FORECAST_ERROR_REQUESTS * self.settings.max_units;
-        let near = c.level + c.others_forecast >= units && c.level < units + spread;
+        let spread = c.forecast * FORECAST_ERROR + FORECAST_ERROR_REQUESTS * self.settings.max_units;
+        let near = c.level + c.forecast >= units && c.level < units + spread;
         let open = if c.total_known { near && self.now > c.read_at + FRESH_TOTAL } else { c.level < units };
-        open && self.settings.counter
-            && p.rate > 0.0
-            && p.over_quota_value <= p.over_quota_cost
-            && !key.1 .0.is_empty()
+        let limited = p.rate > 0.0 && p.over_quota_value <= p.over_quota_cost;
+        open && self.settings.counter && limited && !key.1 .0.is_empty()
     }
 
     /// Takes units from the quota and records those that the counter does not know yet.
@@ -203,25 +198,18 @@
         }
         let Some(c) = self.customers.get_mut(key) else { return 0.0 };
         // Reported units are weighted for dropped ones, so that totals are right on average.
-        let unit_weight =
-            (1.0 + self.dropped_units / self.reported_units.max(1e-9)).clamp(1.0, UNIT_WEIGHT_MAX);
+        let weight = (1.0 + self.dropped_units / self.reported_units.max(1e-9)).clamp(1.0, UNIT_WEIGHT_MAX);
         self.reported_units += c.pending.max(0.0);
-        let (slot, units, amount) = (c.slot, c.pending, c.pending * unit_weight);
-        (c.in_transit, c.pending, c.calls_in_flight) = (c.in_transit + amount, 0.0, c.calls_in_flight + 1);
+        let (slot, units, amount) = (c.slot, c.pending, c.pending * weight);
+        (c.in_transit, c.pending, c.open_calls) = (c.in_transit + amount, 0.0, c.open_calls + 1);
         self.unreported.remove(key);
         let call = Call { key: key.clone(), slot, amount, units, sent: self.now, grant: None };
         self.start_call(name, call, (2.0 * window) as Micros, actions);
-        unit_weight
+        weight
     }
 
     /// Starts a counter call and advances the call schedule.
-    pub(super) fn start_call(
-        &mut self,
-        name: CounterName,
-        call: Call,
-        keep: Micros,
-        actions: &mut Vec<Action>,
-    ) {
+    fn start_call(&mut self, name: CounterName, call: Call, keep: Micros, actions: &mut Vec<Action>) {
         actions.push(Action::Count { name: name.clone(), amount: call.amount, keep });
         self.calls.insert(name, call);
         let saved = self.now as f64 - CALLS_SAVED * self.call_interval;
@@ -231,10 +219,8 @@
     /// Requests a grant from the ceiling's shared pool if this gateway's own share is too small.
     pub(super) fn request_grant(&mut self, id: &RequestId, actions: &mut Vec<Action>) {
         let Some(r) = self.requests.get(id).filter(|r| r.attempts.is_empty() && !r.granted) else { return };
-        let (Some(c), (len, _)) = (self.customers.get(&r.key), ceiling_pool(self.plan(&r.key), POOL_SHARE))
-        else {
-            return;
-        };
+        let (len, _) = ceiling_pool(self.plan(&r.key), POOL_SHARE);
+        let Some(c) = self.customers.get(&r.key) else { return };
         let slot = (self.now + c.slot_offset) / len;
         let short =
             self.plan(&r.key).ceiling_rate > 0.0 && c.ceiling_level < r.units && c.pool_exhausted != slot;
@@ -255,18 +241,12 @@
 
     /// Handles the answer to a grant. Only an on-time total within the pool grants; units once added stay
     /// taken, also if the request has ended.
-    pub(super) fn on_grant(
-        &mut self,
-        id: &RequestId,
-        slot: u64,
-        outcome: CounterOutcome,
-        actions: &mut Vec<Action>,
-    ) {
+    fn on_grant(&mut self, id: &RequestId, slot: u64, reply: CounterOutcome, actions: &mut Vec<Action>) {
         let Some(key) = self.requests.get(id).map(|r| r.key.clone()) else { return };
         let (len, most) = ceiling_pool(self.plan(&key), POOL_SHARE);
         let Some(c) = self.customers.get_mut(&key) else { return };
         let current = (self.now + c.slot_offset) / len == slot;
-        match outcome {
+        match reply {
             CounterOutcome::Total(total) if total <= most && current => {
                 self.requests.entry(id.clone()).and_modify(|r| r.granted = r.attempts.is_empty());
             }
@@ -296,26 +276,21 @@
         self.last_call_failed = !good;
     }
 
-    pub(super) fn on_counter(
-        &mut self,
-        name: CounterName,
-        outcome: CounterOutcome,
-        actions: &mut Vec<Action>,
-    ) {
+    pub(super) fn on_counter(&mut self, name: CounterName, reply: CounterOutcome, actions: &mut Vec<Action>) {
         let Some(call) = self.calls.remove(&name) else { return };
-        let (key, ok) = (call.key, matches!(outcome, CounterOutcome::Total(n) if n.is_finite()));
+        let (key, ok) = (call.key, matches!(reply, CounterOutcome::Total(n) if n.is_finite()));
         self.adjust_call_interval(ok, self.now - call.sent);
         if let Some(id) = call.grant {
-            return self.on_grant(&id, call.slot, outcome, actions);
+            return self.on_grant(&id, call.slot, reply, actions);
         }
         self.advance(&key);
         let (window, burst, rate) = (self.quota_window(key.0), self.plan(&key).burst, self.plan(&key).rate);
         let count_floor = if self.settings.units_estimated { -self.settings.max_units } else { 0.0 };
         let Some(c) = self.customers.get_mut(&key) else { return };
         c.in_transit -= call.amount;
-        c.calls_in_flight = c.calls_in_flight.saturating_sub(1);
+        c.open_calls = c.open_calls.saturating_sub(1);
         let age = c.slot.wrapping_sub(call.slot);
-        let refused = outcome == CounterOutcome::Refused;
+        let refused = reply == CounterOutcome::Refused;
         let mut lost = if refused { call.units } else { 0.0 };
         if !refused && age <= 1 {
             // A late call is assumed to have landed. If it did not, a later total below our own sum shows
@@ -323,7 +298,7 @@
             let seen_before = c.previous.read;
             let s = if age == 0 { &mut c.current } else { &mut c.previous };
             s.mine += call.amount;
-            if let (CounterOutcome::Total(total), true) = (outcome, ok) {
+            if let (CounterOutcome::Total(total), true) = (reply, ok) {
                 let others = total - s.mine;
                 if others < -1e-3 * (1.0 + s.mine) {
                     // The counter lost our units: report them again.
@@ -333,7 +308,7 @@
                 let news = (others - s.others).max(0.0);
                 s.others += news;
                 let mut dt = secs(self.now - c.read_at).max(1e-3);
-                c.level = if c.total_known { c.level + c.others_forecast - news } else { burst };
+                c.level = if c.total_known { c.level + c.forecast - news } else { burst };
                 if age == 0 && !(c.total_known && (s.read || seen_before)) {
                     // First read of this slot: the level at its start is assumed to be `FIRST_READ_LEVEL`.
                     let span = secs((self.now + c.slot_offset) % window as u64);
@@ -345,14 +320,14 @@
                 let weight = 1.0 - (-dt * 1e6 / window).exp();
                 c.others_rate += (news / dt - c.others_rate) * weight;
                 c.level = c.level.max(count_floor).min(burst);
-                (c.total_known, c.others_forecast, c.read_at) = (true, 0.0, self.now);
+                (c.total_known, c.forecast, c.read_at) = (true, 0.0, self.now);
             }
         }
         c.pending += lost;
         if c.pending != 0.0 {
             self.unreported.insert(key.clone());
         }
-        if c.calls_in_flight == 0 {
+        if c.open_calls == 0 {
             for id in std::mem::take(&mut c.waiting) {
                 self.admit(&id, actions);
             }
@@ -374,7 +349,7 @@
             let refill = (p.ceiling_burst + p.ceiling_slack) / p.ceiling_rate.max(1e-9) * 1e6;
             let idle = if p.ceiling_rate > 0.0 { refill } else { 0.0 }.max(IDLE_WINDOWS * window);
             let busy =
-                c.open_requests > 0.0 || c.calls_in_flight > 0 || now <= c.penalty_until || c.pending != 0.0;
+                c.open_requests > 0.0 || c.open_calls > 0 || now <= c.penalty_until || c.pending != 0.0;
             let keep = busy || (now - c.last_seen) as f64 <= idle;
             if past || !keep {
                 self.unreported.remove(key);
--- a/crates/policy/src/rules/requests.rs
+++ b/crates/policy/src/rules/requests.rs
@@ -25,18 +25,10 @@
         let units = if r.units.is_finite() { r.units.max(0.0) } else { 1.0 };
         let key = self.customer_entry(plan.0, r.customer, (r.gateways, r.first));
         let (arrived, deadline) = (self.now, self.now + r.time_left);
+        let times = OpenRequest { arrived, deadline, ..OpenRequest::default() };
         let id = r.id.clone();
         let (key_of, bits) = (key.clone(), fnv(id.0.as_bytes()));
-        let open = OpenRequest {
-            key: key_of,
-            bits,
-            class,
-            class_ix,
-            units,
-            arrived,
-            deadline,
-            ..OpenRequest::default()
-        };
+        let open = OpenRequest { key: key_of, bits, class, class_ix, units, ..times };
         self.requests.insert(r.id.clone(), open);
         self.timers.insert(self.next_timer, r.id.clone());
         actions.push(Action::SetTimer { token: TimerToken(self.next_timer), after: r.time_left - margin });
@@ -45,12 +37,12 @@
         // later call gives them back if the request is refused.
         if self.needs_fresh_total(&key, units) {
             self.customers.entry(key.clone()).and_modify(|c| c.pending += units);
-            let unit_weight = self.report_use(&key, units, actions);
+            let weight = self.report_use(&key, units, actions);
             if let (Some(c), Some(r)) = (self.customers.get_mut(&key), self.requests.get_mut(&id)) {
-                r.prepaid = units * unit_weight;
+                r.prepaid = units * weight;
                 c.prepaid += r.prepaid;
-                c.pending -= if unit_weight > 0.0 { 0.0 } else { units };
-                if c.calls_in_flight > 0 {
+                c.pending -= if weight > 0.0 { 0.0 } else { units };
+                if c.open_calls > 0 {
                     return c.waiting.push(id);
                 }
             }
@@ -149,9 +141,8 @@
             return false;
         };
         let credit = self.workers.get(&worker).map_or(0.0, |w| self.cold_credit(w));
-        let (Some(r), Some(w)) = (self.requests.get_mut(id), self.workers.get_mut(&worker)) else {
-            return false;
-        };
+        let Some(r) = self.requests.get_mut(id) else { return false };
+        let Some(w) = self.workers.get_mut(&worker) else { return false };
         if r.attempts.is_empty() {
             self.retry_budget = (self.retry_budget + RETRY_EARNED)
                 .min(self.settings.limits.max_retry_budget(RETRY_BUDGET_MAX));
@@ -213,7 +204,7 @@
         let (class_ix, key, units, aim) = (r.class_ix, r.key.clone(), r.units, r.class.aim);
         // Excludes the upload of the body and the streaming of the answer.
         let latency = done.latency.min(self.now - sent) as f64;
-        self.record_outcome(worker, class_ix, aim, outcome, latency);
+        self.record(worker, class_ix, aim, outcome, latency);
         if let (Some(n), Outcome::Ok) = (done.true_units.filter(|n| n.is_finite()), outcome) {
             self.advance(&key);
             self.charge(&key, n - units, n - units);
@@ -300,8 +291,7 @@
     /// Sends second copies for requests whose attempt is lost or overdue; where copies are not allowed,
     /// cancels the lost attempt first.
     pub(super) fn check_overdue(&mut self, actions: &mut Vec<Action>) {
-        let ids: Vec<RequestId> =
-            self.requests.iter().filter(|(_, r)| !r.closed).map(|(id, _)| id.clone()).collect();
+        let ids: Vec<_> = self.requests.iter().filter(|(_, r)| !r.closed).map(|(id, _)| id.clone()).collect();
         for id in ids {
             let Some(r) = self.requests.get_mut(&id).filter(|r| !r.uploading) else { continue };
             let class_ix = r.class_ix;
--- a/crates/policy/src/rules/workers.rs
+++ b/crates/policy/src/rules/workers.rs
@@ -18,19 +18,11 @@
             // A random initial credit keeps gateways from sending to a new worker at the same time.
             let (credit, credit_at) = (self.rng.f64(), self.now);
             let health = health.clone();
+            let base = Worker { slowness: 1.0, health, credit, credit_at, ..Worker::default() };
             let fresh = |info: WorkerInfo| {
                 let rank = rank(info.hash, me, 0..gateways);
                 let live_rank = live_rank(view, me, info.hash, rank);
-                Worker {
-                    info,
-                    slowness: 1.0,
-                    health,
-                    credit,
-                    credit_at,
-                    rank,
-                    live_rank,
-                    ..Worker::default()
-                }
+                Worker { info, rank, live_rank, ..base }
             };
             match self.workers.get_mut(&info.id) {
                 Some(w) if w.info.started == info.started => w.info = info,
@@ -71,9 +63,8 @@
         for w in self.workers.values_mut() {
             let shares = [&old, &self.sites].map(|view| view.admission(&w.info.zone.0).share);
             if shares[0] <= 0.0 && shares[1] > 0.0 {
-                w.health
-                    .iter_mut()
-                    .for_each(|h| *h = Health { answered_at: h.answered_at, ..Health::default() });
+                let reset = |h: &mut Health| *h = Health { answered_at: h.answered_at, ..Health::default() };
+                w.health.iter_mut().for_each(reset);
             }
         }
         self.release_held(actions);
@@ -118,21 +109,14 @@
     }
 
     /// Updates latencies, the in-flight limit and worker health after an attempt.
-    pub(super) fn record_outcome(
-        &mut self,
-        id: WorkerId,
-        class_ix: usize,
-        aim: Micros,
-        outcome: Outcome,
-        latency: f64,
-    ) {
+    pub(super) fn record(&mut self, id: WorkerId, class: usize, aim: Micros, outcome: Outcome, latency: f64) {
         self.in_flight = (self.in_flight - 1.0).max(0.0);
         let (now, share) = (self.now, self.inflight_share());
         let Some(w) = self.workers.get(&id) else { return };
         let (cold, slow) = (self.warm_share(w, now), w.slowness_at(now));
         let samples = w.samples_at(now);
         let used = self.in_flight + 1.0 >= share / 2.0;
-        let typical = &mut self.typical_latency[class_ix];
+        let typical = &mut self.typical_latency[class];
         let Some(w) = self.workers.get_mut(&id) else { return };
         w.inflight = (w.inflight - 1.0).max(0.0);
         if matches!(outcome, Outcome::Cancelled | Outcome::NotSent | Outcome::Timeout) {
@@ -141,7 +125,7 @@
         (w.slowness, w.samples, w.sampled_at) = (slow, samples + 1.0, now);
         let mut slow_down = outcome == Outcome::Full;
         if outcome == Outcome::Ok {
-            let h = &mut w.health[class_ix];
+            let h = &mut w.health[class];
             h.strikes = h.strikes.saturating_sub(1);
             if h.strikes == 0 {
                 h.avoid_until = now;
@@ -152,17 +136,15 @@
             // Early answers weigh more: they come from workers without queues.
             self.answer_count += 1.0;
             let first = 1.0 / (self.answer_count + 1.0);
-            self.mean_in_flight += (in_flight_for.clamp(100.0, 2.0 * self.mean_in_flight)
-                - self.mean_in_flight)
-                * LATENCY_WEIGHT.max(first);
-            *typical += (latency.max(100.0) - *typical) * LATENCY_WEIGHT.max(first);
+            let weight = LATENCY_WEIGHT.max(first);
+            self.mean_in_flight +=
+                (in_flight_for.clamp(100.0, 2.0 * self.mean_in_flight) - self.mean_in_flight) * weight;
+            *typical += (latency.max(100.0) - *typical) * weight;
             // The ratio pools all classes, since each alone has few answers.
-            self.latency_ratio +=
-                (latency / aim.max(1) as f64 - self.latency_ratio) * LATENCY_WEIGHT.max(first);
-            let least =
-                if first > LATENCY_WEIGHT { f64::MAX } else { self.base_latency_ratio * BASELINE_DRIFT };
-            self.base_latency_ratio = least.min(self.latency_ratio);
-            let congested = w.slowness * self.latency_ratio > CONGESTED_RATIO * self.base_latency_ratio;
+            self.latency_ratio += (latency / aim.max(1) as f64 - self.latency_ratio) * weight;
+            let least = if first > LATENCY_WEIGHT { f64::MAX } else { self.base_ratio * BASELINE_DRIFT };
+            self.base_ratio = least.min(self.latency_ratio);
+            let congested = w.slowness * self.latency_ratio > CONGESTED_RATIO * self.base_ratio;
             slow_down = congested || latency > LATE_SHARE * aim as f64;
             if !slow_down && used {
                 self.inflight_limit = (self.inflight_limit + INFLIGHT_GROWTH).min(INFLIGHT_MAX);
@@ -173,7 +155,7 @@
             (self.inflight_limit, self.limit_cut_at) =
                 ((self.inflight_limit * INFLIGHT_CUT).max(INFLIGHT_MIN), now);
         }
-        let h = &mut w.health[class_ix];
+        let h = &mut w.health[class];
         h.consecutive_failures = if outcome == Outcome::Ok { 0 } else { h.consecutive_failures + 1 };
         if matches!(outcome, Outcome::Ok | Outcome::Full) {
             h.answered_at = now;
@@ -183,7 +165,7 @@
         if rejected || (outcome == Outcome::ConnectFailed && h.consecutive_failures > 1) {
             (0..self.typical_latency.len()).for_each(|class| self.strike(id, class));
         } else if h.consecutive_failures >= FAILURES_MAX {
-            self.strike(id, class_ix);
+            self.strike(id, class);
         }
     }
 
@@ -225,9 +207,8 @@
         let r = self.requests.get(id)?;
         let tried = |w: &&Worker| r.attempts.iter().any(|a| a.worker == w.info.id);
         let eligible = |w: &&Worker| {
-            w.inflight
-                < (self.inflight_limit / w.slowness_at(self.now) / f64::from(self.live_gateways())).max(1.0)
-                && self.may_send(r, w)
+            let limit = self.inflight_limit / w.slowness_at(self.now) / f64::from(self.live_gateways());
+            w.inflight < limit.max(1.0) && self.may_send(r, w)
         };
         let near = |i: &usize| self.subset.get(*i).and_then(|id| self.workers.get(id));
         let better = |a: &&Worker, b: &&Worker| self.expected_wait(a).total_cmp(&self.expected_wait(b));
--- a/crates/policy/src/state.rs
+++ b/crates/policy/src/state.rs
@@ -1,4 +1,4 @@
-//! State records, pacing constants and pure helpers of the decision logic in `crates/policy/src/rules.rs`.
+//! State records and pure helpers of the decision logic in `crates/policy/src/rules.rs`.
 use crate::api::*;
 
 /// Units of one counter slot, by this gateway and by the others.
@@ -10,81 +10,6 @@
     pub read: bool,
 }
 
-// Quota reports and counter calls.
-
-/// Pending units are reported at once above this share of the remaining quota.
-pub const REPORT_SHARE: f64 = 0.1;
-/// Pending units are reported after this share of a window in any case.
-pub const REPORT_DELAY: f64 = 0.25;
-/// Margin of error of the others' use, relative to the forecast.
-pub const FORECAST_ERROR: f64 = 2.0;
-/// Margin of error of the others' use, in largest requests.
-pub const FORECAST_ERROR_REQUESTS: f64 = 0.5;
-/// Age up to which a total counts as fresh, µs.
-pub const FRESH_TOTAL: Micros = 5_000;
-/// Most counter calls in flight.
-pub const CALLS_MAX: usize = 32;
-/// Initial time between counter calls of all gateways together, µs.
-pub const CALL_INTERVAL_START: f64 = 2_000.0;
-/// Factor of the call interval after a failed or late call.
-pub const CALL_BACKOFF: f64 = 1.3;
-/// Factor after a good call while the interval is above the last good one.
-pub const CALL_RECOVERY: f64 = 0.7;
-/// Factor after a quick call.
-pub const CALL_SPEEDUP: f64 = 0.85;
-/// Shortest call interval, µs.
-pub const CALL_INTERVAL_MIN: f64 = 500.0;
-/// Longest call interval, µs, unless twice the last good one is longer.
-pub const CALL_INTERVAL_CAP: f64 = 1e5;
-/// Share of the call timeout below which an answer is quick.
-pub const CALL_QUICK: f64 = 0.125;
-/// Share of the call timeout from which an answer is late.
-pub const CALL_LATE: f64 = 0.5;
-/// Calls that may be saved up.
-pub const CALLS_SAVED: f64 = 2.0;
-/// Saved calls that are reserved for calls that decide on a request.
-pub const CALLS_RESERVED: f64 = 1.5;
-/// Assumed level, as a share of the burst, at the start of a slot that follows an unread one.
-pub const FIRST_READ_LEVEL: f64 = 0.5;
-/// Highest weight of a reported unit.
-pub const UNIT_WEIGHT_MAX: f64 = 4.0;
-
-// In-flight limits.
-
-/// Initial in-flight limit of one worker over all gateways, requests.
-pub const INFLIGHT_START: f64 = 4.0;
-/// Lower and upper bound of the in-flight limit, requests.
-pub const INFLIGHT_MIN: f64 = 0.9;
-pub const INFLIGHT_MAX: f64 = 96.0;
-/// Growth of the in-flight limit with each good answer, requests.
-pub const INFLIGHT_GROWTH: f64 = 0.15;
-/// Factor of the in-flight limit after a slow answer, at most once in ten ticks.
-pub const INFLIGHT_CUT: f64 = 0.92;
-/// Send tokens of a gateway whose share of the in-flight limit is below one request: two let a pair
-/// through after a pause and bound a burst of all gateways.
-pub const SEND_TOKENS_MAX: f64 = 2.0;
-/// Share of the latency target above which an answer is slow and cuts the in-flight limit.
-pub const LATE_SHARE: f64 = 0.8;
-/// Multiple of the unloaded latency above which a worker is congested.
-pub const CONGESTED_RATIO: f64 = 2.3;
-/// Growth of the unloaded latency with each answer, so that it follows a changed fleet.
-pub const BASELINE_DRIFT: f64 = 1.0001;
-
-// Retries and worker health.
-
-/// Retries earned by each first attempt.
-pub const RETRY_EARNED: f64 = 0.15;
-/// Default of the largest retry budget.
-pub const RETRY_BUDGET_MAX: f64 = 20.0;
-/// Weight of a new sample in the mean latencies.
-pub const LATENCY_WEIGHT: f64 = 0.05;
-/// Weight of a new sample in a worker's slowness.
-pub const SLOWNESS_WEIGHT: f64 = 0.15;
-/// Shortest avoidance of a worker for a class, µs; repeated failures double it up to three times.
-pub const EJECT_MIN: f64 = 1e6;
-/// Longest avoidance of a worker for a class, µs.
-pub const EJECT_MAX: f64 = 30e6;
-
 /// Longest quota window, µs: half of the longest time that the counter keeps a number.
 pub const WINDOW_MAX: f64 = 30e6;
 
@@ -130,7 +55,7 @@
     /// When the last total was read.
     pub read_at: Micros,
     /// Forecast of the other gateways' units since the last total.
-    pub others_forecast: f64,
+    pub forecast: f64,
     /// Mean rate of the other gateways' use, units a second.
     pub others_rate: f64,
     /// Until when the customer is penalized for exceeding its quota.
@@ -148,7 +73,7 @@
     pub retry_debt: f64,
     pub last_seen: Micros,
     /// Counter calls in flight.
-    pub calls_in_flight: u32,
+    pub open_calls: u32,
     /// Requests whose decision waits for the answers of these calls.
     pub waiting: Vec<RequestId>,
     /// Units of waiting requests that are already in the counts.
