--- a/crates/proxy/src/dialect.rs
+++ b/crates/proxy/src/dialect.rs
@@ -97,13 +97,13 @@
         // The connection may still hold a surplus response to an earlier request.
         let same_id = headers.get(ATTEMPT_ID).is_none_or(|id| *id == parts.id);
         let outcome = if !same_id {
-            Outcome::Spoilt
+            Outcome::Unusable
         } else if status.is_success() {
             let intact = headers.contains_key(SEAL) && !headers.contains_key(CONTENT_ENCODING);
             if intact && headers.contains_key(ATTEMPT_ID) {
                 Outcome::Ok
             } else {
-                Outcome::Spoilt
+                Outcome::Unusable
             }
         } else if headers.contains_key(NOT_RUN) || status == StatusCode::MISDIRECTED_REQUEST {
             Outcome::Full
--- a/crates/proxy/src/relay.rs
+++ b/crates/proxy/src/relay.rs
@@ -58,7 +58,7 @@
         let in_zone = peers.iter().filter(|peer| peer.zone == zone);
         let members = neighbors::zone_members(zone, in_zone, |peer| &peer.id.node);
         let peers = members.into_iter().map(|peer| PeerProxy { name: peer.id.node.clone(), addr: peer.peer });
-        if self.homes.borrow_mut().take(peers) {
+        if self.homes.borrow_mut().set_live_proxies(peers) {
             let homes = self.homes.borrow();
             let known = |addr: &SocketAddr| homes.peers().any(|peer| peer.addr == *addr);
             self.clients.borrow_mut().retain(|addr, _| known(addr));
@@ -81,7 +81,7 @@
     /// Stops using a proxy as a home for [`LATE_HOME_PENALTY`].
     fn penalize(&self, now: Micros, peer: &PeerProxy) {
         log::info!("{} does not pass news on", peer.name);
-        self.homes.borrow_mut().silent(&peer.name, now + LATE_HOME_PENALTY.as_micros() as Micros);
+        self.homes.borrow_mut().mark_unresponsive(&peer.name, now + LATE_HOME_PENALTY.as_micros() as Micros);
         self.following_changed.notify_waiters();
     }
 
@@ -97,7 +97,7 @@
 
     /// Offers a configuration to the zone's other proxies if this proxy is its home.
     pub(crate) fn offer_config(&self, now: Micros, transfer: ConfigTransfer) {
-        let is_home = self.home(now, CONFIG_KEY) == Home::Me;
+        let is_home = self.home(now, CONFIG_KEY) == Home::Local;
         *self.config.borrow_mut() = Some(transfer).filter(|_| is_home);
         self.updated.notify_waiters();
     }
@@ -167,7 +167,7 @@
         tokio::select! {
             answer = client.call(&request, FOLLOW_WAIT + ANSWER_TIMEOUT) => match answer {
                 Ok(ProxyAnswer::Services(updates)) => {
-                    proxy.relay.homes.borrow_mut().answered(&peer.name);
+                    proxy.relay.homes.borrow_mut().mark_responsive(&peer.name);
                     proxy.apply_services(updates);
                 }
                 _ => proxy.relay.penalize(proxy.now(), &peer),
@@ -192,7 +192,7 @@
         let until = tokio::time::Instant::now() + wait.min(FOLLOW_WAIT);
         loop {
             let changed = self.relay.updated.notified();
-            let updates = self.view.borrow().followed().catalog().news(self.now(), &have);
+            let updates = self.view.borrow().followed().catalog().updates_for(self.now(), &have);
             if !updates.is_empty() || tokio::time::timeout_at(until, changed).await.is_err() {
                 return updates;
             }
@@ -215,7 +215,7 @@
                 return Some(config).filter(|config| config.base.is_none() || config.base == have);
             }
             let is_active = self.view.borrow().config_version() >= Some(version);
-            let is_home = self.relay.home(self.now(), CONFIG_KEY) == Home::Me;
+            let is_home = self.relay.home(self.now(), CONFIG_KEY) == Home::Local;
             if is_active || !is_home || tokio::time::timeout_at(until, changed).await.is_err() {
                 return None;
             }
--- a/crates/proxy/src/server.rs
+++ b/crates/proxy/src/server.rs
@@ -327,7 +327,7 @@
 
     /// Applies updates of worker lists.
     pub(crate) fn apply_services(&self, updates: Vec<ServiceUpdate>) {
-        let changed = self.view.borrow_mut().followed_mut().take(self.now(), updates);
+        let changed = self.view.borrow_mut().followed_mut().apply_updates(self.now(), updates);
         if changed.is_empty() {
             return;
         }
--- a/crates/registry/src/admission.rs
+++ b/crates/registry/src/admission.rs
@@ -1,65 +1,65 @@
-//! Which proxies are to be taken into common limits.
+//! Admission of proxies to the shared rate limits.
 //!
-//! A proxy's name is made durable first, so that all parts are computed with it; it is *settled*, and may use its own
-//! part, once every lease that was given without it is over.
+//! A proxy's name is committed first, so that every share is computed with it. The proxy is *settled*, and may use its
+//! own share, once every lease granted without it has expired.
 
 use compact_str::CompactString;
 use hingestage_replication::Micros;
 use hingestage_rpc::messages::ProxyNames;
 use std::collections::BTreeMap;
 
-/// Figures of admissions.
+/// Timing and size limits of admission.
 #[derive(Clone, Copy, Debug)]
-pub struct Figures {
-    /// Longest time for which a part of a common limit may be used without news.
+pub struct AdmissionSettings {
+    /// Longest time a proxy may use its share of a limit without contact.
     pub lease: Micros,
-    /// How long after the system's first start proxies are settled at once: nobody holds a lease yet.
-    pub first_start: Micros,
-    /// Proxies that wait at the most.
-    pub newcomers_max: usize,
+    /// Time after a bootstrap in which proxies are settled at once, as no leases exist yet.
+    pub bootstrap_window: Micros,
+    /// Maximum number of proxies waiting for admission.
+    pub pending_max: usize,
 }
 
-impl Default for Figures {
+impl Default for AdmissionSettings {
     fn default() -> Self {
-        Figures { lease: 12_000_000, first_start: 6_000_000, newcomers_max: 8_192 }
+        AdmissionSettings { lease: 12_000_000, bootstrap_window: 6_000_000, pending_max: 8_192 }
     }
 }
 
-/// Proxies that are not settled, as one registry knows them.
+/// Proxies that this registry has seen and that are not settled yet.
 pub struct Admissions {
-    figures: Figures,
-    /// Whether the system starts for the first time.
+    settings: AdmissionSettings,
+    /// Whether this process started as part of a bootstrap.
     bootstrap: bool,
-    /// When the durable names were first seen to have each of them.
-    newcomers: BTreeMap<CompactString, Option<Micros>>,
+    /// Each waiting proxy, with the time its name was first seen committed.
+    pending: BTreeMap<CompactString, Option<Micros>>,
 }
 
 impl Admissions {
-    /// Nobody waits.
-    pub fn new(bootstrap: bool, figures: Figures) -> Admissions {
-        Admissions { figures, bootstrap, newcomers: BTreeMap::new() }
+    /// Creates an empty set.
+    pub fn new(bootstrap: bool, settings: AdmissionSettings) -> Admissions {
+        Admissions { settings, bootstrap, pending: BTreeMap::new() }
     }
 
-    /// A proxy has been heard of; `names` are the durable ones.
-    pub fn heard(&mut self, name: &CompactString, names: &ProxyNames) {
+    /// Records a heartbeat of a proxy; `names` are the committed ones.
+    pub fn observe(&mut self, name: &CompactString, names: &ProxyNames) {
         let settled = names.get(name) == Some(&true);
-        if !settled && self.newcomers.len() < self.figures.newcomers_max {
-            self.newcomers.entry(name.clone()).or_default();
+        if !settled && self.pending.len() < self.settings.pending_max {
+            self.pending.entry(name.clone()).or_default();
         }
     }
 
-    /// The names to be made durable now, and whether each is settled by that.
-    pub fn due(&mut self, now: Micros, names: &ProxyNames) -> ProxyNames {
-        let first_start = self.bootstrap && now < self.figures.first_start;
-        self.newcomers.retain(|name, _| names.get(name) != Some(&true));
+    /// Names to commit now, each with whether that settles the proxy.
+    pub fn due_changes(&mut self, now: Micros, names: &ProxyNames) -> ProxyNames {
+        let bootstrapping = self.bootstrap && now < self.settings.bootstrap_window;
+        self.pending.retain(|name, _| names.get(name) != Some(&true));
         let mut due = ProxyNames::new();
-        for (name, seen_at) in &mut self.newcomers {
+        for (name, seen_at) in &mut self.pending {
             if names.contains_key(name) {
                 seen_at.get_or_insert(now);
             }
-            let waited = seen_at.is_some_and(|at| now >= at + self.figures.lease);
-            if first_start || waited || seen_at.is_none() {
-                due.insert(name.clone(), first_start || waited);
+            let waited = seen_at.is_some_and(|at| now >= at + self.settings.lease);
+            if bootstrapping || waited || seen_at.is_none() {
+                due.insert(name.clone(), bootstrapping || waited);
             }
         }
         due
