--- a/crates/change/src/diff.rs
+++ b/crates/change/src/diff.rs
@@ -8,14 +8,14 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Difference {
     /// What differs: a plan, a class or a list of accounts.
-    pub of: String,
+    pub subject: String,
     /// Description of the difference.
-    pub what: String,
+    pub description: String,
 }
 
 impl fmt::Display for Difference {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        write!(f, "{}: {}", self.of, self.what)
+        write!(f, "{}: {}", self.subject, self.description)
     }
 }
 
@@ -46,13 +46,17 @@
 ) {
     let names: BTreeSet<&K> = before.keys().chain(after.keys()).collect();
     for name in names {
-        let of = format!("{kind} `{name}`");
+        let subject = format!("{kind} `{name}`");
         match (before.get(name), after.get(name)) {
-            (Some(_), None) => all.push(Difference { of, what: "is taken away".into() }),
-            (None, Some(_)) => all.push(Difference { of, what: "is new".into() }),
+            (Some(_), None) => all.push(Difference { subject, description: "is taken away".into() }),
+            (None, Some(_)) => all.push(Difference { subject, description: "is new".into() }),
             (Some(before), Some(after)) => {
                 let changes = changes(before, after);
-                all.extend(changes.into_iter().map(|what| Difference { of: of.clone(), what }));
+                all.extend(
+                    changes
+                        .into_iter()
+                        .map(|description| Difference { subject: subject.clone(), description }),
+                );
             }
             (None, None) => {}
         }
@@ -60,10 +64,13 @@
 }
 
 fn compare_sets(all: &mut Vec<Difference>, name: &str, before: &BTreeSet<u64>, after: &BTreeSet<u64>) {
-    for (what, accounts) in [("no longer", before - after), ("from now on", after - before)] {
+    for (description, accounts) in [("no longer", before - after), ("from now on", after - before)] {
         if !accounts.is_empty() {
             let listed: Vec<String> = accounts.iter().map(u64::to_string).collect();
-            all.push(Difference { of: name.into(), what: format!("{what} {}", listed.join(", ")) });
+            all.push(Difference {
+                subject: name.into(),
+                description: format!("{description} {}", listed.join(", ")),
+            });
         }
     }
 }
--- a/crates/change/src/fields.rs
+++ b/crates/change/src/fields.rs
@@ -1,6 +1,6 @@
 //! Configuration fields that keepers and gateways share: keeper addresses and lease settings.
 
-use crate::keeper::{Figures, Micros};
+use crate::rollout::{LeaseConfig, Micros};
 use hingestage_form::Form;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -18,23 +18,23 @@
 /// Maximum length of a gateway's name, bytes.
 pub const NAME_MAX: usize = 64;
 
-impl Figures {
-    /// Defaults: a lease of two seconds, and a clock error that NTP keeps.
-    pub fn usual() -> Figures {
-        Figures { lease: 2_000_000, error: 250_000 }
+impl LeaseConfig {
+    /// Defaults: a lease of two seconds, and a clock error within the accuracy of NTP.
+    pub fn defaults() -> LeaseConfig {
+        LeaseConfig { lease: 2_000_000, clock_error: 250_000 }
     }
 
     /// Parses the field if it belongs to these settings; returns whether it does.
     ///
     /// # Errors
     /// One message that names the field and its place.
-    pub fn field(&mut self, field: &Form, head: &str, name: &str) -> Result<bool, String> {
+    pub fn parse_field(&mut self, field: &Form, head: &str, name: &str) -> Result<bool, String> {
         let parse_micros = |bounds: RangeInclusive<f64>| -> Result<Micros, String> {
             Ok((field.one(name)?.number(name, *bounds.start(), *bounds.end())? * 1e6).round() as Micros)
         };
         match head {
             "lease" => self.lease = parse_micros(LEASE_SECONDS)?,
-            "error" => self.error = parse_micros(CLOCK_ERROR_SECONDS)?,
+            "error" => self.clock_error = parse_micros(CLOCK_ERROR_SECONDS)?,
             _ => return Ok(false),
         }
         Ok(true)
@@ -44,8 +44,8 @@
     ///
     /// # Errors
     /// One message that names the field and its place.
-    pub fn check(&self, section: &Form, name: &str) -> Result<(), String> {
-        match self.lease <= 2 * self.error {
+    pub fn validate(&self, section: &Form, name: &str) -> Result<(), String> {
+        match self.lease <= 2 * self.clock_error {
             true => Err(section.error(&format!("{name}.lease"), "must be longer than two errors of clocks")),
             false => Ok(()),
         }
@@ -56,7 +56,7 @@
 ///
 /// # Errors
 /// One message that names the field and its place.
-pub fn number(form: &Form, name: &str) -> Result<u64, String> {
+pub fn parse_keeper_number(form: &Form, name: &str) -> Result<u64, String> {
     form.whole(name, 0.0, MAX_KEEPER_NUMBER)
 }
 
@@ -64,15 +64,15 @@
 ///
 /// # Errors
 /// One message that names the field and its place.
-pub fn keepers(field: &Form, name: &str) -> Result<BTreeMap<u64, SocketAddr>, String> {
+pub fn parse_keepers(field: &Form, name: &str) -> Result<BTreeMap<u64, SocketAddr>, String> {
     let mut keepers = BTreeMap::new();
     for form in field.rest()? {
         let pair = form.items()?;
         let [number, at] = pair.as_slice() else {
             return Err(form.error(name, "a number and an address are wanted"));
         };
-        let number = self::number(number, name)?;
-        if keepers.insert(number, address(at, name)?).is_some() {
+        let number = parse_keeper_number(number, name)?;
+        if keepers.insert(number, parse_address(at, name)?).is_some() {
             return Err(form.error(name, &format!("keeper {number} is given twice")));
         }
     }
@@ -87,7 +87,7 @@
 ///
 /// # Errors
 /// One message that names the field and its place.
-pub fn address(form: &Form, name: &str) -> Result<SocketAddr, String> {
+pub fn parse_address(form: &Form, name: &str) -> Result<SocketAddr, String> {
     let text = form.text(name)?;
     let at: Option<SocketAddr> = text.parse().ok().filter(|at: &SocketAddr| at.port() > 0);
     at.ok_or_else(|| form.error(name, &format!("`{text}` is no address with a port")))
--- a/crates/change/src/guard.rs
+++ b/crates/change/src/guard.rs
@@ -14,31 +14,37 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Danger {
     /// A plan's quota or ceiling becomes zero.
-    Nothing(String),
+    ZeroLimit(String),
     /// A plan's limit falls far: plan, limit, before, after.
-    Falls(String, &'static str, f64, f64),
+    LargeDecrease(String, &'static str, f64, f64),
     /// A plan's limit rises far, which may overload cold workers: plan, limit, before, after.
-    Rises(String, &'static str, f64, f64),
+    LargeIncrease(String, &'static str, f64, f64),
     /// A plan or class is removed: kind, name.
-    Gone(&'static str, String),
+    Removed(&'static str, String),
     /// A class that was not retried becomes retryable.
-    Repeats(String),
+    BecomesRetryable(String),
     /// Many accounts are blocked or exempted at once: list, number.
-    Accounts(&'static str, usize),
+    ManyAccounts(&'static str, usize),
     /// The version number does not increase: before, after.
-    Version(u64, u64),
+    VersionNotIncreasing(u64, u64),
 }
 
 impl fmt::Display for Danger {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            Danger::Nothing(plan) => write!(f, "accounts of plan `{plan}` could have nothing"),
-            Danger::Falls(plan, what, a, b) => write!(f, "plan `{plan}`: {what} falls from {a} to {b}"),
-            Danger::Rises(plan, what, a, b) => write!(f, "plan `{plan}`: {what} rises from {a} to {b}"),
-            Danger::Gone(kind, name) => write!(f, "{kind} `{name}` is taken away"),
-            Danger::Repeats(class) => write!(f, "class `{class}` would be repeated where it was not"),
-            Danger::Accounts(what, n) => write!(f, "{n} more accounts are {what}"),
-            Danger::Version(a, b) => write!(f, "version {b} does not follow {a}"),
+            Danger::ZeroLimit(plan) => write!(f, "accounts of plan `{plan}` could have nothing"),
+            Danger::LargeDecrease(plan, what, a, b) => {
+                write!(f, "plan `{plan}`: {what} falls from {a} to {b}")
+            }
+            Danger::LargeIncrease(plan, what, a, b) => {
+                write!(f, "plan `{plan}`: {what} rises from {a} to {b}")
+            }
+            Danger::Removed(kind, name) => write!(f, "{kind} `{name}` is taken away"),
+            Danger::BecomesRetryable(class) => {
+                write!(f, "class `{class}` would be repeated where it was not")
+            }
+            Danger::ManyAccounts(what, n) => write!(f, "{n} more accounts are {what}"),
+            Danger::VersionNotIncreasing(a, b) => write!(f, "version {b} does not follow {a}"),
         }
     }
 }
@@ -47,7 +53,7 @@
 pub fn dangers(before: &Policy, after: &Policy) -> Vec<Danger> {
     let mut all = Vec::new();
     if after.version <= before.version {
-        all.push(Danger::Version(before.version, after.version));
+        all.push(Danger::VersionNotIncreasing(before.version, after.version));
     }
     for (name, plan) in &after.plans {
         let is_zero =
@@ -56,7 +62,7 @@
         let has_zero_limit =
             |plan: &Plan| is_zero(plan.quota) || is_zero(plan.ceiling.map(|(r, d, _)| (r, d)));
         if has_zero_limit(plan) && !was.is_some_and(has_zero_limit) {
-            all.push(Danger::Nothing(name.clone()));
+            all.push(Danger::ZeroLimit(name.clone()));
         } else if let Some(was) = was {
             compare_limits(&mut all, name, was, plan);
         }
@@ -67,7 +73,7 @@
         let retryable = |effect| effect != crate::Effect::AtMostOnce;
         let was = before.classes.get(name);
         if was.is_some_and(|was| !retryable(was.effect) && retryable(class.effect)) {
-            all.push(Danger::Repeats(name.clone()));
+            all.push(Danger::BecomesRetryable(name.clone()));
         }
     }
     for (what, before, after) in
@@ -75,7 +81,7 @@
     {
         let more = after.difference(before).count();
         if more > MAX_NEW_ACCOUNTS {
-            all.push(Danger::Accounts(what, more));
+            all.push(Danger::ManyAccounts(what, more));
         }
     }
     all
@@ -86,7 +92,7 @@
     before: impl Iterator<Item = &'a String>,
     remains: impl Fn(&String) -> bool,
 ) -> Vec<Danger> {
-    before.filter(|name| !remains(name)).map(|name| Danger::Gone(kind, name.clone())).collect()
+    before.filter(|name| !remains(name)).map(|name| Danger::Removed(kind, name.clone())).collect()
 }
 
 /// Adds limits of a plan that fall or rise far.
@@ -97,10 +103,10 @@
     {
         match (a, b) {
             (Some(a), Some(b)) if b < a * MIN_LIMIT_RATIO => {
-                all.push(Danger::Falls(name.to_owned(), what, a, b))
+                all.push(Danger::LargeDecrease(name.to_owned(), what, a, b))
             }
             (Some(a), Some(b)) if b > a * MAX_LIMIT_RATIO => {
-                all.push(Danger::Rises(name.to_owned(), what, a, b))
+                all.push(Danger::LargeIncrease(name.to_owned(), what, a, b))
             }
             _ => {}
         }
--- a/crates/change/src/lib.rs
+++ b/crates/change/src/lib.rs
@@ -4,14 +4,14 @@
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
-pub mod desk;
 mod diff;
 mod document;
 pub mod fields;
 mod guard;
-pub mod holder;
-pub mod keeper;
+pub mod lease_holder;
 mod read;
+pub mod rollout;
+pub mod state;
 
 pub use diff::{diff, Difference};
 pub use document::{date, Class, Digest, Effect, Override, Plan, Policy};
--- a/crates/change/src/keeper.rs
+++ b/crates/change/src/rollout.rs
@@ -70,32 +70,36 @@
 
 /// Lease settings, which all gateways and keepers must share.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Figures {
+pub struct LeaseConfig {
     /// Duration of a lease from the time of the request, µs.
     pub lease: Micros,
     /// Maximum difference of any two clocks, µs.
-    pub error: Micros,
+    #[serde(rename = "error")]
+    pub clock_error: Micros,
 }
 
 /// A gateway's lease request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Question {
+pub struct LeaseRequest {
     /// Name of the gateway.
     pub gateway: String,
     /// Incarnation: increases with each start.
-    pub life: u64,
+    #[serde(rename = "life")]
+    pub incarnation: u64,
     /// Time of sending, by the gateway's clock.
-    pub issued: Micros,
+    #[serde(rename = "issued")]
+    pub sent_at: Micros,
     /// Behavior without a lease.
     pub mode: Mode,
     /// Version that the gateway is ready for.
     pub ready: Option<u64>,
     /// Version that the gateway can't apply.
-    pub cannot: Option<u64>,
+    #[serde(rename = "cannot")]
+    pub rejected: Option<u64>,
     /// Only checks the clock and requests no lease, since the clock differed too much. Older keepers ignore
     /// this and grant a lease, which the gateway does not use.
-    #[serde(default)]
-    pub probes: bool,
+    #[serde(default, rename = "probes")]
+    pub probe_only: bool,
 }
 
 /// A pending change.
@@ -118,13 +122,16 @@
 
 /// Reply to a lease request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Answer {
+pub struct LeaseReply {
     /// Time of sending, copied from the request.
-    pub issued: Micros,
+    #[serde(rename = "issued")]
+    pub sent_at: Micros,
     /// The keepers' time. A gateway whose clock differs too much ignores the reply.
-    pub told: Micros,
+    #[serde(rename = "told")]
+    pub keeper_time: Micros,
     /// Version in force, until a decided change takes effect.
-    pub force: Version,
+    #[serde(rename = "force")]
+    pub in_force: Version,
     /// Pending change.
     pub change: Option<Change>,
     /// Whether a lease is granted; not for probes.
@@ -139,7 +146,7 @@
 
 /// Outcome of a change.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Fate {
+pub enum ChangeOutcome {
     /// Decided, to take effect at this time.
     InForce(Micros),
     /// Called off, with the reason.
@@ -150,7 +157,8 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Command {
     /// Requests a lease.
-    Ask(Question),
+    #[serde(rename = "Ask")]
+    RequestLease(LeaseRequest),
     /// Proposes a version: version, earliest time to take effect, deadline of the decision.
     Propose(Version, Micros, Micros),
     /// Calls a change off, by version number.
@@ -165,7 +173,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Outcome {
     /// Reply to a lease request.
-    Answer(Answer),
+    Answer(LeaseReply),
     /// Done, now or before: proposals are idempotent.
     Done,
     /// Refused, with the reason.
@@ -176,10 +184,12 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 struct GatewayRecord {
-    life: u64,
+    #[serde(rename = "life")]
+    incarnation: u64,
     mode: Mode,
     /// End of its latest lease, by its own clock.
-    until: Micros,
+    #[serde(rename = "until")]
+    lease_end: Micros,
     ready: Option<u64>,
 }
 
@@ -192,43 +202,48 @@
 
 /// Status of a gateway.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Stand {
+pub struct GatewayStatus {
     /// Behavior without a lease.
     pub mode: Mode,
     /// Time of its last request.
-    pub asked: Micros,
+    #[serde(rename = "asked")]
+    pub last_request: Micros,
     /// The end of its lease.
-    pub until: Micros,
+    #[serde(rename = "until")]
+    pub lease_end: Micros,
     /// Whether its lease has ended on any clock.
-    pub over: bool,
+    #[serde(rename = "over")]
+    pub lease_ended: bool,
     /// Whether it is ready for the pending change.
     pub ready: bool,
 }
 
 /// State of the rollout.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Keeper {
-    figures: Figures,
+pub struct Rollout {
+    #[serde(rename = "figures")]
+    lease_config: LeaseConfig,
     now: Micros,
-    force: Version,
+    #[serde(rename = "force")]
+    in_force: Version,
     proposal: Option<Proposal>,
     decided: Option<(Version, Micros)>,
     gateways: BTreeMap<String, GatewayRecord>,
-    history: VecDeque<(Version, Fate)>,
+    history: VecDeque<(Version, ChangeOutcome)>,
 }
 
-impl Keeper {
+impl Rollout {
     /// Creates a state with an initial version and no gateways.
-    pub fn new(figures: Figures, force: Version) -> Keeper {
+    pub fn new(lease_config: LeaseConfig, in_force: Version) -> Rollout {
         let (gateways, history) = (BTreeMap::new(), VecDeque::new());
-        Keeper { figures, now: 0, force, proposal: None, decided: None, gateways, history }
+        Rollout { lease_config, now: 0, in_force, proposal: None, decided: None, gateways, history }
     }
 
     /// Applies a command written at `now`. Time never goes back, even if leaders' clocks differ.
     pub fn apply(&mut self, now: Micros, command: Command) -> Outcome {
         self.now = self.now.max(now);
         let outcome = match command {
-            Command::Ask(question) => self.ask(&question),
+            Command::RequestLease(request) => self.ask(&request),
             Command::Propose(version, at, deadline) => self.propose(version, at, deadline),
             Command::CallOff(number) => match self.proposal.as_ref().map(|p| p.version.number) {
                 Some(pending) if pending == number => {
@@ -248,37 +263,50 @@
     }
 
     /// The version in force and the pending change.
-    pub fn standing(&self) -> (Version, Option<Change>) {
-        (self.force, self.change())
+    pub fn current(&self) -> (Version, Option<Change>) {
+        (self.in_force, self.change())
     }
 
     /// Outcomes of changes, the latest last.
-    pub fn history(&self) -> impl Iterator<Item = &(Version, Fate)> {
+    pub fn history(&self) -> impl Iterator<Item = &(Version, ChangeOutcome)> {
         self.history.iter()
     }
 
     /// Gateways that the proposal waits for.
     pub fn waits_for(&self) -> Vec<String> {
         let Some(proposal) = &self.proposal else { return Vec::new() };
-        let waits =
+        let needs_tick =
             |known: &GatewayRecord| known.ready != Some(proposal.version.number) && !self.lease_ended(known);
-        self.gateways.iter().filter(|(_, known)| waits(known)).map(|(gateway, _)| gateway.clone()).collect()
+        self.gateways
+            .iter()
+            .filter(|(_, known)| needs_tick(known))
+            .map(|(gateway, _)| gateway.clone())
+            .collect()
     }
 
     /// Status of each gateway.
-    pub fn gateways(&self) -> impl Iterator<Item = (&str, Stand)> {
+    pub fn gateways(&self) -> impl Iterator<Item = (&str, GatewayStatus)> {
         let pending = self.proposal.as_ref().map(|proposal| proposal.version.number);
-        let lease = self.figures.lease;
+        let lease = self.lease_config.lease;
         self.gateways.iter().map(move |(name, known)| {
             let ready = pending.is_some() && known.ready == pending;
-            let (asked, until) = (known.until.saturating_sub(lease), known.until);
-            (name.as_str(), Stand { mode: known.mode, asked, until, over: self.lease_ended(known), ready })
+            let (last_request, lease_end) = (known.lease_end.saturating_sub(lease), known.lease_end);
+            (
+                name.as_str(),
+                GatewayStatus {
+                    mode: known.mode,
+                    last_request,
+                    lease_end,
+                    lease_ended: self.lease_ended(known),
+                    ready,
+                },
+            )
         })
     }
 
     /// Lease settings.
-    pub fn figures(&self) -> Figures {
-        self.figures
+    pub fn lease_config(&self) -> LeaseConfig {
+        self.lease_config
     }
 
     /// Time of the last command.
@@ -287,13 +315,13 @@
     }
 
     /// Whether the passing of time alone can change the state.
-    pub fn waits(&self) -> bool {
+    pub fn needs_tick(&self) -> bool {
         self.proposal.is_some() || self.decided.is_some()
     }
 
     /// Whether a gateway's lease has ended on any clock.
     fn lease_ended(&self, known: &GatewayRecord) -> bool {
-        known.mode == Mode::Stop && known.until.saturating_add(self.figures.error) <= self.now
+        known.mode == Mode::Stop && known.lease_end.saturating_add(self.lease_config.clock_error) <= self.now
     }
 
     fn change(&self) -> Option<Change> {
@@ -301,42 +329,52 @@
         self.decided.map(|(version, from)| Change::Decided(version, from)).or(proposed)
     }
 
-    fn ask(&mut self, question: &Question) -> Outcome {
-        let has_capacity =
-            self.gateways.len() < MAX_GATEWAYS || self.gateways.contains_key(&question.gateway);
+    fn ask(&mut self, request: &LeaseRequest) -> Outcome {
+        let has_capacity = self.gateways.len() < MAX_GATEWAYS || self.gateways.contains_key(&request.gateway);
         if !has_capacity {
             return Outcome::Refused("too many gateways".into());
         }
-        if self.gateways.get(&question.gateway).is_some_and(|known| known.life > question.life) {
+        if self.gateways.get(&request.gateway).is_some_and(|known| known.incarnation > request.incarnation) {
             return Outcome::Superseded;
         }
         let pending = self.proposal.as_ref().map(|proposal| proposal.version.number);
-        if let (Some(number), true) = (pending, question.cannot.is_some() && question.cannot == pending) {
-            self.call_off(&format!("gateway {} can't apply version {number}", question.gateway));
+        if let (Some(number), true) = (pending, request.rejected.is_some() && request.rejected == pending) {
+            self.call_off(&format!("gateway {} can't apply version {number}", request.gateway));
         }
-        if question.issued > self.now.saturating_add(self.figures.error) {
+        if request.sent_at > self.now.saturating_add(self.lease_config.clock_error) {
             return Outcome::Refused(format!(
                 "the clock of gateway {} is {} ms ahead",
-                question.gateway,
-                (question.issued - self.now) / 1_000
+                request.gateway,
+                (request.sent_at - self.now) / 1_000
             ));
         }
-        if question.probes {
+        if request.probe_only {
             // No lease, so that no change waits for it.
-            return Outcome::Answer(self.answer(question));
+            return Outcome::Answer(self.answer(request));
         }
-        let until = question.issued.saturating_add(self.figures.lease);
-        let known = GatewayRecord { life: question.life, mode: question.mode, until, ready: question.ready };
-        let entry = self.gateways.entry(question.gateway.clone()).or_insert(known.clone());
+        let lease_end = request.sent_at.saturating_add(self.lease_config.lease);
+        let known = GatewayRecord {
+            incarnation: request.incarnation,
+            mode: request.mode,
+            lease_end,
+            ready: request.ready,
+        };
+        let entry = self.gateways.entry(request.gateway.clone()).or_insert(known.clone());
         // Requests may arrive out of order: keep the latest lease end, and readiness once reported.
-        let ready = entry.ready.filter(|_| entry.life == question.life).max(question.ready);
-        *entry = GatewayRecord { until: entry.until.max(until), ready, ..known };
-        Outcome::Answer(self.answer(question))
-    }
-
-    fn answer(&self, question: &Question) -> Answer {
-        let (force, change) = (self.force, self.change());
-        Answer { issued: question.issued, told: self.now, force, change, leased: !question.probes }
+        let ready = entry.ready.filter(|_| entry.incarnation == request.incarnation).max(request.ready);
+        *entry = GatewayRecord { lease_end: entry.lease_end.max(lease_end), ready, ..known };
+        Outcome::Answer(self.answer(request))
+    }
+
+    fn answer(&self, request: &LeaseRequest) -> LeaseReply {
+        let (in_force, change) = (self.in_force, self.change());
+        LeaseReply {
+            sent_at: request.sent_at,
+            keeper_time: self.now,
+            in_force,
+            change,
+            leased: !request.probe_only,
+        }
     }
 
     fn propose(&mut self, version: Version, at: Micros, deadline: Micros) -> Outcome {
@@ -351,7 +389,7 @@
         if self.proposal.is_some() || self.decided.is_some() {
             return Outcome::Refused("another change is under way".into());
         }
-        if version == self.force {
+        if version == self.in_force {
             return Outcome::Done;
         }
         if version.number <= self.highest_version() {
@@ -371,18 +409,18 @@
     /// Highest version number ever used, even if called off: a number never has two contents.
     fn highest_version(&self) -> u64 {
         let given = self.history.iter().map(|(version, _)| version.number).max();
-        given.unwrap_or(0).max(self.force.number)
+        given.unwrap_or(0).max(self.in_force.number)
     }
 
     fn abort_outcome(&self, number: u64) -> Outcome {
         match self.history.iter().rev().find(|(version, _)| version.number == number) {
-            Some((_, Fate::CalledOff(_))) => Outcome::Done,
-            Some((_, Fate::InForce(from))) => Outcome::Refused(format!("decided for {from}")),
+            Some((_, ChangeOutcome::CalledOff(_))) => Outcome::Done,
+            Some((_, ChangeOutcome::InForce(from))) => Outcome::Refused(format!("decided for {from}")),
             None => Outcome::Refused(format!("version {number} was not proposed")),
         }
     }
 
-    fn record_outcome(&mut self, version: Version, fate: Fate) {
+    fn record_outcome(&mut self, version: Version, fate: ChangeOutcome) {
         self.history.push_back((version, fate));
         if self.history.len() > MAX_HISTORY {
             self.history.pop_front();
@@ -391,32 +429,34 @@
 
     fn call_off(&mut self, why: &str) {
         if let Some(proposal) = self.proposal.take() {
-            self.record_outcome(proposal.version, Fate::CalledOff(why.to_owned()));
+            self.record_outcome(proposal.version, ChangeOutcome::CalledOff(why.to_owned()));
         }
     }
 
     /// Decides the proposal or calls it off, and puts a decided version in force when due.
     fn advance(&mut self) {
-        if let Some((version, _)) = self.decided.filter(|(_, from)| from + self.figures.error <= self.now) {
-            (self.force, self.decided) = (version, None);
+        if let Some((version, _)) =
+            self.decided.filter(|(_, from)| from + self.lease_config.clock_error <= self.now)
+        {
+            (self.in_force, self.decided) = (version, None);
         }
         let now = self.now;
         let expired = |known: &GatewayRecord| {
-            known.mode == Mode::Stop && known.until.saturating_add(GATEWAY_RETENTION) <= now
+            known.mode == Mode::Stop && known.lease_end.saturating_add(GATEWAY_RETENTION) <= now
         };
         self.gateways.retain(|_, known| !expired(known));
         let Some(proposal) = self.proposal.clone() else { return };
         if self.waits_for().is_empty() && !self.gateways.is_empty() {
-            let last = self.gateways.values().map(|known| known.until).max().unwrap_or(0);
-            let from = proposal.at.max(self.now).max(last) + self.figures.error;
+            let last = self.gateways.values().map(|known| known.lease_end).max().unwrap_or(0);
+            let from = proposal.at.max(self.now).max(last) + self.lease_config.clock_error;
             self.decided = Some((proposal.version, from));
             self.proposal = None;
-            self.record_outcome(proposal.version, Fate::InForce(from));
+            self.record_outcome(proposal.version, ChangeOutcome::InForce(from));
         } else if proposal.deadline <= self.now {
-            let waits = self.waits_for();
-            let why = match waits.is_empty() {
+            let needs_tick = self.waits_for();
+            let why = match needs_tick.is_empty() {
                 true => "no gateway has asked by the deadline".to_owned(),
-                false => format!("not ready by the deadline: {}", list_names(&waits)),
+                false => format!("not ready by the deadline: {}", list_names(&needs_tick)),
             };
             self.call_off(&why);
         }
@@ -428,161 +468,165 @@
     use super::*;
 
     pub const S: Micros = 1_000_000;
-    pub const FIGURES: Figures = Figures { lease: 2 * S, error: S / 10 };
+    pub const LEASE_CONFIG: LeaseConfig = LeaseConfig { lease: 2 * S, clock_error: S / 10 };
 
     pub fn version(number: u64) -> Version {
         Version { number, digest: Digest([number as u8; 32]) }
     }
 
-    fn keeper() -> Keeper {
-        Keeper::new(FIGURES, version(1))
+    fn rollout() -> Rollout {
+        Rollout::new(LEASE_CONFIG, version(1))
     }
 
-    fn question(gateway: &str, issued: Micros, ready: Option<u64>) -> Question {
-        Question {
+    fn request(gateway: &str, sent_at: Micros, ready: Option<u64>) -> LeaseRequest {
+        LeaseRequest {
             gateway: gateway.to_owned(),
-            life: 1,
-            issued,
+            incarnation: 1,
+            sent_at,
             mode: Mode::Stop,
             ready,
-            cannot: None,
-            probes: false,
+            rejected: None,
+            probe_only: false,
         }
     }
 
-    fn ask(keeper: &mut Keeper, now: Micros, question: Question) -> Answer {
-        match keeper.apply(now, Command::Ask(question)) {
+    fn ask(rollout: &mut Rollout, now: Micros, request: LeaseRequest) -> LeaseReply {
+        match rollout.apply(now, Command::RequestLease(request)) {
             Outcome::Answer(answer) => answer,
             other => panic!("{other:?}"),
         }
     }
 
-    fn propose(keeper: &mut Keeper, now: Micros, number: u64) -> Outcome {
-        keeper.apply(now, Command::Propose(version(number), 0, now + 10 * S))
+    fn propose(rollout: &mut Rollout, now: Micros, number: u64) -> Outcome {
+        rollout.apply(now, Command::Propose(version(number), 0, now + 10 * S))
     }
 
     #[test]
     fn a_change_takes_effect_after_every_granted_lease() {
-        let mut keeper = keeper();
-        ask(&mut keeper, S, question("g0", S, None));
-        ask(&mut keeper, S, question("g1", S, None));
-        assert_eq!(propose(&mut keeper, 2 * S, 2), Outcome::Done);
-        let answer = ask(&mut keeper, 2 * S, question("g0", 2 * S, None));
+        let mut rollout = rollout();
+        ask(&mut rollout, S, request("g0", S, None));
+        ask(&mut rollout, S, request("g1", S, None));
+        assert_eq!(propose(&mut rollout, 2 * S, 2), Outcome::Done);
+        let answer = ask(&mut rollout, 2 * S, request("g0", 2 * S, None));
         assert_eq!(answer.change, Some(Change::Proposed(version(2))));
-        ask(&mut keeper, 5 * S / 2, question("g0", 5 * S / 2, Some(2)));
-        assert_eq!(keeper.waits_for(), ["g1"]);
-        let answer = ask(&mut keeper, 11 * S / 4, question("g1", 11 * S / 4, Some(2)));
+        ask(&mut rollout, 5 * S / 2, request("g0", 5 * S / 2, Some(2)));
+        assert_eq!(rollout.waits_for(), ["g1"]);
+        let answer = ask(&mut rollout, 11 * S / 4, request("g1", 11 * S / 4, Some(2)));
         assert_eq!(answer.change, Some(Change::Proposed(version(2))), "this lease was given before");
         let from = 19 * S / 4 + S / 10;
-        assert_eq!(keeper.standing(), (version(1), Some(Change::Decided(version(2), from))));
-        keeper.apply(from + S / 10, Command::Tick);
-        assert_eq!(keeper.standing(), (version(2), None));
+        assert_eq!(rollout.current(), (version(1), Some(Change::Decided(version(2), from))));
+        rollout.apply(from + S / 10, Command::Tick);
+        assert_eq!(rollout.current(), (version(2), None));
     }
 
     #[test]
     fn a_probe_does_not_block_a_change() {
-        let mut keeper = keeper();
-        ask(&mut keeper, S, question("g0", S, None));
-        ask(&mut keeper, S, question("g1", S, None));
-        propose(&mut keeper, 2 * S, 2);
+        let mut rollout = rollout();
+        ask(&mut rollout, S, request("g0", S, None));
+        ask(&mut rollout, S, request("g1", S, None));
+        propose(&mut rollout, 2 * S, 2);
         for at in 4..9 {
-            ask(&mut keeper, at * S / 2, question("g0", at * S / 2, Some(2)));
-            let answer =
-                ask(&mut keeper, at * S / 2, Question { probes: true, ..question("g1", at * S / 2, None) });
+            ask(&mut rollout, at * S / 2, request("g0", at * S / 2, Some(2)));
+            let answer = ask(
+                &mut rollout,
+                at * S / 2,
+                LeaseRequest { probe_only: true, ..request("g1", at * S / 2, None) },
+            );
             assert!(!answer.leased);
         }
-        let (_, change) = keeper.standing();
+        let (_, change) = rollout.current();
         assert!(matches!(change, Some(Change::Decided(..))), "its lease of 1 s ended at 3 s: {change:?}");
     }
 
     #[test]
     fn an_unreachable_gateway_blocks_a_change_only_as_long_as_it_may_serve() {
         for (mode, decided) in [(Mode::Stop, true), (Mode::Serve, false)] {
-            let mut keeper = keeper();
-            ask(&mut keeper, S, Question { mode, ..question("g1", S, None) });
-            propose(&mut keeper, S, 2);
-            ask(&mut keeper, 2 * S, question("g0", 2 * S, Some(2)));
-            keeper.apply(3 * S + S / 10 - 1, Command::Tick);
-            assert_eq!(keeper.waits_for(), ["g1"]);
-            ask(&mut keeper, 3 * S + S / 10, question("g0", 3 * S, Some(2)));
-            let (_, change) = keeper.standing();
+            let mut rollout = rollout();
+            ask(&mut rollout, S, LeaseRequest { mode, ..request("g1", S, None) });
+            propose(&mut rollout, S, 2);
+            ask(&mut rollout, 2 * S, request("g0", 2 * S, Some(2)));
+            rollout.apply(3 * S + S / 10 - 1, Command::Tick);
+            assert_eq!(rollout.waits_for(), ["g1"]);
+            ask(&mut rollout, 3 * S + S / 10, request("g0", 3 * S, Some(2)));
+            let (_, change) = rollout.current();
             assert_eq!(matches!(change, Some(Change::Decided(..))), decided, "{mode:?}");
-            keeper.apply(12 * S, Command::Tick);
+            rollout.apply(12 * S, Command::Tick);
             let fates: Vec<bool> =
-                keeper.history().map(|(_, fate)| matches!(fate, Fate::InForce(_))).collect();
+                rollout.history().map(|(_, fate)| matches!(fate, ChangeOutcome::InForce(_))).collect();
             assert_eq!(fates, [decided], "{mode:?}");
         }
     }
 
     #[test]
     fn a_gateway_declared_gone_does_not_block_a_change() {
-        let mut keeper = keeper();
-        ask(&mut keeper, S, Question { mode: Mode::Serve, ..question("g1", S, None) });
-        propose(&mut keeper, S, 2);
-        ask(&mut keeper, 2 * S, question("g0", 2 * S, Some(2)));
-        assert_eq!(keeper.apply(2 * S, Command::DeclareGone("g1".into())), Outcome::Done);
-        assert!(matches!(keeper.standing().1, Some(Change::Decided(..))));
-        assert!(matches!(keeper.apply(2 * S, Command::DeclareGone("g9".into())), Outcome::Refused(_)));
+        let mut rollout = rollout();
+        ask(&mut rollout, S, LeaseRequest { mode: Mode::Serve, ..request("g1", S, None) });
+        propose(&mut rollout, S, 2);
+        ask(&mut rollout, 2 * S, request("g0", 2 * S, Some(2)));
+        assert_eq!(rollout.apply(2 * S, Command::DeclareGone("g1".into())), Outcome::Done);
+        assert!(matches!(rollout.current().1, Some(Change::Decided(..))));
+        assert!(matches!(rollout.apply(2 * S, Command::DeclareGone("g9".into())), Outcome::Refused(_)));
     }
 
     #[test]
     fn a_gateway_that_cannot_apply_a_version_calls_it_off() {
-        let mut keeper = keeper();
-        propose(&mut keeper, S, 2);
-        ask(&mut keeper, 2 * S, Question { cannot: Some(7), ..question("g0", 2 * S, None) });
-        assert!(keeper.standing().1.is_some(), "another version is not this one");
-        let answer = ask(&mut keeper, 2 * S, Question { cannot: Some(2), ..question("g0", 2 * S, None) });
+        let mut rollout = rollout();
+        propose(&mut rollout, S, 2);
+        ask(&mut rollout, 2 * S, LeaseRequest { rejected: Some(7), ..request("g0", 2 * S, None) });
+        assert!(rollout.current().1.is_some(), "another version is not this one");
+        let answer =
+            ask(&mut rollout, 2 * S, LeaseRequest { rejected: Some(2), ..request("g0", 2 * S, None) });
         assert_eq!(answer.change, None);
-        assert!(matches!(keeper.history().last(), Some((_, Fate::CalledOff(_)))));
+        assert!(matches!(rollout.history().last(), Some((_, ChangeOutcome::CalledOff(_)))));
     }
 
     #[test]
     fn proposals_are_idempotent_and_version_numbers_are_never_reused() {
-        let mut keeper = keeper();
-        ask(&mut keeper, S, question("g0", S, None));
-        assert_eq!(propose(&mut keeper, S, 3), Outcome::Done);
-        assert_eq!(propose(&mut keeper, S, 3), Outcome::Done);
+        let mut rollout = rollout();
+        ask(&mut rollout, S, request("g0", S, None));
+        assert_eq!(propose(&mut rollout, S, 3), Outcome::Done);
+        assert_eq!(propose(&mut rollout, S, 3), Outcome::Done);
         let other = Version { digest: Digest([9; 32]), ..version(3) };
-        assert!(matches!(keeper.apply(S, Command::Propose(other, 0, 9 * S)), Outcome::Refused(_)));
-        assert!(matches!(propose(&mut keeper, S, 4), Outcome::Refused(_)), "one change at a time");
-        assert_eq!(keeper.apply(S, Command::CallOff(3)), Outcome::Done);
-        assert_eq!(keeper.apply(S, Command::CallOff(3)), Outcome::Done);
-        assert!(matches!(propose(&mut keeper, S, 3), Outcome::Refused(_)), "its number is used up");
-        assert!(matches!(propose(&mut keeper, S, 1), Outcome::Done), "it is in force");
-        assert_eq!(propose(&mut keeper, S, 4), Outcome::Done, "the version before, under a new number");
-        ask(&mut keeper, 2 * S, question("g0", 2 * S, Some(4)));
-        assert!(matches!(keeper.apply(2 * S, Command::CallOff(4)), Outcome::Refused(_)), "it is decided");
-        assert!(matches!(keeper.apply(2 * S, Command::CallOff(77)), Outcome::Refused(_)));
+        assert!(matches!(rollout.apply(S, Command::Propose(other, 0, 9 * S)), Outcome::Refused(_)));
+        assert!(matches!(propose(&mut rollout, S, 4), Outcome::Refused(_)), "one change at a time");
+        assert_eq!(rollout.apply(S, Command::CallOff(3)), Outcome::Done);
+        assert_eq!(rollout.apply(S, Command::CallOff(3)), Outcome::Done);
+        assert!(matches!(propose(&mut rollout, S, 3), Outcome::Refused(_)), "its number is used up");
+        assert!(matches!(propose(&mut rollout, S, 1), Outcome::Done), "it is in force");
+        assert_eq!(propose(&mut rollout, S, 4), Outcome::Done, "the version before, under a new number");
+        ask(&mut rollout, 2 * S, request("g0", 2 * S, Some(4)));
+        assert!(matches!(rollout.apply(2 * S, Command::CallOff(4)), Outcome::Refused(_)), "it is decided");
+        assert!(matches!(rollout.apply(2 * S, Command::CallOff(77)), Outcome::Refused(_)));
     }
 
     #[test]
     fn an_earlier_incarnation_is_superseded_and_a_later_one_is_not_ready() {
-        let mut keeper = keeper();
-        propose(&mut keeper, S, 2);
-        ask(&mut keeper, S, question("g1", S, None));
-        ask(&mut keeper, S, question("g0", S, Some(2)));
-        ask(&mut keeper, 2 * S, Question { life: 2, ..question("g0", 2 * S, None) });
-        assert_eq!(keeper.waits_for(), ["g0", "g1"]);
-        let old = keeper.apply(2 * S, Command::Ask(question("g0", 2 * S, Some(2))));
+        let mut rollout = rollout();
+        propose(&mut rollout, S, 2);
+        ask(&mut rollout, S, request("g1", S, None));
+        ask(&mut rollout, S, request("g0", S, Some(2)));
+        ask(&mut rollout, 2 * S, LeaseRequest { incarnation: 2, ..request("g0", 2 * S, None) });
+        assert_eq!(rollout.waits_for(), ["g0", "g1"]);
+        let old = rollout.apply(2 * S, Command::RequestLease(request("g0", 2 * S, Some(2))));
         assert_eq!(old, Outcome::Superseded);
     }
 
     #[test]
     fn time_never_goes_back_between_commands() {
-        let mut keeper = keeper();
-        ask(&mut keeper, 9 * S, question("g0", 9 * S, None));
-        assert!(matches!(keeper.apply(S, Command::Propose(version(2), 0, 5 * S)), Outcome::Refused(_)));
+        let mut rollout = rollout();
+        ask(&mut rollout, 9 * S, request("g0", 9 * S, None));
+        assert!(matches!(rollout.apply(S, Command::Propose(version(2), 0, 5 * S)), Outcome::Refused(_)));
     }
 
     #[test]
     fn a_clock_ahead_is_refused_and_a_silent_gateway_expires() {
-        let mut keeper = keeper();
-        let ahead = keeper.apply(S, Command::Ask(question("g0", 2 * S, None)));
+        let mut rollout = rollout();
+        let ahead = rollout.apply(S, Command::RequestLease(request("g0", 2 * S, None)));
         assert!(matches!(&ahead, Outcome::Refused(why) if why.contains("1000 ms ahead")), "{ahead:?}");
-        ask(&mut keeper, 2 * S, question("g0", 2 * S, None));
-        ask(&mut keeper, 2 * S, Question { mode: Mode::Serve, ..question("g1", 2 * S, None) });
-        keeper.apply(2 * S + 2 * GATEWAY_RETENTION, Command::Tick);
-        let left: Vec<&str> = keeper.gateways().map(|(name, _)| name).collect();
+        ask(&mut rollout, 2 * S, request("g0", 2 * S, None));
+        ask(&mut rollout, 2 * S, LeaseRequest { mode: Mode::Serve, ..request("g1", 2 * S, None) });
+        rollout.apply(2 * S + 2 * GATEWAY_RETENTION, Command::Tick);
+        let left: Vec<&str> = rollout.gateways().map(|(name, _)| name).collect();
         assert_eq!(left, ["g1"], "one that serves on may still be serving");
     }
 }
--- a/crates/change/tests/rollout_simulation.rs
+++ b/crates/change/tests/rollout_simulation.rs
@@ -3,15 +3,15 @@
 //! error after one started under a newer version, and once faults stop, changes must complete.
 
 use fastrand::Rng;
-use hingestage_change::holder::Holder;
-use hingestage_change::keeper::{
-    Answer, Change, Command, Figures, Keeper, Micros, Mode, Outcome, Question, Version,
+use hingestage_change::lease_holder::LeaseHolder;
+use hingestage_change::rollout::{
+    Change, Command, LeaseConfig, LeaseReply, LeaseRequest, Micros, Mode, Outcome, Rollout, Version,
 };
 use hingestage_change::Digest;
 use std::collections::BTreeMap;
 
 const MS: Micros = 1_000;
-const FIGURES: Figures = Figures { lease: 1_500 * MS, error: 200 * MS };
+const LEASE_CONFIG: LeaseConfig = LeaseConfig { lease: 1_500 * MS, clock_error: 200 * MS };
 const GATEWAYS: usize = 3;
 /// Interval of lease requests.
 const REQUEST_INTERVAL: Micros = 300 * MS;
@@ -37,8 +37,8 @@
 }
 
 struct Gateway {
-    holder: Holder,
-    life: u64,
+    holder: LeaseHolder,
+    incarnation: u64,
     mode: Mode,
     /// Lead of its clock over the slowest possible one.
     clock_lead: Micros,
@@ -50,8 +50,8 @@
 }
 
 enum Message {
-    Ask(usize, Question),
-    Answer(usize, u64, Answer),
+    RequestLease(usize, LeaseRequest),
+    Answer(usize, u64, LeaseReply),
 }
 
 struct Simulation {
@@ -59,7 +59,7 @@
     step: usize,
     rng: Rng,
     defect: Defect,
-    keeper: Keeper,
+    rollout: Rollout,
     keeper_clock_lead: Micros,
     gateways: Vec<Gateway>,
     in_flight: Vec<(Micros, Message)>,
@@ -80,14 +80,18 @@
     fn new(seed: u64, defect: Defect) -> Simulation {
         let mut rng = Rng::with_seed(seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ 31);
         let now = 1_000_000 * MS;
-        let max_lead = if defect == Defect::ClockErrorExceeded { 8 * FIGURES.error } else { FIGURES.error };
+        let max_lead = if defect == Defect::ClockErrorExceeded {
+            8 * LEASE_CONFIG.clock_error
+        } else {
+            LEASE_CONFIG.clock_error
+        };
         let mut gateway = |n: usize| {
             let mode = if rng.u64(..2) == 0 { Mode::Stop } else { Mode::Serve };
-            let holder = Holder::new(&format!("g{n}"), 1, mode, FIGURES);
+            let holder = LeaseHolder::new(&format!("g{n}"), 1, mode, LEASE_CONFIG);
             let clock_lead = rng.u64(..max_lead + 1);
             Gateway {
                 holder,
-                life: 1,
+                incarnation: 1,
                 mode,
                 clock_lead,
                 next_ask: now,
@@ -97,13 +101,13 @@
             }
         };
         let gateways = (0..GATEWAYS).map(&mut gateway).collect();
-        let keeper_clock_lead = rng.u64(..FIGURES.error + 1);
+        let keeper_clock_lead = rng.u64(..LEASE_CONFIG.clock_error + 1);
         Simulation {
             now,
             step: 0,
             rng,
             defect,
-            keeper: Keeper::new(FIGURES, version(1)),
+            rollout: Rollout::new(LEASE_CONFIG, version(1)),
             keeper_clock_lead,
             gateways,
             in_flight: Vec::new(),
@@ -139,11 +143,11 @@
             4 => {
                 self.number += 1;
                 let (now, number) = (self.now + self.keeper_clock_lead, self.number);
-                self.keeper.apply(now, Command::Propose(version(number), now, now + 6_000 * MS));
+                self.rollout.apply(now, Command::Propose(version(number), now, now + 6_000 * MS));
             }
             _ => {
                 let (now, number) = (self.now + self.keeper_clock_lead, self.number);
-                self.keeper.apply(now, Command::CallOff(number));
+                self.rollout.apply(now, Command::CallOff(number));
             }
         }
     }
@@ -158,9 +162,9 @@
             if self.step == CALM_FROM_STEP + 300 {
                 self.number += 1;
                 let now = self.now + self.keeper_clock_lead;
-                self.keeper.apply(now, Command::Propose(version(self.number), now, now + 5_000 * MS));
+                self.rollout.apply(now, Command::Propose(version(self.number), now, now + 5_000 * MS));
             }
-            self.keeper.apply(self.now + self.keeper_clock_lead, Command::Tick);
+            self.rollout.apply(self.now + self.keeper_clock_lead, Command::Tick);
             let now = self.now;
             let (due, later): (Vec<_>, Vec<_>) =
                 std::mem::take(&mut self.in_flight).into_iter().partition(|(at, _)| *at <= now);
@@ -177,31 +181,33 @@
 
     fn deliver(&mut self, what: Message) {
         match what {
-            Message::Ask(n, question) => {
+            Message::RequestLease(n, request) => {
                 let now = self.now + self.keeper_clock_lead;
-                if let Outcome::Answer(mut answer) = self.keeper.apply(now, Command::Ask(question.clone())) {
+                if let Outcome::Answer(mut answer) =
+                    self.rollout.apply(now, Command::RequestLease(request.clone()))
+                {
                     if let (Defect::ImmediateEffect, Some(Change::Decided(version, _))) =
                         (self.defect, answer.change)
                     {
                         answer.change = Some(Change::Decided(version, 0));
                     }
-                    self.send(n, false, Message::Answer(n, question.life, answer));
+                    self.send(n, false, Message::Answer(n, request.incarnation, answer));
                 }
             }
-            Message::Answer(n, life, _)
-                if self.gateways[n].dead_until.is_some() || self.gateways[n].life != life => {}
-            Message::Answer(n, life, answer) if !self.is_running(n) => {
-                self.in_flight.push((self.gateways[n].paused_until, Message::Answer(n, life, answer)));
+            Message::Answer(n, incarnation, _)
+                if self.gateways[n].dead_until.is_some() || self.gateways[n].incarnation != incarnation => {}
+            Message::Answer(n, incarnation, answer) if !self.is_running(n) => {
+                self.in_flight.push((self.gateways[n].paused_until, Message::Answer(n, incarnation, answer)));
             }
             Message::Answer(n, _, mut answer) => {
                 let now = self.now;
                 let gateway = &mut self.gateways[n];
                 if self.defect == Defect::LeaseFromReceipt {
-                    answer.issued = self.now + gateway.clock_lead;
-                    answer.told = answer.issued;
+                    answer.sent_at = self.now + gateway.clock_lead;
+                    answer.keeper_time = answer.sent_at;
                 }
                 // A reply from a clock too far away is ignored.
-                let _ = gateway.holder.answered(now + gateway.clock_lead, answer);
+                let _ = gateway.holder.handle_reply(now + gateway.clock_lead, answer);
             }
         }
     }
@@ -212,12 +218,19 @@
         let gateway = &mut self.gateways[n];
         if gateway.dead_until.is_some_and(|until| until <= now || calm) {
             let known = gateway.last_version;
-            (gateway.dead_until, gateway.life) = (None, gateway.life + 1);
-            gateway.holder = Holder::new(&format!("g{n}"), gateway.life, gateway.mode, FIGURES);
+            (gateway.dead_until, gateway.incarnation) = (None, gateway.incarnation + 1);
+            gateway.holder =
+                LeaseHolder::new(&format!("g{n}"), gateway.incarnation, gateway.mode, LEASE_CONFIG);
             if let (Defect::VersionKeptOverRestart, Some(version)) = (self.defect, known) {
-                let issued = now + gateway.clock_lead;
-                let believed = Answer { issued, told: issued, force: version, change: None, leased: true };
-                gateway.holder.answered(issued, believed).unwrap();
+                let sent_at = now + gateway.clock_lead;
+                let believed = LeaseReply {
+                    sent_at,
+                    keeper_time: sent_at,
+                    in_force: version,
+                    change: None,
+                    leased: true,
+                };
+                gateway.holder.handle_reply(sent_at, believed).unwrap();
             }
         }
         if !self.is_running(n) {
@@ -225,13 +238,13 @@
         }
         let gateway = &mut self.gateways[n];
         let clock = now + gateway.clock_lead;
-        for version in gateway.holder.wanted() {
-            gateway.holder.applied(version, true);
+        for version in gateway.holder.missing_versions() {
+            gateway.holder.record_applied(version, true);
         }
         if gateway.next_ask <= now {
             gateway.next_ask = now + REQUEST_INTERVAL;
-            let question = gateway.holder.question(clock);
-            self.send(n, true, Message::Ask(n, question));
+            let request = gateway.holder.next_request(clock);
+            self.send(n, true, Message::RequestLease(n, request));
         }
         self.start_request(n, clock);
     }
@@ -255,8 +268,10 @@
         self.gateways[n].last_version = Some(version);
         let (_, last) = self.starts.entry(version.number).or_insert((self.now, self.now));
         *last = self.now;
-        let late =
-            self.starts.range(version.number + 1..).find(|(_, (first, _))| self.now > first + FIGURES.error);
+        let late = self
+            .starts
+            .range(version.number + 1..)
+            .find(|(_, (first, _))| self.now > first + LEASE_CONFIG.clock_error);
         if let Some((newer, (first, _))) = late {
             let after = (self.now - first) / MS;
             self.violation =
@@ -282,15 +297,15 @@
     for seed in 0..seed_count() {
         let simulation = run_seed(seed, Defect::None);
         assert_eq!(simulation.violation, None, "seed {seed}");
-        let (force, change) = simulation.keeper.standing();
+        let (in_force, change) = simulation.rollout.current();
         assert_eq!(
-            (force, change),
+            (in_force, change),
             (version(simulation.number), None),
             "seed {seed}: the last change takes hold"
         );
         for gateway in &simulation.gateways {
             let clock = simulation.now + gateway.clock_lead;
-            assert_eq!(gateway.holder.version(clock), Some(force), "seed {seed}: everywhere");
+            assert_eq!(gateway.holder.version(clock), Some(in_force), "seed {seed}: everywhere");
         }
         changes += simulation.starts.len() - 1;
         refused_starts += simulation.refused_starts;
--- a/crates/enforce/src/lib.rs
+++ b/crates/enforce/src/lib.rs
@@ -71,7 +71,7 @@
     }
 
     /// Longest deadline of any class.
-    pub fn longest(&self) -> Micros {
+    pub fn max_deadline(&self) -> Micros {
         self.terms.classes.iter().map(|class| class.deadline).max().unwrap_or(0)
     }
 
--- a/crates/gateway/src/changes.rs
+++ b/crates/gateway/src/changes.rs
@@ -1,10 +1,10 @@
 //! Whose word a gateway goes by: asks the keepers, fetches documents, and tells the decisions which policy what begins
-//! is under. Which that is, and whether anything may begin, is decided in `hingestage_change::holder`.
+//! is under. Which that is, and whether anything may begin, is decided in `hingestage_change::lease_holder`.
 
 use crate::ask::ask;
-use hingestage_change::desk::{Asked, Elsewhere, Reply};
-use hingestage_change::holder::Holder;
-use hingestage_change::keeper::{Change, Version};
+use hingestage_change::lease_holder::LeaseHolder;
+use hingestage_change::rollout::{Change, Version};
+use hingestage_change::state::{LeaseCall, NotLeader, Reply};
 use hingestage_dataplane::driver::Driver;
 use hingestage_enforce::Rules;
 use hingestage_operator::Policy as Figures;
@@ -38,7 +38,7 @@
     figures: Figures,
     settings: Settings,
     names: Names,
-    holder: RefCell<Holder>,
+    holder: RefCell<LeaseHolder>,
     documents: RefCell<VecDeque<(Version, Rc<Rules>)>>,
     /// What begins now is under this; none where nothing may begin.
     begins: RefCell<Option<(Version, Rc<Rules>)>>,
@@ -55,7 +55,7 @@
 impl<P: Platform> Changes<P> {
     /// That of a gateway's new life, which knows nothing.
     pub fn new(driver: &Rc<Driver<P>>, figures: Figures, settings: Settings, names: Names) -> Rc<Self> {
-        let holder = Holder::new(&figures.name, driver.micros(), figures.mode, figures.figures);
+        let holder = LeaseHolder::new(&figures.name, driver.micros(), figures.mode, figures.figures);
         Rc::new(Changes {
             driver: Rc::downgrade(driver),
             platform: driver.platform.clone(),
@@ -104,8 +104,8 @@
         while let Some(number) = self.next(&asked) {
             asked.push(number);
             let Some(now) = self.now() else { return false };
-            let question = self.holder.borrow_mut().question(now);
-            let asked_with = Asked { question, figures: self.figures.figures };
+            let request = self.holder.borrow_mut().next_request(now);
+            let asked_with = LeaseCall { request, lease_config: self.figures.figures };
             let Ok(body) = serde_json::to_string(&asked_with) else { return false };
             let patience = Duration::from_micros(self.figures.figures.lease / GIVE_UP);
             let call =
@@ -116,7 +116,7 @@
                     return self.answered(&answer);
                 }
                 Ok(Some((StatusCode::MISDIRECTED_REQUEST, answer))) => {
-                    let elsewhere: Option<Elsewhere> = serde_json::from_slice(&answer).ok();
+                    let elsewhere: Option<NotLeader> = serde_json::from_slice(&answer).ok();
                     let leader = elsewhere.and_then(|elsewhere| elsewhere.leader);
                     self.leader.set(leader.filter(|leader| !asked.contains(leader)));
                 }
@@ -155,7 +155,7 @@
         }
         let Some(now) = self.now() else { return };
         self.say("another process has asked by this gateway's name: begins anew".into());
-        self.holder.borrow_mut().begin_anew(now);
+        self.holder.borrow_mut().restart(now);
         self.look(now);
     }
 
@@ -167,7 +167,7 @@
     fn answered(&self, answer: &[u8]) -> bool {
         let Some(now) = self.now() else { return false };
         let Ok(Reply::Answer(answer)) = serde_json::from_slice(answer) else { return false };
-        let taken = self.holder.borrow_mut().answered(now, answer);
+        let taken = self.holder.borrow_mut().handle_reply(now, answer);
         if let Err(apart) = taken {
             let how = if apart > 0 { "behind" } else { "ahead of" };
             let ms = apart.unsigned_abs() / 1_000;
@@ -181,7 +181,7 @@
     /// Fetches what is named and not here. Whether anything has become ready by it.
     async fn fetch(&self) -> bool {
         let mut ready = false;
-        let wanted = self.holder.borrow().wanted();
+        let wanted = self.holder.borrow().missing_versions();
         for version in wanted {
             let Some(rules) = self.document(version).await else { continue };
             match rules {
@@ -195,7 +195,7 @@
                 Err(why) => self.say(format!("version {} can't be gone by: {why}", version.number)),
             }
             let can = self.documents.borrow().iter().any(|(known, _)| *known == version);
-            self.holder.borrow_mut().applied(version, can);
+            self.holder.borrow_mut().record_applied(version, can);
         }
         if let (true, Some(now)) = (ready, self.now()) {
             self.look(now);
@@ -231,7 +231,7 @@
         let Some(driver) = self.driver.upgrade() else { return };
         let (version, until) = {
             let holder = self.holder.borrow();
-            (holder.version(now), holder.holds_until(now))
+            (holder.version(now), holder.next_change_at(now))
         };
         self.holds_until.set(until);
         if self.begins.borrow().as_ref().map(|(version, _)| *version) == version {
@@ -276,7 +276,7 @@
 
     /// The longest that a client waits, where a policy says so, µs.
     pub fn longest(&self) -> Option<Micros> {
-        self.begins.borrow().as_ref().map(|(_, rules)| rules.longest())
+        self.begins.borrow().as_ref().map(|(_, rules)| rules.max_deadline())
     }
 
     fn say(&self, what: String) {
@@ -309,7 +309,7 @@
                 let _ = writeln!(text, "version {} is decided, in force from {from:.3}", version.number);
             }
         }
-        let age = now.saturating_sub(last.issued) as f64 / 1e6;
+        let age = now.saturating_sub(last.sent_at) as f64 / 1e6;
         let _ = writeln!(text, "last asked with an answer {age:.3} s ago");
         text
     }
--- a/crates/keep/examples/keeper_cost.rs
+++ b/crates/keep/examples/keeper_cost.rs
@@ -2,12 +2,12 @@
 //! many gateways. `cargo run --release -p hingestage-keep --features measurements --example keeper_cost
 //! [GATEWAYS] [VERSIONS]`
 
-use hingestage_change::desk::{Asked, Proposed};
-use hingestage_change::keeper::{Figures, Micros, Mode, Question};
-use hingestage_keep::call::Way;
-use hingestage_keep::client::Keepers;
+use hingestage_change::rollout::{LeaseConfig, LeaseRequest, Micros, Mode};
+use hingestage_change::state::{LeaseCall, ProposeRequest};
+use hingestage_keep::client::KeeperClient;
 use hingestage_keep::config::Config;
-use hingestage_keep::{run, Start};
+use hingestage_keep::http_client::Connection;
+use hingestage_keep::{run, StartMode};
 use hyper::{Method, StatusCode};
 use serde_json::Value;
 use std::collections::BTreeMap;
@@ -16,11 +16,11 @@
 use std::time::{Duration, Instant, SystemTime};
 use tokio::time::sleep;
 
-const LEASE: Micros = 2_000_000;
+const LEASE_MICROS: Micros = 2_000_000;
 /// Interval of a gateway's lease requests: an eighth of a lease.
-const PAUSE: Duration = Duration::from_millis(250);
+const REQUEST_INTERVAL: Duration = Duration::from_millis(250);
 /// Duration of the lease requests.
-const SPAN: Duration = Duration::from_secs(8);
+const REQUEST_PHASE: Duration = Duration::from_secs(8);
 
 fn unix() -> Micros {
     SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default().as_micros() as Micros
@@ -45,27 +45,28 @@
 }
 
 async fn gateway(number: usize, at: SocketAddr, until: Instant) -> Vec<Duration> {
-    let mut way = Way::new(at);
+    let mut way = Connection::new(at);
     let mut took = Vec::new();
-    sleep(PAUSE.mul_f64((number % 97) as f64 / 97.0)).await;
+    sleep(REQUEST_INTERVAL.mul_f64((number % 97) as f64 / 97.0)).await;
     while Instant::now() < until {
         let gateway = format!("n{number}");
-        let question = Question {
+        let request = LeaseRequest {
             gateway,
-            life: 1,
-            issued: unix(),
+            incarnation: 1,
+            sent_at: unix(),
             mode: Mode::Stop,
             ready: None,
-            cannot: None,
-            probes: false,
+            rejected: None,
+            probe_only: false,
         };
-        let asked = Asked { question, figures: Figures { lease: LEASE, error: 250_000 } };
+        let asked =
+            LeaseCall { request, lease_config: LeaseConfig { lease: LEASE_MICROS, clock_error: 250_000 } };
         let begun = Instant::now();
         let body = serde_json::to_vec(&asked).unwrap_or_default();
         if let Ok((StatusCode::OK, _)) = way.call(Method::POST, "/ask", body).await {
             took.push(begun.elapsed());
         }
-        sleep(PAUSE.saturating_sub(begun.elapsed())).await;
+        sleep(REQUEST_INTERVAL.saturating_sub(begun.elapsed())).await;
     }
     took
 }
@@ -94,14 +95,14 @@
             folder.display()
         );
         let config = Config::parse(&text).expect("a good file");
-        tokio::spawn(async move { run(config, Start::Begin, std::future::pending()).await });
+        tokio::spawn(async move { run(config, StartMode::Bootstrap, std::future::pending()).await });
     }
-    let mut client = Keepers::new(at.clone(), Duration::from_secs(20));
+    let mut client = KeeperClient::new(at.clone(), Duration::from_secs(20));
     let _: Value = client.ask(Method::GET, "/status", &()).await.expect("keepers");
     // Before any gateway is known, so that no proposal is decided.
     let begun = Instant::now();
     for version in 2..versions as u64 + 2 {
-        let proposed = Proposed { text: document(version), at: 0, within: 60_000_000, despite: true };
+        let proposed = ProposeRequest { text: document(version), at: 0, within: 60_000_000, confirmed: true };
         let done: Result<Value, _> = client.ask(Method::POST, "/propose", &proposed).await;
         done.expect("proposed");
         let done: Result<Value, _> = client.ask(Method::POST, "/abort", &version).await;
@@ -116,11 +117,11 @@
     let mut leads = at[&0];
     for own in at.values() {
         let only = BTreeMap::from([(0, *own)]);
-        if Keepers::new(only, Duration::ZERO).ask::<Value>(Method::GET, "/status", &()).await.is_ok() {
+        if KeeperClient::new(only, Duration::ZERO).ask::<Value>(Method::GET, "/status", &()).await.is_ok() {
             leads = *own;
         }
     }
-    let (before, until) = (used(), Instant::now() + SPAN);
+    let (before, until) = (used(), Instant::now() + REQUEST_PHASE);
     let asking: Vec<_> = (0..gateways).map(|n| tokio::spawn(gateway(n, leads, until))).collect();
     let mut took = Vec::new();
     for one in asking {
@@ -131,14 +132,14 @@
     let part = |of: f64| took.get((took.len() as f64 * of) as usize).map_or(0.0, |t| t.as_secs_f64() * 1e3);
     println!(
         "{gateways} gateways: {:.0} answers a second, {:.1} ms middle, {:.1} ms in a hundred, {:.1} at most",
-        took.len() as f64 / SPAN.as_secs_f64(),
+        took.len() as f64 / REQUEST_PHASE.as_secs_f64(),
         part(0.5),
         part(0.99),
         part(0.999_999)
     );
     println!(
         "  {:.0} % of a core for three keepers and all gateways' calls, {} MB",
-        (after.1 - before.1) / SPAN.as_secs_f64() * 100.0,
+        (after.1 - before.1) / REQUEST_PHASE.as_secs_f64() * 100.0,
         after.0 >> 20
     );
     let _ = std::fs::remove_dir_all(&folder);
--- a/crates/keep/src/client.rs
+++ b/crates/keep/src/client.rs
@@ -1,8 +1,8 @@
 //! Client of the keepers: finds the leader, retries, and distinguishes refused calls from those with an
 //! unknown outcome.
 
-use crate::call::Way;
-use hingestage_change::desk::Elsewhere;
+use crate::http_client::Connection;
+use hingestage_change::state::NotLeader;
 use hyper::{Method, StatusCode};
 use serde::de::DeserializeOwned;
 use serde::Serialize;
@@ -18,27 +18,27 @@
 
 /// Error of a call.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Failed {
+pub enum CallFailure {
     /// The keepers refused the call, with the reason; nothing was changed.
     Refused(String),
     /// The proposed change is dangerous and needs confirmation; one reason per line. Nothing was changed.
-    Doubted(String),
+    NeedsConfirmation(String),
     /// No definite answer arrived in time; the call may have taken effect.
-    Unknown(String),
+    OutcomeUnknown(String),
 }
 
 /// Client for a set of keepers.
-pub struct Keepers {
+pub struct KeeperClient {
     at: BTreeMap<u64, SocketAddr>,
     /// Total time for retries.
     retry_timeout: Duration,
     leader: Option<u64>,
 }
 
-impl Keepers {
+impl KeeperClient {
     /// Creates a client for keepers by number, which retries each call for at most `patience`.
-    pub fn new(at: BTreeMap<u64, SocketAddr>, retry_timeout: Duration) -> Keepers {
-        Keepers { at, retry_timeout, leader: None }
+    pub fn new(at: BTreeMap<u64, SocketAddr>, retry_timeout: Duration) -> KeeperClient {
+        KeeperClient { at, retry_timeout, leader: None }
     }
 
     /// Calls the keepers until one answers. The call must be idempotent.
@@ -50,24 +50,25 @@
         method: Method,
         path: &str,
         what: &impl Serialize,
-    ) -> Result<A, Failed> {
-        let body = serde_json::to_vec(what).map_err(|e| Failed::Refused(e.to_string()))?;
+    ) -> Result<A, CallFailure> {
+        let body = serde_json::to_vec(what).map_err(|e| CallFailure::Refused(e.to_string()))?;
         let until = Instant::now() + self.retry_timeout;
         let mut last = "no keeper is the leader".to_owned();
         loop {
             for number in self.call_order() {
                 match timeout(
                     CALL_TIMEOUT,
-                    Way::new(self.at[&number]).call(method.clone(), path, body.clone()),
+                    Connection::new(self.at[&number]).call(method.clone(), path, body.clone()),
                 )
                 .await
                 {
                     Ok(Ok((StatusCode::OK, answer))) => {
                         self.leader = Some(number);
-                        return serde_json::from_slice(&answer).map_err(|e| Failed::Unknown(e.to_string()));
+                        return serde_json::from_slice(&answer)
+                            .map_err(|e| CallFailure::OutcomeUnknown(e.to_string()));
                     }
                     Ok(Ok((StatusCode::MISDIRECTED_REQUEST, answer))) => {
-                        let not_leader: Elsewhere = serde_json::from_slice(&answer).unwrap_or_default();
+                        let not_leader: NotLeader = serde_json::from_slice(&answer).unwrap_or_default();
                         self.leader = not_leader.leader.filter(|leader| *leader != number);
                         if self.leader.is_some() {
                             break;
@@ -77,20 +78,22 @@
                         (self.leader, last) = (None, String::from_utf8_lossy(&answer).into_owned());
                     }
                     Ok(Ok((StatusCode::PRECONDITION_REQUIRED, answer))) => {
-                        return Err(Failed::Doubted(String::from_utf8_lossy(&answer).into_owned()));
+                        return Err(CallFailure::NeedsConfirmation(
+                            String::from_utf8_lossy(&answer).into_owned(),
+                        ));
                     }
                     Ok(Ok((_, answer))) => {
-                        return Err(Failed::Refused(String::from_utf8_lossy(&answer).into_owned()));
+                        return Err(CallFailure::Refused(String::from_utf8_lossy(&answer).into_owned()));
                     }
                     Ok(Err(what)) => (self.leader, last) = (None, what),
                     Err(_) => (self.leader, last) = (None, format!("keeper {number} is silent")),
                 }
                 if Instant::now() >= until {
-                    return Err(Failed::Unknown(last));
+                    return Err(CallFailure::OutcomeUnknown(last));
                 }
             }
             if Instant::now() >= until {
-                return Err(Failed::Unknown(last));
+                return Err(CallFailure::OutcomeUnknown(last));
             }
             sleep(RETRY_DELAY).await;
         }
--- a/crates/keep/src/config.rs
+++ b/crates/keep/src/config.rs
@@ -1,8 +1,8 @@
 //! Configuration file of a keeper: `(keeper (number 1) (folder "...") (keepers (1 "127.0.0.1:7001") ...)
 //! ...)`.
 
-use hingestage_change::fields::{address, keepers, number};
-use hingestage_change::keeper::Figures;
+use hingestage_change::fields::{parse_address, parse_keeper_number, parse_keepers};
+use hingestage_change::rollout::LeaseConfig;
 use hingestage_form::{once, Form};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -25,7 +25,7 @@
     /// Addresses of all keepers, including this one.
     pub keepers: BTreeMap<u64, SocketAddr>,
     /// Lease settings, the same for all keepers and gateways.
-    pub figures: Figures,
+    pub lease_config: LeaseConfig,
     /// Path of the initial policy document.
     pub first: PathBuf,
     /// Interval of the leader's heartbeats. Followers start an election after four to eight intervals without
@@ -64,32 +64,41 @@
     listen: Option<SocketAddr>,
     folder: Option<PathBuf>,
     keepers: BTreeMap<u64, SocketAddr>,
-    figures: Figures,
+    lease_config: LeaseConfig,
     first: Option<PathBuf>,
     heartbeat: Duration,
 }
 
 impl Default for PartialConfig {
     fn default() -> PartialConfig {
-        let (heartbeat, keepers, figures) = (Duration::from_millis(100), BTreeMap::new(), Figures::usual());
-        PartialConfig { number: None, listen: None, folder: None, keepers, figures, first: None, heartbeat }
+        let (heartbeat, keepers, lease_config) =
+            (Duration::from_millis(100), BTreeMap::new(), LeaseConfig::defaults());
+        PartialConfig {
+            number: None,
+            listen: None,
+            folder: None,
+            keepers,
+            lease_config,
+            first: None,
+            heartbeat,
+        }
     }
 }
 
 impl PartialConfig {
     fn parse_field(&mut self, field: &Form, head: &str, name: &str) -> Result<(), String> {
         match head {
-            "number" => self.number = Some(number(&field.one(name)?, name)?),
-            "listen" => self.listen = Some(address(&field.one(name)?, name)?),
+            "number" => self.number = Some(parse_keeper_number(&field.one(name)?, name)?),
+            "listen" => self.listen = Some(parse_address(&field.one(name)?, name)?),
             "folder" => self.folder = Some(field.one(name)?.text(name)?.into()),
             "first" => self.first = Some(field.one(name)?.text(name)?.into()),
-            "keepers" => self.keepers = keepers(field, name)?,
+            "keepers" => self.keepers = parse_keepers(field, name)?,
             "heartbeat" => {
                 let seconds =
                     field.one(name)?.number(name, *HEARTBEAT_SECONDS.start(), *HEARTBEAT_SECONDS.end())?;
                 self.heartbeat = Duration::from_secs_f64(seconds);
             }
-            _ if self.figures.field(field, head, name)? => {}
+            _ if self.lease_config.parse_field(field, head, name)? => {}
             _ => return Err(field.error(name, "no such field")),
         }
         Ok(())
@@ -103,9 +112,10 @@
         let own = self.keepers.get(&number).copied();
         let own = own
             .ok_or_else(|| section.error("keeper.keepers", &format!("keeper {number} itself is missing")))?;
-        let (listen, figures, heartbeat) = (self.listen.unwrap_or(own), self.figures, self.heartbeat);
-        figures.check(section, "keeper")?;
-        Ok(Config { number, listen, folder, keepers: self.keepers, figures, first, heartbeat })
+        let (listen, lease_config, heartbeat) =
+            (self.listen.unwrap_or(own), self.lease_config, self.heartbeat);
+        lease_config.validate(section, "keeper")?;
+        Ok(Config { number, listen, folder, keepers: self.keepers, lease_config, first, heartbeat })
     }
 }
 
@@ -124,7 +134,7 @@
         );
         let config = Config::parse(&more).unwrap();
         assert_eq!((config.number, config.listen.port(), config.keepers.len()), (1, 9, 3));
-        assert_eq!(config.figures, Figures { lease: 3_000_000, error: 100_000 });
+        assert_eq!(config.lease_config, LeaseConfig { lease: 3_000_000, clock_error: 100_000 });
         assert_eq!(config.heartbeat, Duration::from_millis(200));
         assert_eq!(
             Config::parse(VALID_CONFIG).unwrap().listen.port(),
--- a/crates/keep/src/faulty_disk.rs
+++ b/crates/keep/src/faulty_disk.rs
@@ -3,9 +3,9 @@
 
 use crate::raft_types::{Entry, LogPosition, SnapshotMeta, TypeConfig};
 use crate::state_machine::PolicyStateMachine;
-use crate::store::{New, Store, StoredSnapshot};
+use crate::store::{NewStore, Store, StoredSnapshot};
 use fastrand::Rng;
-use hingestage_change::desk::{Entry as Orders, Order};
+use hingestage_change::state::{Entry as CommandBatch, LogCommand};
 use openraft::storage::{RaftLogStorage, RaftLogStorageExt};
 use openraft::testing::{StoreBuilder, Suite};
 use openraft::{CommittedLeaderId, EntryPayload, LogId, RaftLogReader, StorageError, Vote};
@@ -149,8 +149,9 @@
 }
 
 fn entry(term: u64, index: u64) -> Entry {
-    let orders = Orders { at: index, orders: vec![Order::DeclareGone("x".repeat(index as usize % 900))] };
-    Entry { log_id: log_id(term, index), payload: EntryPayload::Normal(orders) }
+    let commands =
+        CommandBatch { at: index, commands: vec![LogCommand::DeclareGone("x".repeat(index as usize % 900))] };
+    Entry { log_id: log_id(term, index), payload: EntryPayload::Normal(commands) }
 }
 
 /// Expected contents of a store.
@@ -228,7 +229,7 @@
     changes: usize,
     rng: &mut Rng,
 ) -> Option<(ExpectedState, ExpectedState)> {
-    let mut store = Store::with_backend(disk.clone(), Some(New::Begins)).unwrap();
+    let mut store = Store::with_backend(disk.clone(), Some(NewStore::Bootstrap)).unwrap();
     disk.fail_after(changes);
     let mut model = ExpectedState::default();
     for n in 1..60 {
@@ -296,7 +297,7 @@
 async fn a_store_rejects_writes_after_a_failure() {
     let mut rng = Rng::with_seed(7);
     let disk = Disk::default();
-    let mut store = Store::with_backend(disk.clone(), Some(New::Joins)).unwrap();
+    let mut store = Store::with_backend(disk.clone(), Some(NewStore::Join)).unwrap();
     store.save_vote(&Vote::new(1, 0)).await.unwrap();
     disk.fail_after(0);
     assert!(store.save_vote(&Vote::new(2, 0)).await.is_err());
@@ -315,8 +316,8 @@
     std::fs::create_dir_all(&folder).unwrap();
     let opened = |new| Store::open(&folder, new).map(drop);
     assert!(opened(None).unwrap_err().contains("there is no store"));
-    assert_eq!(opened(Some(New::Begins)), Ok(()));
-    assert!(opened(Some(New::Begins)).unwrap_err().contains("there is a store already"));
+    assert_eq!(opened(Some(NewStore::Bootstrap)), Ok(()));
+    assert!(opened(Some(NewStore::Bootstrap)).unwrap_err().contains("there is a store already"));
     assert_eq!(opened(None), Ok(()));
     std::fs::write(folder.join("keeper.redb"), b"something else").unwrap();
     assert!(opened(None).is_err());
@@ -327,7 +328,7 @@
 
 impl StoreBuilder<TypeConfig, Store, PolicyStateMachine> for Builder {
     async fn build(&self) -> Result<((), Store, PolicyStateMachine), StorageError<u64>> {
-        let store = Store::with_backend(Disk::default(), Some(New::Begins)).unwrap();
+        let store = Store::with_backend(Disk::default(), Some(NewStore::Bootstrap)).unwrap();
         Ok(((), store.clone(), PolicyStateMachine::open(store)?))
     }
 }
--- a/crates/keep/src/call.rs
+++ b/crates/keep/src/http_client.rs
@@ -10,18 +10,18 @@
 use tokio::net::TcpStream;
 
 /// Maximum size of a body, bytes: a batch of entries with the longest texts, or a full snapshot.
-pub const BODY_MAX: usize = 64 << 20;
+pub const MAX_BODY_BYTES: usize = 64 << 20;
 
 /// A client for one address that reuses its connection between calls.
-pub struct Way {
+pub struct Connection {
     at: SocketAddr,
     pooled: Option<SendRequest<Full<Bytes>>>,
 }
 
-impl Way {
+impl Connection {
     /// A client without a connection yet.
-    pub fn new(at: SocketAddr) -> Way {
-        Way { at, pooled: None }
+    pub fn new(at: SocketAddr) -> Connection {
+        Connection { at, pooled: None }
     }
 
     /// Sends one request. Reconnects first if the pooled connection has closed. A call that is dropped before
@@ -45,9 +45,9 @@
         };
         let request = Request::builder().method(method).uri(path).header(HOST, self.at.to_string());
         let request = request.body(Full::from(body)).map_err(|e| format!("{path}: {e}"))?;
-        let answer = send.send_request(request).await.map_err(error)?;
-        let status = answer.status();
-        let body = Limited::new(answer.into_body(), BODY_MAX).collect().await;
+        let response = send.send_request(request).await.map_err(error)?;
+        let status = response.status();
+        let body = Limited::new(response.into_body(), MAX_BODY_BYTES).collect().await;
         let body = body.map_err(|e| format!("{}: {e}", self.at))?.to_bytes();
         self.pooled = Some(send);
         Ok((status, body))
--- a/crates/keep/src/lib.rs
+++ b/crates/keep/src/lib.rs
@@ -5,11 +5,11 @@
 // The error types that openraft prescribes for storage are large.
 #![allow(clippy::result_large_err)]
 
-pub mod call;
 pub mod client;
 pub mod config;
 #[cfg(test)]
 mod faulty_disk;
+pub mod http_client;
 mod network;
 mod node;
 mod raft_types;
@@ -19,5 +19,5 @@
 mod state_machine;
 mod store;
 
-pub use service::{run, Start};
-pub use store::{New, Store};
+pub use service::{run, StartMode};
+pub use store::{NewStore, Store};
--- a/crates/keep/src/network.rs
+++ b/crates/keep/src/network.rs
@@ -1,6 +1,6 @@
 //! Raft transport between keepers over HTTP.
 
-use crate::call::Way;
+use crate::http_client::Connection;
 use crate::raft_types::{KeeperNumber, TypeConfig};
 use hyper::{Method, StatusCode};
 use openraft::error::{InstallSnapshotError, NetworkError, RPCError, RaftError, RemoteError, Unreachable};
@@ -25,14 +25,14 @@
 /// Connection to one keeper.
 pub struct Peer {
     number: KeeperNumber,
-    connection: Option<Way>,
+    connection: Option<Connection>,
 }
 
 impl RaftNetworkFactory<TypeConfig> for Network {
     type Network = Peer;
 
     async fn new_client(&mut self, target: KeeperNumber, _node: &BasicNode) -> Peer {
-        Peer { number: target, connection: self.keepers.get(&target).copied().map(Way::new) }
+        Peer { number: target, connection: self.keepers.get(&target).copied().map(Connection::new) }
     }
 }
 
--- a/crates/keep/src/node.rs
+++ b/crates/keep/src/node.rs
@@ -5,9 +5,9 @@
 use crate::raft_types::{Raft, TypeConfig};
 use crate::state_machine::PolicyStateMachine;
 use crate::store::Store;
-use hingestage_change::desk::{Asked, Entry, Order, Proposed, Reply, Report, TEXT_MAX};
 use hingestage_change::fields::NAME_MAX;
-use hingestage_change::keeper::{Micros, Version};
+use hingestage_change::rollout::{Micros, Version};
+use hingestage_change::state::{Entry, LeaseCall, LogCommand, ProposeRequest, Reply, Report, MAX_TEXT_BYTES};
 use hingestage_change::{dangers, read, Danger};
 use hyper::StatusCode;
 use openraft::error::{ChangeMembershipError, ClientWriteError, RaftError};
@@ -36,7 +36,7 @@
 const TICK_INTERVAL: Duration = Duration::from_millis(100);
 
 /// A queued command and where to send its reply.
-type QueuedCommand = (Order, oneshot::Sender<Result<Reply, CallError>>);
+type QueuedCommand = (LogCommand, oneshot::Sender<Result<Reply, CallError>>);
 
 /// Error of a call.
 #[derive(Clone, Debug)]
@@ -63,7 +63,7 @@
     /// Handle of the Raft node.
     pub raft: Raft,
     state_machine: PolicyStateMachine,
-    orders: mpsc::Sender<QueuedCommand>,
+    commands: mpsc::Sender<QueuedCommand>,
 }
 
 impl Node {
@@ -91,8 +91,8 @@
                 tracing::info!("the cluster is not initialized by this keeper: {e}");
             }
         }
-        let (orders, waiting) = mpsc::channel(QUEUE_CAPACITY);
-        let node = Arc::new(Node { config, now, raft, state_machine, orders });
+        let (commands, waiting) = mpsc::channel(QUEUE_CAPACITY);
+        let node = Arc::new(Node { config, now, raft, state_machine, commands });
         tokio::spawn(node.clone().run_writer(waiting));
         tokio::spawn(node.clone().run_ticker());
         Ok(node)
@@ -125,8 +125,8 @@
     async fn run_writer(self: Arc<Self>, mut waiting: mpsc::Receiver<QueuedCommand>) {
         let mut batch = Vec::new();
         while waiting.recv_many(&mut batch, MAX_BATCH).await > 0 {
-            let (orders, replies): (Vec<Order>, Vec<_>) = batch.drain(..).unzip();
-            let entry = Entry { at: self.now(), orders };
+            let (commands, replies): (Vec<LogCommand>, Vec<_>) = batch.drain(..).unzip();
+            let entry = Entry { at: self.now(), commands };
             let written = timeout(WRITE_TIMEOUT, self.raft.client_write(entry)).await;
             let error = match written {
                 Ok(Ok(done)) => {
@@ -151,16 +151,16 @@
     ///
     /// # Errors
     /// The command was refused, or its outcome is unknown.
-    pub async fn submit(&self, command: Order) -> Result<Reply, CallError> {
+    pub async fn submit(&self, command: LogCommand) -> Result<Reply, CallError> {
         let (to, reply) = oneshot::channel();
-        if self.orders.try_send((command, to)).is_err() {
+        if self.commands.try_send((command, to)).is_err() {
             return Err(CallError::OutcomeUnknown("the write queue is full".into()));
         }
         let reply = reply
             .await
             .unwrap_or_else(|_| Err(CallError::OutcomeUnknown("the keeper is shutting down".into())));
         match reply? {
-            Reply::NotBegun => Err(not_initialized()),
+            Reply::NotInitialized => Err(not_initialized()),
             Reply::Refused(why) => Err(CallError::Rejected(StatusCode::CONFLICT, why)),
             Reply::Superseded => Err(CallError::Rejected(
                 StatusCode::GONE,
@@ -177,22 +177,23 @@
             if !self.is_leader() {
                 continue;
             }
-            let (begun, waits) = self.state_machine.with_state(|state| (state.has_begun(), state.waits()));
+            let (begun, needs_tick) =
+                self.state_machine.with_state(|state| (state.is_initialized(), state.needs_tick()));
             if !begun {
                 match self.initial_command() {
                     Ok(command) => drop(self.submit(command).await),
                     Err(what) => tracing::error!("can't initialize the state: {what}"),
                 }
-            } else if waits {
-                let _ = self.submit(Order::Tick).await;
+            } else if needs_tick {
+                let _ = self.submit(LogCommand::Tick).await;
             }
         }
     }
 
-    fn initial_command(&self) -> Result<Order, String> {
+    fn initial_command(&self) -> Result<LogCommand, String> {
         let policy = hingestage_form::load(&self.config.first, read)?;
         let version = Version { number: policy.version, digest: policy.digest() };
-        Ok(Order::Begin { figures: self.config.figures, version, text: policy.text() })
+        Ok(LogCommand::Initialize { lease_config: self.config.lease_config, version, text: policy.text() })
     }
 
     /// Rejects entries whose timestamp is ahead of this clock by more than the allowed clock error: they would
@@ -204,7 +205,7 @@
         &self,
         request: AppendEntriesRequest<TypeConfig>,
     ) -> Result<RaftResult<AppendEntriesResponse<u64>>, CallError> {
-        let latest = self.now() + self.config.figures.error;
+        let latest = self.now() + self.config.lease_config.clock_error;
         let ahead = |entry: &crate::raft_types::Entry| match &entry.payload {
             EntryPayload::Normal(entry) => entry.at > latest,
             _ => false,
@@ -222,11 +223,11 @@
     ///
     /// # Errors
     /// The request is invalid, refused or not served here.
-    pub async fn request_lease(&self, asked: Asked) -> Result<Reply, CallError> {
-        if !(1..=NAME_MAX).contains(&asked.question.gateway.len()) {
+    pub async fn request_lease(&self, asked: LeaseCall) -> Result<Reply, CallError> {
+        if !(1..=NAME_MAX).contains(&asked.request.gateway.len()) {
             return Err(bad_request(&format!("a gateway's name has 1 to {NAME_MAX} bytes")));
         }
-        self.submit(Order::Ask(asked.question, asked.figures)).await
+        self.submit(LogCommand::RequestLease(asked.request, asked.lease_config)).await
     }
 
     /// Validates and proposes a policy document. Only the leader parses it, so other keepers may run builds
@@ -234,8 +235,8 @@
     ///
     /// # Errors
     /// The document is invalid or dangerous, the proposal is refused, or its outcome is unknown.
-    pub async fn propose(&self, proposed: Proposed) -> Result<Version, CallError> {
-        if proposed.text.len() > TEXT_MAX {
+    pub async fn propose(&self, proposed: ProposeRequest) -> Result<Version, CallError> {
+        if proposed.text.len() > MAX_TEXT_BYTES {
             return Err(bad_request("the document is too long"));
         }
         let policy = read(&proposed.text).map_err(|e| bad_request(&e))?;
@@ -243,15 +244,15 @@
         let before = self.state_machine.with_state(|state| state.in_force().and_then(|text| read(text).ok()));
         let before = before.ok_or_else(not_initialized)?;
         // The log itself rejects version numbers that do not increase.
-        let needs_confirmation = |danger: &Danger| !matches!(danger, Danger::Version(..));
+        let needs_confirmation = |danger: &Danger| !matches!(danger, Danger::VersionNotIncreasing(..));
         let dangers: Vec<Danger> = dangers(&before, &policy).into_iter().filter(needs_confirmation).collect();
-        if !dangers.is_empty() && !proposed.despite {
+        if !dangers.is_empty() && !proposed.confirmed {
             let all: Vec<String> = dangers.iter().map(ToString::to_string).collect();
             return Err(CallError::Rejected(StatusCode::PRECONDITION_REQUIRED, all.join("\n")));
         }
         let version = Version { number: policy.version, digest: policy.digest() };
         let deadline = self.now() + proposed.within;
-        let command = Order::Propose { version, text: policy.text(), at: proposed.at, deadline };
+        let command = LogCommand::Propose { version, text: policy.text(), at: proposed.at, deadline };
         self.submit(command).await?;
         Ok(version)
     }
--- a/crates/keep/src/raft_types.rs
+++ b/crates/keep/src/raft_types.rs
@@ -1,6 +1,6 @@
 //! Type parameters of the Raft library.
 
-use hingestage_change::desk::{Entry as Orders, Reply};
+use hingestage_change::state::{Entry as CommandBatch, Reply};
 use openraft::{BasicNode, TokioRuntime};
 use std::io::Cursor;
 
@@ -13,7 +13,7 @@
     /// Entries hold batches of commands and return their replies. Addresses come from each keeper's
     /// configuration, not from the log, so nodes carry an id only.
     pub TypeConfig:
-        D = Orders,
+        D = CommandBatch,
         R = Replies,
         NodeId = KeeperNumber,
         Node = BasicNode,
--- a/crates/keep/src/service.rs
+++ b/crates/keep/src/service.rs
@@ -1,11 +1,11 @@
 //! Keeper process: a Raft node and its HTTP server.
 
-use crate::call::BODY_MAX;
 use crate::config::Config;
+use crate::http_client::MAX_BODY_BYTES;
 use crate::network::Network;
 use crate::node::{bad_request, raft_settings, CallError, Node, WRITE_TIMEOUT};
-use crate::store::{New, Store};
-use hingestage_change::desk::{Elsewhere, Order};
+use crate::store::{NewStore, Store};
+use hingestage_change::state::{LogCommand, NotLeader};
 use hingestage_platform::{Clock, Platform, Tokio};
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::body::{Bytes, Incoming};
@@ -33,11 +33,11 @@
 
 /// How a keeper starts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Start {
+pub enum StartMode {
     /// It has a store already.
-    Again,
+    Restart,
     /// It has no store and is one of the initial keepers.
-    Begin,
+    Bootstrap,
     /// It has no store and joins an existing cluster.
     Join,
 }
@@ -51,11 +51,11 @@
 ///
 /// # Errors
 /// The keeper can't start, or its store has failed.
-pub async fn run(config: Config, start: Start, stop: impl Future<Output = ()>) -> Result<(), String> {
+pub async fn run(config: Config, start: StartMode, stop: impl Future<Output = ()>) -> Result<(), String> {
     let new = match start {
-        Start::Again => None,
-        Start::Begin => Some(New::Begins),
-        Start::Join => Some(New::Joins),
+        StartMode::Restart => None,
+        StartMode::Bootstrap => Some(NewStore::Bootstrap),
+        StartMode::Join => Some(NewStore::Join),
     };
     let folder = &config.folder;
     std::fs::create_dir_all(folder)
@@ -132,7 +132,7 @@
 
     async fn answer(&self, request: Request<Incoming>) -> Response<Full<Bytes>> {
         let (head, body) = request.into_parts();
-        let body = match timeout(IDLE_TIMEOUT, Limited::new(body, BODY_MAX).collect()).await {
+        let body = match timeout(IDLE_TIMEOUT, Limited::new(body, MAX_BODY_BYTES).collect()).await {
             Ok(Ok(body)) => body.to_bytes(),
             _ => return text(StatusCode::BAD_REQUEST, "incomplete body"),
         };
@@ -148,8 +148,8 @@
             }
             (true, "/ask") => async { ok_json(&self.node.request_lease(parse_json(&body)?).await?) }.await,
             (true, "/propose") => async { ok_json(&self.node.propose(parse_json(&body)?).await?) }.await,
-            (true, "/abort") => self.submit_command(parse_json(&body).map(Order::CallOff)).await,
-            (true, "/gone") => self.submit_command(parse_json(&body).map(Order::DeclareGone)).await,
+            (true, "/abort") => self.submit_command(parse_json(&body).map(LogCommand::CallOff)).await,
+            (true, "/gone") => self.submit_command(parse_json(&body).map(LogCommand::DeclareGone)).await,
             (true, "/keepers") => {
                 async { ok_json(&self.node.change_members(parse_json(&body)?).await?) }.await
             }
@@ -160,7 +160,7 @@
         match answer {
             Ok(answer) => answer,
             Err(CallError::NotLeader(leader)) => {
-                let body = serde_json::to_vec(&Elsewhere { leader }).unwrap_or_default();
+                let body = serde_json::to_vec(&NotLeader { leader }).unwrap_or_default();
                 text(StatusCode::MISDIRECTED_REQUEST, body)
             }
             Err(CallError::OutcomeUnknown(what)) => text(StatusCode::GATEWAY_TIMEOUT, what),
@@ -170,7 +170,7 @@
 
     async fn submit_command(
         &self,
-        command: Result<Order, CallError>,
+        command: Result<LogCommand, CallError>,
     ) -> Result<Response<Full<Bytes>>, CallError> {
         ok_json(&self.node.submit(command?).await?)
     }
--- a/crates/keep/src/simulation.rs
+++ b/crates/keep/src/simulation.rs
@@ -10,11 +10,11 @@
 use crate::faulty_disk::Disk;
 use crate::node::{raft_settings, CallError, Node};
 use crate::raft_types::TypeConfig;
-use crate::store::{New, Store};
+use crate::store::{NewStore, Store};
 use fastrand::Rng;
-use hingestage_change::desk::{Asked, Proposed, Reply, Report};
-use hingestage_change::holder::Holder;
-use hingestage_change::keeper::{Answer, Change, Fate, Figures, Micros, Mode, Version};
+use hingestage_change::lease_holder::LeaseHolder;
+use hingestage_change::rollout::{Change, ChangeOutcome, LeaseConfig, LeaseReply, Micros, Mode, Version};
+use hingestage_change::state::{LeaseCall, ProposeRequest, Reply, Report};
 use openraft::error::{InstallSnapshotError, RPCError, RaftError, RemoteError, Unreachable};
 use openraft::network::{RPCOption, RaftNetwork, RaftNetworkFactory};
 use openraft::raft::{
@@ -33,7 +33,7 @@
 
 const MS: Micros = 1_000;
 const S: Micros = 1_000 * MS;
-const FIGURES: Figures = Figures { lease: 1_500 * MS, error: 200 * MS };
+const LEASE_CONFIG: LeaseConfig = LeaseConfig { lease: 1_500 * MS, clock_error: 200 * MS };
 /// Start of the simulation, Unix time.
 const EPOCH: Micros = 1_700_000_000 * S;
 /// Time after which no faults are injected and all are repaired.
@@ -82,15 +82,15 @@
 struct Keeper {
     /// The process, if running. The incarnation distinguishes it from earlier ones.
     node: Option<Arc<Node>>,
-    life: u32,
+    incarnation: u32,
     disk: Disk,
     clock_lead: Micros,
 }
 
 struct Gateway {
-    holder: Holder,
+    holder: LeaseHolder,
     mode: Mode,
-    life: u64,
+    incarnation: u64,
     clock_lead: Micros,
     /// Lag of a clock that is out of range.
     clock_lag: Micros,
@@ -164,9 +164,9 @@
     fn delay(&mut self, from: Host, to: Host) -> Option<Duration> {
         let now = Instant::now();
         let cut = self.cut.get(&(from, to)).is_some_and(|until| *until > now);
-        let usual = Duration::from_micros(200 + self.rng.u64(..4_000));
+        let defaults = Duration::from_micros(200 + self.rng.u64(..4_000));
         if self.calm() {
-            return Some(usual);
+            return Some(defaults);
         }
         if cut || self.rng.u32(..60) == 0 {
             return None;
@@ -175,8 +175,8 @@
             |host: Host| self.slow.is_some_and(|(slow, until)| host == Host::Keeper(slow) && until > now);
         Some(match self.rng.u32(..30) {
             0 => Duration::from_millis(self.rng.u64(..900)),
-            _ if is_slow(from) || is_slow(to) => usual + Duration::from_millis(self.rng.u64(..400)),
-            _ => usual,
+            _ if is_slow(from) || is_slow(to) => defaults + Duration::from_millis(self.rng.u64(..400)),
+            _ => defaults,
         })
     }
 
@@ -192,7 +192,7 @@
     /// The incarnation and node of a running keeper.
     fn node(&self, number: u64) -> Option<(u32, Arc<Node>)> {
         let keeper = &self.keepers[&number];
-        keeper.node.clone().map(|node| (keeper.life, node))
+        keeper.node.clone().map(|node| (keeper.incarnation, node))
     }
 
     fn is_up(&self, gateway: usize) -> bool {
@@ -217,8 +217,10 @@
                 self.record(&format!("gateway {g} uses version {}", version.number));
             }
             self.first_starts.entry(version.number).or_insert(now);
-            let newer =
-                self.first_starts.range(version.number + 1..).find(|(_, at)| now > **at + FIGURES.error);
+            let newer = self
+                .first_starts
+                .range(version.number + 1..)
+                .find(|(_, at)| now > **at + LEASE_CONFIG.clock_error);
             if let Some((newer, at)) = newer {
                 let (newer, after) = (*newer, (now - at) / MS);
                 self.fail(format!("{} began {after} ms after {newer} at gateway {g}", version.number));
@@ -227,7 +229,7 @@
     }
 
     /// Applies injected defects to a reply.
-    fn apply_defect(&mut self, g: usize, ready: Option<u64>, mut answer: Answer) -> Answer {
+    fn apply_defect(&mut self, g: usize, ready: Option<u64>, mut answer: LeaseReply) -> LeaseReply {
         if let Some(version) = ready {
             self.ready.entry(version).or_default().insert(g);
         }
@@ -236,7 +238,8 @@
                 let most =
                     self.ready.get(&version.number).is_some_and(|some| 2 * some.len() > self.gateways.len());
                 if most {
-                    answer.change = Some(Change::Decided(version, answer.told + 2 * FIGURES.error));
+                    answer.change =
+                        Some(Change::Decided(version, answer.keeper_time + 2 * LEASE_CONFIG.clock_error));
                 }
             }
             (Defect::AbortAfterDecision, Some(Change::Decided(version, _)))
@@ -253,24 +256,24 @@
     }
 
     /// Delivers a reply to a gateway.
-    fn deliver(&mut self, g: usize, answer: Answer) {
+    fn deliver(&mut self, g: usize, answer: LeaseReply) {
         if let (Some(Change::Decided(version, from)), Defect::None | Defect::AckBeforeSync) =
             (answer.change, self.defect)
         {
-            let told = *self.decided.entry(version.number).or_insert((version, from));
-            if told != (version, from) {
-                self.fail(format!("gateway {g} hears {version:?} from {from}, another heard {told:?}"));
+            let reported = *self.decided.entry(version.number).or_insert((version, from));
+            if reported != (version, from) {
+                self.fail(format!("gateway {g} hears {version:?} from {from}, another heard {reported:?}"));
             }
         }
         let (clock, mut answer) = (self.clock(g), answer);
         if self.defect == Defect::LeaseFromReceipt {
-            (answer.issued, answer.told) = (clock, clock);
+            (answer.sent_at, answer.keeper_time) = (clock, clock);
         }
         let gateway = &mut self.gateways[g];
         // A reply from a clock too far away is ignored.
-        let _ = gateway.holder.answered(clock, answer);
-        for version in gateway.holder.wanted() {
-            gateway.holder.applied(version, true);
+        let _ = gateway.holder.handle_reply(clock, answer);
+        for version in gateway.holder.missing_versions() {
+            gateway.holder.record_applied(version, true);
         }
     }
 
@@ -278,12 +281,18 @@
         let clock = self.clock(g);
         let defect = self.defect;
         let gateway = &mut self.gateways[g];
-        (gateway.down, gateway.life) = (false, gateway.life + 1);
-        gateway.holder = Holder::new(&format!("g{g}"), gateway.life, gateway.mode, FIGURES);
+        (gateway.down, gateway.incarnation) = (false, gateway.incarnation + 1);
+        gateway.holder = LeaseHolder::new(&format!("g{g}"), gateway.incarnation, gateway.mode, LEASE_CONFIG);
         if let (Defect::VersionKeptOverRestart, Some(version)) = (defect, gateway.last) {
-            let believed = Answer { issued: clock, told: clock, force: version, change: None, leased: true };
-            let _ = gateway.holder.answered(clock, believed);
-            gateway.holder.applied(version, true);
+            let believed = LeaseReply {
+                sent_at: clock,
+                keeper_time: clock,
+                in_force: version,
+                change: None,
+                leased: true,
+            };
+            let _ = gateway.holder.handle_reply(clock, believed);
+            gateway.holder.record_applied(version, true);
         }
     }
 
@@ -306,12 +315,12 @@
     /// Carries a call to a keeper and the reply back; `None` if either is lost or the keeper is down.
     async fn call_keeper<T, F: Future<Output = T>>(
         &self,
-        (from, life): (Host, u32),
+        (from, incarnation): (Host, u32),
         to: u64,
         call: impl FnOnce(Arc<Node>) -> F,
     ) -> Option<T> {
         let lives = |simulation: &Simulation| match from {
-            Host::Keeper(number) => simulation.lock().keepers[&number].life == life,
+            Host::Keeper(number) => simulation.lock().keepers[&number].incarnation == incarnation,
             _ => true,
         };
         let there = self.lock().delay(from, Host::Keeper(to));
@@ -323,7 +332,7 @@
         let answer = call(node).await;
         let back = {
             let mut inner = self.lock();
-            let same = inner.keepers[&to].life == reached && inner.keepers[&to].node.is_some();
+            let same = inner.keepers[&to].incarnation == reached && inner.keepers[&to].node.is_some();
             inner.delay(Host::Keeper(to), from).filter(|_| same)
         };
         sleep(back?).await;
@@ -331,7 +340,7 @@
     }
 
     /// Starts a keeper on its disk.
-    async fn start_keeper(&self, number: u64, new: Option<New>) {
+    async fn start_keeper(&self, number: u64, new: Option<NewStore>) {
         let (disk, config, mut log, clock_lead) = {
             let mut inner = self.lock();
             let config = config(inner.keepers.len() as u64, number, &inner.first);
@@ -344,20 +353,21 @@
         log.snapshot_policy = openraft::SnapshotPolicy::LogsSinceLast(40);
         log.max_in_snapshot_log_to_keep = 10;
         let loses_store = self.lock().defect == Defect::LostStore && new.is_none();
-        let (disk, new) = if loses_store { (Disk::default(), Some(New::Begins)) } else { (disk, new) };
+        let (disk, new) =
+            if loses_store { (Disk::default(), Some(NewStore::Bootstrap)) } else { (disk, new) };
         let Ok(store) = Store::with_backend(disk.clone(), new) else {
             // The disk is full at startup: the process ends and is restarted later.
             return self.lock().crash_disk(number);
         };
-        let life = {
+        let incarnation = {
             let mut inner = self.lock();
             let keeper = inner.keepers.get_mut(&number).unwrap();
-            (keeper.life, keeper.disk) = (keeper.life + 1, disk);
-            keeper.life
+            (keeper.incarnation, keeper.disk) = (keeper.incarnation + 1, disk);
+            keeper.incarnation
         };
         let clock = self.clone();
         let now = Arc::new(move || clock.lock().now() + clock_lead);
-        let network = SimNetwork { simulation: self.clone(), from: number, life };
+        let network = SimNetwork { simulation: self.clone(), from: number, incarnation };
         let Ok(node) = Node::open(config, log, store, network, now).await else {
             return self.lock().crash_disk(number);
         };
@@ -370,21 +380,21 @@
         spawn_local(async move {
             node.failed().await;
             // After a disk failure the process ends and is restarted once there is space.
-            if simulation.crash(number, life) {
+            if simulation.crash(number, incarnation) {
                 simulation.lock().full_disks += 1;
                 sleep(Duration::from_millis(700)).await;
-                simulation.restart(number, life).await;
+                simulation.restart(number, incarnation).await;
             }
         });
     }
 
     /// Crashes an incarnation of a keeper: none of its messages or writes take effect any more.
-    fn crash(&self, number: u64, life: u32) -> bool {
+    fn crash(&self, number: u64, incarnation: u32) -> bool {
         let mut guard = self.lock();
         let inner = &mut *guard;
         let keeper = inner.keepers.get_mut(&number).unwrap();
-        let Some(node) = keeper.node.take_if(|_| keeper.life == life) else { return false };
-        keeper.life += 1;
+        let Some(node) = keeper.node.take_if(|_| keeper.incarnation == incarnation) else { return false };
+        keeper.incarnation += 1;
         inner.crash_disk(number);
         inner.crashes += 1;
         inner.record(&format!("keeper {number} crashes"));
@@ -394,10 +404,10 @@
     }
 
     /// Restarts a keeper if it is still down since this incarnation.
-    async fn restart(&self, number: u64, life: u32) {
+    async fn restart(&self, number: u64, incarnation: u32) {
         let down = {
             let keeper = &self.lock().keepers[&number];
-            keeper.node.is_none() && keeper.life == life + 1
+            keeper.node.is_none() && keeper.incarnation == incarnation + 1
         };
         if down {
             self.start_keeper(number, None).await;
@@ -416,10 +426,10 @@
 
     async fn request_lease(&self, g: usize) {
         let mut asked = BTreeSet::new();
-        let (question, life) = {
+        let (request, incarnation) = {
             let mut inner = self.lock();
             let clock = inner.clock(g);
-            (inner.gateways[g].holder.question(clock), inner.gateways[g].life)
+            (inner.gateways[g].holder.next_request(clock), inner.gateways[g].incarnation)
         };
         loop {
             let next = {
@@ -431,19 +441,19 @@
             };
             let Some(number) = next else { return };
             asked.insert(number);
-            let what = Asked { question: question.clone(), figures: FIGURES };
+            let what = LeaseCall { request: request.clone(), lease_config: LEASE_CONFIG };
             let call = self.call_keeper((Host::Gateway(g), 0), number, |node| async move {
                 node.request_lease(what).await
             });
             let answer = timeout(REQUEST_TIMEOUT, call).await;
             let mut inner = self.lock();
-            if !inner.is_up(g) || inner.gateways[g].life != life {
+            if !inner.is_up(g) || inner.gateways[g].incarnation != incarnation {
                 return;
             }
             match answer {
                 Ok(Some(Ok(Reply::Answer(answer)))) => {
                     inner.gateways[g].leader = Some(number);
-                    let answer = inner.apply_defect(g, question.ready, answer);
+                    let answer = inner.apply_defect(g, request.ready, answer);
                     return inner.deliver(g, answer);
                 }
                 Ok(Some(Err(CallError::NotLeader(leader)))) => inner.gateways[g].leader = leader,
@@ -479,7 +489,7 @@
     }
 
     async fn propose(&self, number: u64, blocked: u64, within: Micros, patience: Duration) -> bool {
-        let what = Proposed { text: document(number, blocked), at: 0, within, despite: false };
+        let what = ProposeRequest { text: document(number, blocked), at: 0, within, confirmed: false };
         let done = self.operator_call(patience, move |node| {
             let what = what.clone();
             async move { node.propose(what).await }
@@ -492,7 +502,7 @@
     async fn call_off(&self, number: u64) {
         self.lock().aborted.insert(number);
         let done = self.operator_call(Duration::from_secs(2), move |node| async move {
-            node.submit(hingestage_change::desk::Order::CallOff(number)).await
+            node.submit(hingestage_change::state::LogCommand::CallOff(number)).await
         });
         let done = done.await;
         self.lock().record(&format!("version {number} is called off: {done:?}"));
@@ -515,10 +525,10 @@
         };
         match kind {
             0..=2 => {
-                let life = self.lock().keepers[&keeper].life;
-                if self.crash(keeper, life) {
+                let incarnation = self.lock().keepers[&keeper].incarnation;
+                if self.crash(keeper, incarnation) {
                     sleep(lasts).await;
-                    self.restart(keeper, life).await;
+                    self.restart(keeper, incarnation).await;
                 }
             }
             3 | 4 => self.lock().keepers[&keeper].disk.fail_after(more as usize % 40),
@@ -588,13 +598,13 @@
             return self.lock().fail("no keeper reports the version in force".into());
         };
         let mut inner = self.lock();
-        if report.force.number != last {
-            inner.fail(format!("version {} is in force at the end and not {last}", report.force.number));
+        if report.in_force.number != last {
+            inner.fail(format!("version {} is in force at the end and not {last}", report.in_force.number));
         }
-        let fates: BTreeMap<u64, (Version, Fate)> =
+        let fates: BTreeMap<u64, (Version, ChangeOutcome)> =
             report.history.iter().map(|(version, fate)| (version.number, (*version, fate.clone()))).collect();
         for (number, (version, from)) in inner.decided.clone() {
-            if fates.get(&number) != Some(&(version, Fate::InForce(from))) {
+            if fates.get(&number) != Some(&(version, ChangeOutcome::InForce(from))) {
                 inner.fail(format!("{number} was reported as decided and ended as {:?}", fates.get(&number)));
             }
         }
@@ -614,7 +624,7 @@
 struct SimNetwork {
     simulation: Simulation,
     from: u64,
-    life: u32,
+    incarnation: u32,
 }
 
 struct SimConnection {
@@ -629,7 +639,7 @@
     async fn new_client(&mut self, target: u64, _node: &BasicNode) -> SimConnection {
         SimConnection {
             simulation: self.simulation.clone(),
-            from: (Host::Keeper(self.from), self.life),
+            from: (Host::Keeper(self.from), self.incarnation),
             to: target,
         }
     }
@@ -693,7 +703,7 @@
         listen: nowhere,
         folder: PathBuf::new(),
         keepers: (0..keepers).map(|number| (number, nowhere)).collect(),
-        figures: FIGURES,
+        lease_config: LEASE_CONFIG,
         first: first.to_owned(),
         heartbeat: HEARTBEAT,
     }
@@ -717,25 +727,28 @@
     let keeper = |number: u64, rng: &mut Rng| {
         let disk = Disk::default();
         disk.skips_syncs(skips_syncs);
-        let clock_lead =
-            if out_of_range && number == 0 { 8 * FIGURES.error } else { rng.u64(..=FIGURES.error) };
-        Keeper { node: None, life: 0, disk, clock_lead }
+        let clock_lead = if out_of_range && number == 0 {
+            8 * LEASE_CONFIG.clock_error
+        } else {
+            rng.u64(..=LEASE_CONFIG.clock_error)
+        };
+        Keeper { node: None, incarnation: 0, disk, clock_lead }
     };
     let keepers = (0..count).map(|number| (number, keeper(number, &mut rng))).collect();
     let gateway = |g: usize, rng: &mut Rng| {
         let mode = if rng.bool() { Mode::Stop } else { Mode::Serve };
-        let holder = Holder::new(&format!("g{g}"), 1, mode, FIGURES);
-        let clock_lead = rng.u64(..=FIGURES.error);
+        let holder = LeaseHolder::new(&format!("g{g}"), 1, mode, LEASE_CONFIG);
+        let clock_lead = rng.u64(..=LEASE_CONFIG.clock_error);
         let clock_lag = if g == 0 && rng.u32(..4) == 0 { OUT_OF_RANGE_LAG } else { 0 };
         // Clocks out of range apply to mode `stop` only: gateways that keep serving would block changes.
         let (mode, holder) = match clock_lag {
             0 => (mode, holder),
-            _ => (Mode::Stop, Holder::new("g0", 1, Mode::Stop, FIGURES)),
+            _ => (Mode::Stop, LeaseHolder::new("g0", 1, Mode::Stop, LEASE_CONFIG)),
         };
         Gateway {
             holder,
             mode,
-            life: 1,
+            incarnation: 1,
             clock_lead,
             clock_lag,
             down: false,
@@ -773,7 +786,7 @@
         (inner.keepers.len() as u64, inner.gateways.len())
     };
     for number in 0..keepers {
-        simulation.start_keeper(number, Some(New::Begins)).await;
+        simulation.start_keeper(number, Some(NewStore::Bootstrap)).await;
     }
     for g in 0..gateways {
         spawn_local(simulation.clone().request_leases(g));
@@ -850,13 +863,13 @@
             }
             inner.keepers.values().for_each(|keeper| keeper.disk.clear_failure());
             let down = inner.keepers.iter().filter(|(_, keeper)| keeper.node.is_none());
-            down.map(|(number, keeper)| (*number, keeper.life)).collect()
+            down.map(|(number, keeper)| (*number, keeper.incarnation)).collect()
         };
-        for (number, life) in down {
+        for (number, incarnation) in down {
             let simulation = self.clone();
             spawn_local(async move {
                 sleep(Duration::from_secs(1)).await;
-                simulation.restart(number, life.wrapping_sub(1)).await;
+                simulation.restart(number, incarnation.wrapping_sub(1)).await;
             });
         }
     }
--- a/crates/keep/src/state_machine.rs
+++ b/crates/keep/src/state_machine.rs
@@ -5,7 +5,7 @@
     Entry, LogPosition, Membership, Replies, Snapshot, SnapshotMeta, StorageError, TypeConfig,
 };
 use crate::store::{Store, StoredSnapshot};
-use hingestage_change::desk::Desk;
+use hingestage_change::state::PolicyState;
 use openraft::storage::RaftStateMachine;
 use openraft::{AnyError, BasicNode, EntryPayload, OptionalSend, RaftSnapshotBuilder, StorageIOError};
 use std::io::Cursor;
@@ -13,7 +13,7 @@
 
 #[derive(Default)]
 struct Applied {
-    state: Desk,
+    state: PolicyState,
     last_applied: Option<LogPosition>,
     membership: Membership,
 }
@@ -44,7 +44,7 @@
     }
 
     /// Reads the state under the lock.
-    pub fn with_state<T>(&self, at: impl FnOnce(&Desk) -> T) -> T {
+    pub fn with_state<T>(&self, at: impl FnOnce(&PolicyState) -> T) -> T {
         at(&self.applied().state)
     }
 
--- a/crates/keep/src/store.rs
+++ b/crates/keep/src/store.rs
@@ -44,11 +44,11 @@
 
 /// How to create a new store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum New {
+pub enum NewStore {
     /// For an initial keeper, which initializes the cluster.
-    Begins,
+    Bootstrap,
     /// For a keeper that joins an existing cluster.
-    Joins,
+    Join,
 }
 
 /// Error of a store operation.
@@ -68,7 +68,7 @@
     ///
     /// # Errors
     /// A message with the file and the problem.
-    pub fn open(folder: &Path, new: Option<New>) -> Result<Store, String> {
+    pub fn open(folder: &Path, new: Option<NewStore>) -> Result<Store, String> {
         let file = folder.join("keeper.redb");
         let with_path = |e: String| format!("{}: {e}", file.display());
         match (file.exists(), new) {
@@ -93,7 +93,7 @@
     ///
     /// # Errors
     /// The store can't be opened.
-    pub fn with_backend(backend: impl StorageBackend, new: Option<New>) -> Result<Store, String> {
+    pub fn with_backend(backend: impl StorageBackend, new: Option<NewStore>) -> Result<Store, String> {
         let open = || {
             let database = Database::builder().set_cache_size(CACHE_BYTES).create_with_backend(backend);
             Store::initialize(database.map_err(|e| e.to_string())?, new).map_err(|e| e.to_string())
@@ -101,7 +101,7 @@
         catch_open_panic(open)
     }
 
-    fn initialize(database: Database, new: Option<New>) -> Result<Store, BoxError> {
+    fn initialize(database: Database, new: Option<NewStore>) -> Result<Store, BoxError> {
         let store = Store { database: Arc::new(database) };
         let write = store.database.begin_write()?;
         write.open_table(LOG_TABLE)?;
@@ -120,7 +120,7 @@
                 None => drop(metadata.insert("form", serde_json::to_vec(&FORMAT_VERSION)?.as_slice())?),
             }
             if let Some(new) = new {
-                let bootstraps = new == New::Begins;
+                let bootstraps = new == NewStore::Bootstrap;
                 metadata.insert("begins", serde_json::to_vec(&bootstraps)?.as_slice())?;
             }
         }
--- a/crates/operator/src/policy.rs
+++ b/crates/operator/src/policy.rs
@@ -1,7 +1,7 @@
 //! The section `policy`.
 
-use hingestage_change::fields::{keepers, NAME_MAX};
-use hingestage_change::keeper::{Figures, Mode};
+use hingestage_change::fields::{parse_keepers, NAME_MAX};
+use hingestage_change::rollout::{LeaseConfig, Mode};
 use hingestage_form::{once, Form};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -16,16 +16,16 @@
     /// What it does whose lease is over.
     pub mode: Mode,
     /// What all go by.
-    pub figures: Figures,
+    pub figures: LeaseConfig,
 }
 
 /// Reads the section.
 pub fn read(section: &Form) -> Result<Policy, String> {
-    let (mut at, mut own, mut mode, mut figures) = (None, None, Mode::Stop, Figures::usual());
+    let (mut at, mut own, mut mode, mut figures) = (None, None, Mode::Stop, LeaseConfig::defaults());
     for field in once(&section.rest()?, "policy", &[]) {
         let (head, name, field) = field?;
         match head.as_str() {
-            "keepers" => at = Some(keepers(&field, &name)?),
+            "keepers" => at = Some(parse_keepers(&field, &name)?),
             "name" => own = Some(self::name(&field, &name)?),
             "mode" => {
                 let one = field.one(&name)?;
@@ -35,11 +35,11 @@
                     other => return Err(one.error(&name, &format!("`{other}` is neither stop nor serve"))),
                 }
             }
-            _ if figures.field(&field, &head, &name)? => {}
+            _ if figures.parse_field(&field, &head, &name)? => {}
             _ => return Err(field.error(&name, "no such field")),
         }
     }
-    figures.check(section, "policy")?;
+    figures.validate(section, "policy")?;
     let missing = |field: &str| section.error(&format!("policy.{field}"), "missing");
     let keepers = at.ok_or_else(|| missing("keepers"))?;
     Ok(Policy { keepers, name: own.ok_or_else(|| missing("name"))?, mode, figures })
@@ -56,7 +56,7 @@
 #[cfg(test)]
 mod tests {
     use crate::Operator;
-    use hingestage_change::keeper::{Figures, Mode};
+    use hingestage_change::rollout::{LeaseConfig, Mode};
 
     #[test]
     fn every_field_is_read() {
@@ -65,7 +65,7 @@
                      (lease 3) (error 0.1))";
         let policy = Operator::parse(text).unwrap().policy.unwrap();
         assert_eq!((policy.keepers.len(), policy.name.as_str(), policy.mode), (2, "n12", Mode::Serve));
-        assert_eq!(policy.figures, Figures { lease: 3_000_000, error: 100_000 });
+        assert_eq!(policy.figures, LeaseConfig { lease: 3_000_000, clock_error: 100_000 });
     }
 
     #[test]
--- a/crates/rehearse/src/keepers.rs
+++ b/crates/rehearse/src/keepers.rs
@@ -6,7 +6,7 @@
 use crate::process::{astray, spawn, Process};
 use crate::record::{Event, Record};
 use crate::script::{ahead, Fault, Keepers as Wanted, Script, Timed};
-use hingestage_keep::client::Keepers as Client;
+use hingestage_keep::client::KeeperClient as Client;
 use hingestage_platform::{Platform, Tokio};
 use hingestage_standins::site;
 use hyper::Method;
--- a/src/keep.rs
+++ b/src/keep.rs
@@ -3,7 +3,7 @@
 use crate::{block_on, Failed};
 use clap::ValueEnum;
 use hingestage_keep::config::Config;
-use hingestage_keep::Start;
+use hingestage_keep::StartMode;
 use std::path::PathBuf;
 use tokio::signal::unix::{signal, SignalKind};
 use tracing_subscriber::filter::{LevelFilter, Targets};
@@ -39,9 +39,9 @@
     let config = Config::load(&args.file).map_err(Failed::Asked)?;
     log(args.log);
     let start = match (args.begin, args.join) {
-        (true, _) => Start::Begin,
-        (_, true) => Start::Join,
-        _ => Start::Again,
+        (true, _) => StartMode::Bootstrap,
+        (_, true) => StartMode::Join,
+        _ => StartMode::Restart,
     };
     block_on(async move {
         let mut term = signal(SignalKind::terminate()).map_err(|e| format!("no signals: {e}"))?;
--- a/src/policy.rs
+++ b/src/policy.rs
@@ -2,10 +2,10 @@
 
 use crate::{block_on, Failed};
 use clap::Subcommand;
-use hingestage_change::desk::{Proposed, Report};
-use hingestage_change::keeper::{Change, Fate, Micros, Mode, Version};
+use hingestage_change::rollout::{Change, ChangeOutcome, Micros, Mode, Version};
+use hingestage_change::state::{ProposeRequest, Report};
 use hingestage_change::{dangers, date, diff, read, Policy};
-use hingestage_keep::client::{Failed as Call, Keepers};
+use hingestage_keep::client::{CallFailure, KeeperClient};
 use hingestage_print::say;
 use hyper::Method;
 use std::collections::BTreeMap;
@@ -138,7 +138,8 @@
         Task::Propose { file, at, time, deadline, wait, yes } => {
             let policy = load(&file)?;
             let within = (deadline * 1e6) as Micros;
-            let proposed = Proposed { text: policy.text(), at: time.unwrap_or(0), within, despite: yes };
+            let proposed =
+                ProposeRequest { text: policy.text(), at: time.unwrap_or(0), within, confirmed: yes };
             asking(at, move |keepers| propose(keepers, proposed, wait))
         }
         Task::Status { at } => asking(at, status),
@@ -174,7 +175,7 @@
 }
 
 /// Asks keepers of something, and ends as what came of it.
-fn asking<F>(at: At, what: impl FnOnce(Keepers) -> F + 'static) -> Result<(), Failed>
+fn asking<F>(at: At, what: impl FnOnce(KeeperClient) -> F + 'static) -> Result<(), Failed>
 where
     F: std::future::Future<Output = Result<(), Failed>> + 'static,
 {
@@ -182,26 +183,26 @@
     if keepers.is_empty() {
         return Err(Failed::Asked("no keepers are named: --keepers or HINGESTAGE_KEEPERS".into()));
     }
-    let keepers = Keepers::new(keepers, PATIENCE);
+    let keepers = KeeperClient::new(keepers, PATIENCE);
     block_on(async move { Ok(what(keepers).await) }).map_err(Failed::Running)?
 }
 
-fn failed(call: Call) -> Failed {
+fn failed(call: CallFailure) -> Failed {
     match call {
-        Call::Refused(why) => Failed::Running(why),
-        Call::Doubted(dangers) => {
+        CallFailure::Refused(why) => Failed::Running(why),
+        CallFailure::NeedsConfirmation(dangers) => {
             dangers.lines().for_each(|danger| say!("wants a word more: {danger}"));
             Failed::Unheard("say `--yes` where it is meant".into())
         }
-        Call::Unknown(why) => Failed::Unknown(format!("unknown: {why}")),
+        CallFailure::OutcomeUnknown(why) => Failed::Unknown(format!("unknown: {why}")),
     }
 }
 
-async fn report(keepers: &mut Keepers) -> Result<Report, Failed> {
+async fn report(keepers: &mut KeeperClient) -> Result<Report, Failed> {
     keepers.ask(Method::GET, "/status", &()).await.map_err(failed)
 }
 
-async fn propose(mut keepers: Keepers, proposed: Proposed, wait: bool) -> Result<(), Failed> {
+async fn propose(mut keepers: KeeperClient, proposed: ProposeRequest, wait: bool) -> Result<(), Failed> {
     let within = Duration::from_micros(proposed.within);
     let version: Version = keepers.ask(Method::POST, "/propose", &proposed).await.map_err(failed)?;
     say!("version {} is proposed, digest {}", version.number, version.digest);
@@ -217,13 +218,15 @@
             Err(Failed::Unknown(_)) => continue,
             Err(other) => return Err(other),
         };
-        if report.force == version {
+        if report.in_force == version {
             say!("in force everywhere");
             return Ok(());
         }
-        let line = match report.fate(version) {
-            Some(Fate::CalledOff(why)) => return Err(Failed::CalledOff(format!("called off: {why}"))),
-            Some(Fate::InForce(from)) => {
+        let line = match report.outcome(version) {
+            Some(ChangeOutcome::CalledOff(why)) => {
+                return Err(Failed::CalledOff(format!("called off: {why}")))
+            }
+            Some(ChangeOutcome::InForce(from)) => {
                 patience = patience
                     .max(begun.elapsed() + Duration::from_micros(from.saturating_sub(report.now)) + WAITS);
                 format!("decided, in force from {}", date(from / 1_000_000))
@@ -244,8 +247,8 @@
     let seconds = |span: Micros| span as f64 / 1e6;
     let one = |name: &String| {
         let Some(stand) = report.gateways.get(name) else { return name.clone() };
-        let silent = seconds(report.now.saturating_sub(stand.asked));
-        match (stand.mode, stand.until.saturating_sub(report.now)) {
+        let silent = seconds(report.now.saturating_sub(stand.last_request));
+        match (stand.mode, stand.lease_end.saturating_sub(report.now)) {
             (Mode::Stop, left) if left > 0 => {
                 format!("{name}, silent for {silent:.1} s, its lease ends in {:.1}", seconds(left))
             }
@@ -265,9 +268,9 @@
     }
 }
 
-async fn status(mut keepers: Keepers) -> Result<(), Failed> {
+async fn status(mut keepers: KeeperClient) -> Result<(), Failed> {
     let report = report(&mut keepers).await?;
-    say!("in force: version {}, digest {}", report.force.number, report.force.digest);
+    say!("in force: version {}, digest {}", report.in_force.number, report.in_force.digest);
     match report.change {
         None => say!("no change is under way"),
         Some(Change::Proposed(version)) => {
@@ -279,8 +282,8 @@
     }
     for (name, stand) in &report.gateways {
         let mode = if stand.mode == Mode::Stop { "stop" } else { "serve" };
-        let silent = report.now.saturating_sub(stand.asked) as f64 / 1e6;
-        let how = match (stand.over, stand.ready) {
+        let silent = report.now.saturating_sub(stand.last_request) as f64 / 1e6;
+        let how = match (stand.lease_ended, stand.ready) {
             (true, _) => "its lease is over",
             (_, true) => "ready",
             _ => "serves",
@@ -290,13 +293,13 @@
     Ok(())
 }
 
-async fn abort(mut keepers: Keepers, version: u64) -> Result<(), Failed> {
+async fn abort(mut keepers: KeeperClient, version: u64) -> Result<(), Failed> {
     let _: serde_json::Value = keepers.ask(Method::POST, "/abort", &version).await.map_err(failed)?;
     say!("version {version} is called off");
     Ok(())
 }
 
-async fn history(mut keepers: Keepers, text: Option<u64>) -> Result<(), Failed> {
+async fn history(mut keepers: KeeperClient, text: Option<u64>) -> Result<(), Failed> {
     if let Some(version) = text {
         let text: String =
             keepers.ask(Method::GET, &format!("/text/{version}"), &()).await.map_err(failed)?;
@@ -305,7 +308,7 @@
     }
     for (version, fate) in report(&mut keepers).await?.history {
         match fate {
-            Fate::InForce(from) => {
+            ChangeOutcome::InForce(from) => {
                 say!(
                     "version {}: in force from {}, digest {}",
                     version.number,
@@ -313,19 +316,19 @@
                     version.digest
                 )
             }
-            Fate::CalledOff(why) => say!("version {}: called off, {why}", version.number),
+            ChangeOutcome::CalledOff(why) => say!("version {}: called off, {why}", version.number),
         }
     }
     Ok(())
 }
 
-async fn gone(mut keepers: Keepers, gateway: String) -> Result<(), Failed> {
+async fn gone(mut keepers: KeeperClient, gateway: String) -> Result<(), Failed> {
     let _: serde_json::Value = keepers.ask(Method::POST, "/gone", &gateway).await.map_err(failed)?;
     say!("gateway {gateway} is declared gone");
     Ok(())
 }
 
-async fn change_keepers(mut keepers: Keepers, numbers: Vec<u64>) -> Result<(), Failed> {
+async fn change_keepers(mut keepers: KeeperClient, numbers: Vec<u64>) -> Result<(), Failed> {
     let _: serde_json::Value = keepers.ask(Method::POST, "/keepers", &numbers).await.map_err(failed)?;
     say!("the keepers are {numbers:?}");
     Ok(())
--- a/src/sites.rs
+++ b/src/sites.rs
@@ -4,7 +4,7 @@
 use clap::{Subcommand, ValueEnum};
 use hingestage_gateway::config::Config;
 use hingestage_gateway::sites::{Planned, Plans};
-use hingestage_keep::call::Way;
+use hingestage_keep::http_client::Connection;
 use hingestage_print::say;
 use hingestage_sites::{greedy, plan, read, worth, Ahead, Plan, Sites, Who};
 use hyper::{Method, StatusCode};
@@ -148,7 +148,7 @@
     let unheard = crate::block_on(async move {
         let mut unheard = 0;
         for at in all {
-            let mut way = Way::new(at);
+            let mut way = Connection::new(at);
             let call = way.call(method.clone(), &path, Vec::new());
             let answer = tokio::time::timeout(ANSWERS, call).await.map_err(|_| "no answer".to_owned());
             let (heard, text) = match answer.and_then(|answer| answer) {
--- a/tests/changes.rs
+++ b/tests/changes.rs
@@ -3,9 +3,9 @@
 
 mod peers;
 
-use hingestage_change::desk::{Asked, Proposed};
-use hingestage_change::keeper::{Change, Figures, Micros, Mode, Question, Version};
-use hingestage_keep::client::{Failed, Keepers};
+use hingestage_change::rollout::{Change, LeaseConfig, LeaseRequest, Micros, Mode, Version};
+use hingestage_change::state::{LeaseCall, ProposeRequest};
+use hingestage_keep::client::{CallFailure, KeeperClient};
 use hyper::Method;
 use peers::free;
 use serde_json::Value;
@@ -19,9 +19,9 @@
 
 /// Longer than anything here takes on the slowest machine.
 const PATIENCE: Duration = Duration::from_secs(40);
-const FIGURES: Figures = Figures { lease: 1_000_000, error: 100_000 };
+const FIGURES: LeaseConfig = LeaseConfig { lease: 1_000_000, clock_error: 100_000 };
 /// For cases in which a gateway must keep its lease however slow the machine is.
-const LONG_LEASE: Figures = Figures { lease: 10_000_000, ..FIGURES };
+const LONG_LEASE: LeaseConfig = LeaseConfig { lease: 10_000_000, ..FIGURES };
 
 /// The exit code of a command of which it is not known what became.
 const UNKNOWN: i32 = 5;
@@ -40,7 +40,7 @@
 /// Keepers in a folder of their own.
 struct Set {
     folder: PathBuf,
-    figures: Figures,
+    lease_config: LeaseConfig,
     at: BTreeMap<u64, SocketAddr>,
     running: BTreeMap<u64, Child>,
 }
@@ -50,14 +50,14 @@
         Set::with(FIGURES, name, count)
     }
 
-    fn with(figures: Figures, name: &str, count: u64) -> Set {
+    fn with(lease_config: LeaseConfig, name: &str, count: u64) -> Set {
         let folder =
             PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(format!("changes-{name}-{}", std::process::id()));
         let _ = fs::remove_dir_all(&folder);
         fs::create_dir_all(&folder).unwrap();
         let at: BTreeMap<u64, SocketAddr> = (0..count).map(|number| (number, free())).collect();
         fs::write(folder.join("first.lisp"), DOCUMENT).unwrap();
-        let mut set = Set { folder, figures, at, running: BTreeMap::new() };
+        let mut set = Set { folder, lease_config, at, running: BTreeMap::new() };
         (0..count).for_each(|number| set.start(number, &["--begin"]));
         set
     }
@@ -72,7 +72,7 @@
         let all: String = self.at.iter().map(|(n, at)| format!(" ({n} \"{at}\")")).collect();
         let folder = self.folder.display().to_string();
         let seconds = |span: Micros| span as f64 / 1e6;
-        let (lease, error) = (seconds(self.figures.lease), seconds(self.figures.error));
+        let (lease, error) = (seconds(self.lease_config.lease), seconds(self.lease_config.clock_error));
         let text = format!(
             "(keeper (number {number}) (folder \"{folder}/k{number}\") (first \"{folder}/first.lisp\")
               (keepers{all}) (lease {lease}) (error {error}) (heartbeat 0.05))"
@@ -104,8 +104,8 @@
         assert!(Command::new("kill").args([signal, &id]).status().unwrap().success());
     }
 
-    fn client(&self) -> Keepers {
-        Keepers::new(self.at.clone(), PATIENCE)
+    fn client(&self) -> KeeperClient {
+        KeeperClient::new(self.at.clone(), PATIENCE)
     }
 
     fn command(&self, args: &[&str]) -> Command {
@@ -146,38 +146,45 @@
 /// What a gateway is answered, in short.
 #[derive(Debug, PartialEq)]
 struct Word {
-    force: u64,
+    in_force: u64,
     change: Option<Change>,
 }
 
 /// Asks as a gateway does.
 async fn ask(
-    client: &mut Keepers,
+    client: &mut KeeperClient,
     gateway: &str,
     ready: Option<u64>,
-    cannot: Option<u64>,
-) -> Result<Word, Failed> {
-    ask_with(FIGURES, client, gateway, ready, cannot).await
+    rejected: Option<u64>,
+) -> Result<Word, CallFailure> {
+    ask_with(FIGURES, client, gateway, ready, rejected).await
 }
 
 /// Asks as a gateway with these figures does.
 async fn ask_with(
-    figures: Figures,
-    client: &mut Keepers,
+    lease_config: LeaseConfig,
+    client: &mut KeeperClient,
     gateway: &str,
     ready: Option<u64>,
-    cannot: Option<u64>,
-) -> Result<Word, Failed> {
+    rejected: Option<u64>,
+) -> Result<Word, CallFailure> {
     let gateway = gateway.to_owned();
-    let question =
-        Question { gateway, life: 1, issued: unix(), mode: Mode::Stop, ready, cannot, probes: false };
-    let answer: Value = client.ask(Method::POST, "/ask", &Asked { question, figures }).await?;
+    let request = LeaseRequest {
+        gateway,
+        incarnation: 1,
+        sent_at: unix(),
+        mode: Mode::Stop,
+        ready,
+        rejected,
+        probe_only: false,
+    };
+    let answer: Value = client.ask(Method::POST, "/ask", &LeaseCall { request, lease_config }).await?;
     let change = serde_json::from_value(answer["Answer"]["change"].clone()).unwrap();
-    Ok(Word { force: answer["Answer"]["force"]["number"].as_u64().unwrap(), change })
+    Ok(Word { in_force: answer["Answer"]["force"]["number"].as_u64().unwrap(), change })
 }
 
-async fn propose(client: &mut Keepers, text: String, within: u64) -> Result<Version, Failed> {
-    let proposed = Proposed { text, at: 0, within: within * 1_000_000, despite: false };
+async fn propose(client: &mut KeeperClient, text: String, within: u64) -> Result<Version, CallFailure> {
+    let proposed = ProposeRequest { text, at: 0, within: within * 1_000_000, confirmed: false };
     client.ask(Method::POST, "/propose", &proposed).await
 }
 
@@ -187,10 +194,10 @@
     let (mut client, begun) = (set.client(), Instant::now());
     let (mut ready, mut in_force) = (None, Vec::new());
     while begun.elapsed() < PATIENCE {
-        let word = ask_with(set.figures, &mut client, gateway, ready, None).await.unwrap();
-        in_force.push(word.force);
+        let word = ask_with(set.lease_config, &mut client, gateway, ready, None).await.unwrap();
+        in_force.push(word.in_force);
         in_force.dedup();
-        if word.force >= until {
+        if word.in_force >= until {
             return in_force;
         }
         ready = word.change.map(|change| change.version().number).or(ready);
@@ -221,7 +228,7 @@
         tokio::pin!(operator);
         loop {
             let word = ask_with(LONG_LEASE, &mut client, "n1", None, None).await.unwrap();
-            assert_eq!(word.force, 1, "called off, and in force");
+            assert_eq!(word.in_force, 1, "called off, and in force");
             if let Ok(ended) = timeout(PAUSE, &mut operator).await {
                 break ended;
             }
@@ -260,7 +267,7 @@
     assert!(said.contains("in force everywhere"), "{said}");
     let (_, history) = set.says(&["history"]).await;
     assert!(history.contains("version 2: in force from") && !history.contains("called off"), "{history}");
-    assert_eq!(ask(&mut client, "n1", None, None).await.unwrap().force, 2);
+    assert_eq!(ask(&mut client, "n1", None, None).await.unwrap().in_force, 2);
 }
 
 #[tokio::test]
@@ -283,7 +290,7 @@
     ask_with(LONG_LEASE, &mut one, "n1", None, None).await.unwrap();
     let (first, second) =
         tokio::join!(propose(&mut one, document(2, 50), 20), propose(&mut other, document(2, 60), 20));
-    let refused = |outcome: &Result<Version, Failed>| matches!(outcome, Err(Failed::Refused(_)));
+    let refused = |outcome: &Result<Version, CallFailure>| matches!(outcome, Err(CallFailure::Refused(_)));
     assert!(first.is_ok() != second.is_ok(), "{first:?} {second:?}");
     assert!(refused(&first) || refused(&second));
     let winner = first.or(second).unwrap();
@@ -329,7 +336,7 @@
     propose(&mut client, document(2, 50), 20).await.unwrap();
     ask_with(LONG_LEASE, &mut client, "n1", Some(2), None).await.unwrap();
     let word = ask_with(LONG_LEASE, &mut client, "n2", None, Some(2)).await.unwrap();
-    assert_eq!(word, Word { force: 1, change: None });
+    assert_eq!(word, Word { in_force: 1, change: None });
     assert!(set.says(&["history"]).await.1.contains("gateway n2 can't apply version 2"));
 }
 
@@ -364,9 +371,9 @@
     let mut client = set.client();
     ask(&mut client, "n1", None, None).await.unwrap();
     (0..3).for_each(|number| set.kill(number));
-    let mut hasty = Keepers::new(set.at.clone(), Duration::from_secs(3));
-    assert!(matches!(ask(&mut hasty, "n1", None, None).await, Err(Failed::Unknown(_))));
-    assert!(matches!(propose(&mut hasty, document(2, 50), 30).await, Err(Failed::Unknown(_))));
+    let mut hasty = KeeperClient::new(set.at.clone(), Duration::from_secs(3));
+    assert!(matches!(ask(&mut hasty, "n1", None, None).await, Err(CallFailure::OutcomeUnknown(_))));
+    assert!(matches!(propose(&mut hasty, document(2, 50), 30).await, Err(CallFailure::OutcomeUnknown(_))));
     set.start(1, &[]);
     propose(&mut client, document(2, 50), 30).await.unwrap();
     follow(&set, "n1", 2).await;
@@ -385,11 +392,11 @@
     set.signal(leader, "-CONT");
     let own = BTreeMap::from([(leader, set.at[&leader])]);
     // It knows better, or says that another leads, or that it does not know.
-    match ask(&mut Keepers::new(own, Duration::from_secs(1)), "n1", None, None).await {
-        Ok(word) => assert_eq!(word.force, 2),
-        Err(failed) => assert!(matches!(failed, Failed::Unknown(_)), "{failed:?}"),
+    match ask(&mut KeeperClient::new(own, Duration::from_secs(1)), "n1", None, None).await {
+        Ok(word) => assert_eq!(word.in_force, 2),
+        Err(failed) => assert!(matches!(failed, CallFailure::OutcomeUnknown(_)), "{failed:?}"),
     }
-    assert_eq!(ask(&mut client, "n1", None, None).await.unwrap().force, 2);
+    assert_eq!(ask(&mut client, "n1", None, None).await.unwrap().in_force, 2);
 }
 
 /// The keeper that answers a question itself.
@@ -398,7 +405,7 @@
     while begun.elapsed() < PATIENCE {
         for (number, at) in &set.at {
             let own = BTreeMap::from([(*number, *at)]);
-            if ask(&mut Keepers::new(own, Duration::ZERO), "n1", None, None).await.is_ok() {
+            if ask(&mut KeeperClient::new(own, Duration::ZERO), "n1", None, None).await.is_ok() {
                 return *number;
             }
         }
@@ -423,21 +430,22 @@
 async fn a_clock_that_is_ahead_is_told_so_and_other_figures_as_well() {
     let set = Set::new("clock", 1);
     let mut client = set.client();
-    let question = |issued| Question {
+    let request = |sent_at| LeaseRequest {
         gateway: "n1".into(),
-        life: 1,
-        issued,
+        incarnation: 1,
+        sent_at,
         mode: Mode::Stop,
         ready: None,
-        cannot: None,
-        probes: false,
+        rejected: None,
+        probe_only: false,
     };
-    let asked = Asked { question: question(unix() + 5_000_000), figures: FIGURES };
-    let ahead: Result<Value, Failed> = client.ask(Method::POST, "/ask", &asked).await;
-    assert!(matches!(&ahead, Err(Failed::Refused(why)) if why.contains("ahead")), "{ahead:?}");
-    let asked = Asked { question: question(unix()), figures: Figures { lease: 9_000_000, ..FIGURES } };
-    let other: Result<Value, Failed> = client.ask(Method::POST, "/ask", &asked).await;
-    assert!(matches!(&other, Err(Failed::Refused(why)) if why.contains("a lease of 1 s")), "{other:?}");
+    let asked = LeaseCall { request: request(unix() + 5_000_000), lease_config: FIGURES };
+    let ahead: Result<Value, CallFailure> = client.ask(Method::POST, "/ask", &asked).await;
+    assert!(matches!(&ahead, Err(CallFailure::Refused(why)) if why.contains("ahead")), "{ahead:?}");
+    let asked =
+        LeaseCall { request: request(unix()), lease_config: LeaseConfig { lease: 9_000_000, ..FIGURES } };
+    let other: Result<Value, CallFailure> = client.ask(Method::POST, "/ask", &asked).await;
+    assert!(matches!(&other, Err(CallFailure::Refused(why)) if why.contains("a lease of 1 s")), "{other:?}");
 }
 
 /// Whatever is sent to a keeper, it goes on.
@@ -458,8 +466,8 @@
         "/x",
     ] {
         for body in [serde_json::json!("?"), serde_json::json!({"text": 1}), serde_json::json!([[[]]])] {
-            let answer: Result<Value, Failed> = client.ask(Method::POST, path, &body).await;
-            let doubted = matches!(answer, Err(Failed::Refused(_)));
+            let answer: Result<Value, CallFailure> = client.ask(Method::POST, path, &body).await;
+            let doubted = matches!(answer, Err(CallFailure::Refused(_)));
             assert!(doubted, "{path} {body}: {answer:?}");
         }
     }
@@ -502,7 +510,7 @@
     let mut client = set.client();
     ask(&mut client, "n1", None, None).await.unwrap();
     let silent: Vec<_> = (0..300).map(|_| std::net::TcpStream::connect(set.at[&0]).unwrap()).collect();
-    let mut next = Keepers::new(set.at.clone(), Duration::from_secs(9));
+    let mut next = KeeperClient::new(set.at.clone(), Duration::from_secs(9));
     ask(&mut next, "n1", None, None).await.unwrap();
     drop(silent);
     // And those who ask on connections that they keep come in turn.
@@ -510,19 +518,19 @@
         .map(|n| {
             let at = set.at[&0];
             tokio::spawn(async move {
-                let mut way = hingestage_keep::call::Way::new(at);
+                let mut way = hingestage_keep::http_client::Connection::new(at);
                 for _ in 0..3 {
                     let gateway = format!("g{n}");
-                    let question = Question {
+                    let request = LeaseRequest {
                         gateway,
-                        life: 1,
-                        issued: unix(),
+                        incarnation: 1,
+                        sent_at: unix(),
                         mode: Mode::Stop,
                         ready: None,
-                        cannot: None,
-                        probes: false,
+                        rejected: None,
+                        probe_only: false,
                     };
-                    let asked = serde_json::to_vec(&Asked { question, figures: FIGURES }).unwrap();
+                    let asked = serde_json::to_vec(&LeaseCall { request, lease_config: FIGURES }).unwrap();
                     let call = way.call(Method::POST, "/ask", asked);
                     let answer = tokio::time::timeout(Duration::from_secs(20), call).await;
                     assert!(answer.is_ok_and(|answer| answer.is_ok_and(|(status, _)| status == 200)));
