--- a/crates/dataplane/src/body.rs
+++ b/crates/dataplane/src/body.rs
@@ -1,5 +1,5 @@
-//! Bodies: short ones are held whole, long ones pass through piece by piece, so that a gateway's memory does not
-//! go by what its clients and workers send.
+//! Request and response bodies. Short bodies are buffered, long ones are streamed, so that memory use does
+//! not depend on the sizes that clients and workers send.
 
 use bytes::{Bytes, BytesMut};
 use hingestage_platform::Platform;
@@ -12,23 +12,23 @@
 use std::time::Duration;
 use tokio::sync::Notify;
 
-/// The longest that is held whole in any case, bytes; each attempt can send it anew.
+/// Bodies up to this size are always buffered whole, bytes. A buffered body can be sent again on a retry.
 pub const HELD: usize = 64 * 1024;
-/// How long the rest of a body is read for nothing, so that its client can read why it was turned away.
-const WASTED: Duration = Duration::from_secs(5);
+/// How long the unread rest of a rejected request is discarded, so that its client gets to read the answer.
+const DISCARD_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// How long a request's body may be, and how slowly it may come.
+/// Limits on the size and the pace of request bodies.
 #[derive(Clone, Copy, Debug)]
 pub struct BodyLimits {
-    /// The longest body, bytes.
+    /// Maximum length of a body, bytes.
     pub longest: u64,
-    /// How long a body may keep its reader waiting for the next piece.
+    /// Maximum time between two chunks of a body.
     pub piece_timeout: Duration,
-    /// Bytes a second that a client must keep up with, once it has had `piece_timeout`.
+    /// Minimum average rate after the first `chunk_timeout`, bytes per second.
     pub slowest: f64,
 }
 
-/// Pieces of a body, joined. Most bodies come in one, which is not copied.
+/// Concatenates the chunks of a body. A body that arrives in one chunk is not copied.
 #[derive(Default)]
 pub struct Joined {
     first: Bytes,
@@ -36,7 +36,7 @@
 }
 
 impl Joined {
-    /// Takes the next piece in.
+    /// Appends a chunk.
     pub fn push(&mut self, piece: Bytes) {
         if self.first.is_empty() {
             self.first = piece;
@@ -48,17 +48,17 @@
         self.more.extend_from_slice(&piece);
     }
 
-    /// Bytes so far.
+    /// Bytes received so far.
     pub fn len(&self) -> usize {
         self.first.len().max(self.more.len())
     }
 
-    /// Whether nothing has come.
+    /// Whether no bytes have been received.
     pub fn is_empty(&self) -> bool {
         self.first.is_empty()
     }
 
-    /// All that has come.
+    /// Returns the concatenated bytes.
     pub fn whole(self) -> Bytes {
         if self.more.is_empty() {
             self.first
@@ -70,14 +70,14 @@
 
 /// A request's body.
 pub enum RequestBody {
-    /// Held whole.
+    /// Buffered in memory; can be sent any number of times.
     Whole(Bytes),
-    /// Passing through.
+    /// Streamed from the client; can be sent once.
     Flow(Rc<Flow>),
 }
 
 impl RequestBody {
-    /// Bytes of it that a worker must have at the least before it has all.
+    /// Bytes forwarded so far; the whole length for a buffered body.
     pub fn passed(&self) -> u64 {
         match self {
             RequestBody::Whole(bytes) => bytes.len() as u64,
@@ -85,7 +85,7 @@
         }
     }
 
-    /// Whether all of it has been handed on, and so whether `passed` is its length.
+    /// Whether the whole body has been forwarded.
     pub fn over(&self) -> bool {
         match self {
             RequestBody::Whole(_) => true,
@@ -93,7 +93,7 @@
         }
     }
 
-    /// The side that the HTTP library reads; none where a long body has gone to an earlier attempt.
+    /// The body for one attempt, or `None` if part of a streamed body has already gone to an earlier attempt.
     pub fn open(&self) -> Option<Passing> {
         match self {
             RequestBody::Whole(bytes) => Some(Passing::Whole(Full::new(bytes.clone()))),
@@ -105,86 +105,86 @@
     }
 }
 
-/// The next piece of a body; none after the last.
+/// A polled frame of a body; `None` after the last one.
 pub type Piece = Option<Result<Frame<Bytes>, hyper::Error>>;
 
-/// What has been read of a long body and not handed on, and where the rest comes from.
+/// A streamed body: the prefix that was read but not yet forwarded, and the remaining input.
 pub struct Source {
-    begun: Bytes,
-    rest: Incoming,
-    /// All of its bytes, where that has been said, and those handed on.
+    prefix: Bytes,
+    input: Incoming,
+    /// Declared length, if any, bytes.
     length: Option<u64>,
     passed: u64,
 }
 
 impl Source {
-    /// A body of which `begun` has been read.
-    pub fn new(begun: Bytes, rest: Incoming, length: Option<u64>) -> Self {
-        Source { begun, rest, length, passed: 0 }
+    /// Creates a source whose first bytes, `prefix`, have already been read.
+    pub fn new(prefix: Bytes, input: Incoming, length: Option<u64>) -> Self {
+        Source { prefix, input, length, passed: 0 }
     }
 
-    /// What is to come, as far as it has been said.
+    /// Number of bytes left, if the length is declared.
     pub fn size_hint(&self) -> SizeHint {
         self.length.map_or_else(SizeHint::default, |n| SizeHint::with_exact(n.saturating_sub(self.passed)))
     }
 
-    /// The next piece, and whether it is the last.
+    /// Polls for the next frame. The flag tells whether the body ends with it.
     pub fn poll(&mut self, cx: &mut Context) -> Poll<(Piece, bool)> {
-        let frame = match self.begun.is_empty() {
-            true => ready!(Pin::new(&mut self.rest).poll_frame(cx)),
-            false => Some(Ok(Frame::data(std::mem::take(&mut self.begun)))),
+        let frame = match self.prefix.is_empty() {
+            true => ready!(Pin::new(&mut self.input).poll_frame(cx)),
+            false => Some(Ok(Frame::data(std::mem::take(&mut self.prefix)))),
         };
         let data = frame.as_ref().and_then(|frame| frame.as_ref().ok()?.data_ref());
         self.passed += data.map_or(0, Bytes::len) as u64;
         let over = match &frame {
             None => true,
-            Some(frame) => frame.is_ok() && self.rest.is_end_stream(),
+            Some(frame) => frame.is_ok() && self.input.is_end_stream(),
         };
         Poll::Ready((frame, over))
     }
 }
 
-/// A whole body, whose pieces can't fail, where a long one's can.
+/// Polls a buffered body, whose error type is uninhabited, with the error type of streamed ones.
 pub fn poll_whole(whole: &mut Full<Bytes>, cx: &mut Context) -> Poll<Piece> {
     Pin::new(whole).poll_frame(cx).map(|frame| frame.map(|frame| frame.map_err(|never| match never {})))
 }
 
-/// A long body that passes through once.
+/// State of a streamed request body, shared by its reader and the attempt that sends it.
 pub struct Flow {
     source: RefCell<Option<Source>>,
     length: Option<u64>,
-    /// Bytes handed on, also while the source is.
+    /// Bytes forwarded, also while an attempt holds the source.
     passed: Cell<u64>,
     over: Cell<bool>,
-    /// Told when it is over, and when what remains of it has been given back.
+    /// Notified on each forwarded frame and when an attempt returns the source.
     changed: Notify,
     limits: BodyLimits,
-    /// How long its client waits for the answer, from its last byte on.
+    /// How long the client waits for the answer after the last byte of its request.
     pub patience: Duration,
 }
 
 impl Flow {
-    /// A body of which `begun` has been read.
+    /// Creates a body whose first bytes, `prefix`, have already been read.
     pub fn new(
-        begun: Bytes,
-        rest: Incoming,
+        prefix: Bytes,
+        input: Incoming,
         length: Option<u64>,
         patience: Duration,
         limits: BodyLimits,
     ) -> Rc<Self> {
-        let source = RefCell::new(Some(Source::new(begun, rest, length)));
+        let source = RefCell::new(Some(Source::new(prefix, input, length)));
         let (passed, over) = (Cell::new(0), Cell::new(false));
         Rc::new(Flow { source, length, passed, over, changed: Notify::new(), limits, patience })
     }
 
-    /// The longest that it may take to come whole.
+    /// Upper bound on the time the whole body may take to arrive.
     pub fn longest(&self) -> Duration {
         let BodyLimits { longest, piece_timeout, slowest } = self.limits;
         let left = self.length.unwrap_or(longest).min(longest) as f64;
         piece_timeout + Duration::from_secs_f64(left / slowest)
     }
 
-    /// Ends once it is over: true; or once its client has sent nothing for long: false.
+    /// Waits until the whole body has been forwarded. Returns false if the client stalls.
     pub async fn ends(&self, platform: &impl Platform) -> bool {
         loop {
             let before = self.passed.get();
@@ -198,10 +198,10 @@
         }
     }
 
-    /// Reads what remains for nothing: a client that is still sending reads no answer, and closing on it would
-    /// throw away the one that it is owed.
+    /// Reads and discards the rest of the body. A client that is still sending does not read the answer, and
+    /// closing the connection would reset it before the answer arrives.
     pub async fn waste(self: Rc<Self>, platform: impl Platform) {
-        let until = platform.now() + WASTED;
+        let until = platform.now() + DISCARD_TIMEOUT;
         let mut taken = None;
         while taken.is_none() && !self.over.get() {
             taken = self.source.borrow_mut().take();
@@ -210,25 +210,25 @@
             }
         }
         let Some(mut source) = taken else { return };
-        let mut wasted = 0;
-        while let Ok(Some(Ok(frame))) = platform.timeout_at(until, source.rest.frame()).await {
-            wasted += frame.data_ref().map_or(0, Bytes::len) as u64;
-            if wasted > self.limits.longest {
+        let mut discarded = 0;
+        while let Ok(Some(Ok(frame))) = platform.timeout_at(until, source.input.frame()).await {
+            discarded += frame.data_ref().map_or(0, Bytes::len) as u64;
+            if discarded > self.limits.longest {
                 return;
             }
         }
     }
 }
 
-/// A request's body as it goes on to a worker.
+/// A request body as sent to a worker.
 pub enum Passing {
-    /// Held whole.
+    /// A buffered body.
     Whole(Full<Bytes>),
-    /// What passes through.
+    /// A streamed body.
     Flow {
-        /// Where it comes from.
+        /// The input; returned to `body` on drop.
         source: Option<Source>,
-        /// What is known of it.
+        /// The shared state.
         flow: Rc<Flow>,
     },
 }
--- a/crates/dataplane/src/client.rs
+++ b/crates/dataplane/src/client.rs
@@ -1,4 +1,4 @@
-//! One client's connection as its server and an answer that passes through both see it.
+//! State of one client connection, shared by the server and a response that is still streaming.
 
 use crate::body::Flow;
 use crate::heads::Kept;
@@ -8,101 +8,101 @@
 use std::time::{Duration, Instant};
 use tokio::sync::Notify;
 
-/// How long a client may take over what.
+/// Timeouts of a client connection.
 #[derive(Clone, Copy, Debug)]
 pub struct ClientTimes {
-    /// From connecting to the end of the first head.
+    /// From the connection to the end of the first request head.
     pub first_head_timeout: Duration,
-    /// From the first byte of a later head to its end. The library's own time would count from the last answer on,
-    /// and cut off who was silent a while first.
+    /// From the first byte of a later request head to its end. The HTTP library's own timeout starts at the
+    /// previous response and would include the idle time.
     pub header_timeout: Duration,
-    /// Silent between two requests.
+    /// Maximum idle time between two requests.
     pub idle_timeout: Duration,
-    /// How long an answer may stand still, because of either side, before both are let go.
+    /// Maximum time without progress of a response, whichever side is stalled.
     pub write_timeout: Duration,
 }
 
 impl ClientTimes {
-    /// The shortest of them: looked at so often, no connection outlives its time.
+    /// The shortest of them, used as the interval of the timeout checks.
     pub fn shortest(&self) -> Duration {
         let later = self.header_timeout.min(self.idle_timeout).min(self.write_timeout);
         self.first_head_timeout.min(later)
     }
 }
 
-/// One client's connection, as far as closing it goes.
+/// State of one client connection.
 pub struct Client {
     times: ClientTimes,
-    /// Whether a request of it has been read whole and not been answered.
+    /// Whether a request has been received and not yet answered.
     pub busy: Cell<bool>,
     served: Cell<bool>,
-    /// When it connected or was last answered.
-    since: Cell<Instant>,
-    /// Whether it is to end at once, not by itself.
+    /// Time of the connection, of the last response or of its last progress.
+    last_activity: Cell<Instant>,
+    /// Whether to close at once instead of gracefully.
     pub drop: Cell<bool>,
-    /// Whether a long answer passes through.
+    /// Whether a streamed response is in progress.
     pub flows: Cell<bool>,
-    /// Whether the rest of a request that has been answered still comes in.
+    /// Whether the rest of an answered request is being discarded.
     pub wastes: Cell<bool>,
-    /// Told to close it.
+    /// Asks the server to close the connection.
     pub close: Notify,
-    /// What its connection is known to hold.
+    /// Transport state observed by the connection's stream wrapper.
     pub kept: Rc<Kept>,
-    /// Told each time one of the server's clients has been answered or has left.
-    left: Rc<Notify>,
+    /// Notified when any client of the server has been answered or has disconnected.
+    released: Rc<Notify>,
 }
 
 impl Client {
-    /// One that has just connected. `left` is told each time a client has been answered; `largest_head` is the
-    /// largest head of a request, bytes.
-    pub fn new(now: Instant, times: ClientTimes, largest_head: usize, left: Rc<Notify>) -> Rc<Client> {
+    /// Creates the state of a new connection. `released` is notified after each response; `max_head_bytes` is
+    /// the maximum size of a request head.
+    pub fn new(now: Instant, times: ClientTimes, max_head_bytes: usize, released: Rc<Notify>) -> Rc<Client> {
         let (busy, served, drop) = (Cell::new(false), Cell::new(false), Cell::new(false));
-        let (since, flows, wastes) = (Cell::new(now), Cell::new(false), Cell::new(false));
-        let (close, kept) = (Notify::new(), Rc::new(Kept::new(largest_head)));
-        Rc::new(Client { times, busy, served, since, drop, flows, wastes, close, kept, left })
+        let (last_activity, flows, wastes) = (Cell::new(now), Cell::new(false), Cell::new(false));
+        let (close, kept) = (Notify::new(), Rc::new(Kept::new(max_head_bytes)));
+        Rc::new(Client { times, busy, served, last_activity, drop, flows, wastes, close, kept, released })
     }
 
-    /// Whether nothing is under way on it in either direction, as far as it is known.
+    /// Whether no request is in progress and no output is blocked.
     pub fn idles(&self) -> bool {
         !self.busy.get() && self.kept.blocked.get().is_none()
     }
 
-    /// Whether it has been served and has not begun to ask again.
+    /// Whether at least one request has been answered and no byte of the next one has arrived.
     pub fn waits(&self) -> bool {
         let head = self.kept.head.borrow();
         self.served.get() && head.reading_since().is_none() && !head.is_whole()
     }
 
-    /// Since when nothing has come from it, or gone to it.
+    /// Time of the last activity in either direction.
     pub fn quiet_since(&self) -> Instant {
-        self.kept.heard.get().map_or(self.since.get(), |heard| heard.max(self.since.get()))
+        self.kept.heard.get().map_or(self.last_activity.get(), |heard| heard.max(self.last_activity.get()))
     }
 
-    /// When it has taken too long over a head, has been silent too long, or leaves its answer unread; none while
-    /// it has a request.
+    /// When the connection times out: on a slow request head, on idleness or on unread output. `None` while a
+    /// request is being processed.
     pub fn overdue_at(&self) -> Option<Instant> {
         let head = self.kept.head.borrow();
         if let Some(blocked) = self.kept.blocked.get() {
             return Some(blocked + self.times.write_timeout);
         }
-        let asks = self.busy.get() || self.flows.get() || self.wastes.get() || head.is_whole();
-        let since = self.since.get();
+        let has_request = self.busy.get() || self.flows.get() || self.wastes.get() || head.is_whole();
+        let last_activity = self.last_activity.get();
         let due = match self.served.get() {
             true => match head.reading_since() {
                 Some(began) => began + self.times.header_timeout,
-                None => since + self.times.idle_timeout,
+                None => last_activity + self.times.idle_timeout,
             },
-            false => since + self.times.first_head_timeout,
+            false => last_activity + self.times.first_head_timeout,
         };
-        (!asks).then_some(due)
+        (!has_request).then_some(due)
     }
 
-    /// Whether a long answer has stood still for too long.
+    /// Whether a streamed response has made no progress within the write timeout.
     pub fn stuck(&self, now: Instant) -> bool {
-        self.flows.get() && now.saturating_duration_since(self.since.get()) > self.times.write_timeout
+        self.flows.get() && now.saturating_duration_since(self.last_activity.get()) > self.times.write_timeout
     }
 
-    /// Reads what remains of a request that has been answered, which is no idling.
+    /// Discards the rest of an answered request in a task of its own. The connection is not idle meanwhile.
     pub fn waste_rest<P: Platform>(self: &Rc<Self>, platform: &P, flow: Rc<Flow>) {
         let (client, clock) = (self.clone(), platform.clone());
         self.wastes.set(true);
@@ -114,31 +114,31 @@
         });
     }
 
-    /// Whether it has been answered at all.
+    /// Whether any request has been answered.
     pub fn was_served(&self) -> bool {
         self.served.get()
     }
 
-    /// Something of a long answer has passed.
+    /// Records progress of a streamed response.
     pub fn moves(&self, now: Instant) {
-        self.since.set(now);
+        self.last_activity.set(now);
     }
 
-    /// Ends it: between two requests, or at once.
+    /// Closes the connection, after the current request or at once.
     pub fn end(&self, at_once: bool) {
         self.drop.set(at_once);
         self.close.notify_one();
     }
 
-    /// A request of it has been answered.
+    /// Records the end of a response.
     pub fn answered(&self, now: Instant) {
         self.busy.set(false);
         self.flows.set(false);
         self.served.set(true);
-        self.since.set(now);
+        self.last_activity.set(now);
         self.kept.head.borrow_mut().next();
-        // At the limit `accept` may have found none that idles: now there is one.
-        self.left.notify_one();
+        // At the connection limit `accept` may be waiting for an idle connection to close.
+        self.released.notify_one();
     }
 }
 
@@ -152,14 +152,13 @@
         idle_timeout: Duration::from_millis(2_200),
         write_timeout: Duration::from_secs(20),
     };
-    const LARGEST_HEAD: usize = 16 * 1024;
+    const MAX_HEAD_BYTES: usize = 16 * 1024;
 
-    /// The end of a long answer may lie in the library's hands while its client reads slowly: it is neither idle
-    /// nor silent then, and closing on it would cut the answer off.
+    /// Closing while the end of a streamed response is still buffered would truncate it.
     #[test]
-    fn a_client_that_has_not_taken_its_answer_does_not_idle() {
+    fn a_connection_with_blocked_output_is_not_idle() {
         let now = Instant::now();
-        let client = Client::new(now, TIMES, LARGEST_HEAD, Rc::default());
+        let client = Client::new(now, TIMES, MAX_HEAD_BYTES, Rc::default());
         client.served.set(true);
         assert_eq!((client.idles(), client.overdue_at()), (true, Some(now + TIMES.idle_timeout)));
         client.kept.blocked.set(Some(now));
@@ -169,11 +168,11 @@
         assert_eq!((client.idles(), client.overdue_at()), (false, None));
     }
 
-    /// Silent and then slow over a head is not too long; from the connecting on it is.
+    /// The idle time between two requests must not count towards the head timeout.
     #[test]
-    fn a_heads_time_counts_from_its_first_byte_once_a_client_has_been_served() {
+    fn a_later_head_timeout_starts_at_its_first_byte() {
         let (now, pause) = (Instant::now(), Duration::from_secs(2));
-        let client = Client::new(now, TIMES, LARGEST_HEAD, Rc::default());
+        let client = Client::new(now, TIMES, MAX_HEAD_BYTES, Rc::default());
         client.kept.head.borrow_mut().saw(now + pause, b"GET ");
         assert_eq!(client.overdue_at(), Some(now + TIMES.first_head_timeout));
         client.served.set(true);
--- a/crates/dataplane/src/collect.rs
+++ b/crates/dataplane/src/collect.rs
@@ -1,4 +1,4 @@
-//! Reads the bodies of requests: whole where they are short or there is memory for them.
+//! Reads request bodies: buffers short ones and those that fit into the memory budget, streams the others.
 
 use crate::body::{BodyLimits, Flow, Joined, RequestBody, HELD};
 use bytes::Bytes;
@@ -8,108 +8,109 @@
 use std::cell::Cell;
 use std::time::Duration;
 
-/// The bounds within which bodies are collected.
+/// Limits for buffering request bodies.
 #[derive(Clone, Copy, Debug)]
 pub struct CollectSettings {
-    /// How long a body may be, and how slowly it may come.
+    /// Limits on the size and the pace of bodies.
     pub limits: BodyLimits,
-    /// The longest body that is collected where there is memory for it, bytes. What is longer passes through.
+    /// Maximum length of a buffered body, bytes. Longer bodies are streamed.
     pub each_max: usize,
-    /// Bytes that all bodies longer than [`HELD`] may take together while they are collected.
+    /// Memory budget for all bodies longer than [`BUFFERED_MAX`] that are being buffered, bytes.
     pub together_max: usize,
 }
 
 /// Why a body could not be read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CollectError {
-    /// Its client keeps its reader waiting.
+    /// The client sends too slowly.
     TooSlow,
-    /// Its framing makes no sense, or its connection ended.
+    /// The framing is invalid, or the connection was closed.
     BadFraming,
 }
 
-/// Collects bodies within bounds.
+/// Reads request bodies within the memory budget.
 pub struct Collector<P: Platform> {
     platform: P,
     settings: CollectSettings,
-    /// Bytes taken by bodies that are being collected.
-    taken: Cell<usize>,
+    /// Memory reserved for bodies that are being buffered, bytes.
+    reserved: Cell<usize>,
 }
 
 impl<P: Platform> Collector<P> {
-    /// None is being collected yet.
+    /// Creates a collector with the whole budget free.
     pub fn new(platform: P, settings: CollectSettings) -> Self {
-        Collector { platform, settings, taken: Cell::new(0) }
+        Collector { platform, settings, reserved: Cell::new(0) }
     }
 
-    /// Whether a body is said to be longer than any may be.
+    /// Whether the declared length exceeds the maximum.
     pub fn is_too_long(&self, body: &Incoming) -> bool {
         body.size_hint().lower() > self.settings.limits.longest
     }
 
-    /// Reads a body whole where it is short or there is memory for it, else so far that the rest can pass
-    /// through. A client may send it slowly, but must go on. `patience` is how long the client waits for the
-    /// answer after the last byte of a body that passes through.
+    /// Buffers a body if it is short or fits into the memory budget, otherwise returns it as a stream.
+    /// `answer_timeout` is how long the client waits for the answer after the last byte of a streamed body.
     ///
     /// # Errors
-    /// It does not come, or makes no sense.
+    ///
+    /// The client is too slow, or the framing is invalid.
     pub async fn read(&self, mut body: Incoming, patience: Duration) -> Result<RequestBody, CollectError> {
         if body.is_end_stream() {
             return Ok(RequestBody::Whole(Bytes::new()));
         }
         let BodyLimits { piece_timeout, slowest, .. } = self.settings.limits;
         let length = body.size_hint().exact();
-        let mut place = Collected { collector: self, bytes: 0 };
-        let mut joined = Joined::default();
-        let begun = self.platform.now();
+        let mut reservation = Reservation { collector: self, bytes: 0 };
+        let mut buffer = Joined::default();
+        let started = self.platform.now();
         loop {
-            let so_far = joined.len();
-            if so_far > HELD && !place.grow(so_far, length) {
-                let flow = Flow::new(joined.whole(), body, length, patience, self.settings.limits);
+            let received = buffer.len();
+            if received > HELD && !reservation.grow(received, length) {
+                let flow = Flow::new(buffer.whole(), body, length, patience, self.settings.limits);
                 return Ok(RequestBody::Flow(flow));
             }
-            // At the pace of the slowest it would have come so far by now.
-            let due = begun + piece_timeout + Duration::from_secs_f64(so_far as f64 / slowest);
+            // Deadline at the minimum rate.
+            let due = started + piece_timeout + Duration::from_secs_f64(received as f64 / slowest);
             let until = due.min(self.platform.now() + piece_timeout);
             let frame = self.platform.timeout_at(until, body.frame()).await;
             let Some(frame) = frame.map_err(|_| CollectError::TooSlow)? else { break };
             let Ok(data) = frame.map_err(|_| CollectError::BadFraming)?.into_data() else { continue };
-            joined.push(data);
+            buffer.push(data);
         }
-        Ok(RequestBody::Whole(joined.whole()))
+        Ok(RequestBody::Whole(buffer.whole()))
     }
 }
 
-/// Memory that a body takes while it is collected.
-struct Collected<'a, P: Platform> {
+/// Memory reservation of one body; released on drop.
+struct Reservation<'a, P: Platform> {
     collector: &'a Collector<P>,
     bytes: usize,
 }
 
-impl<P: Platform> Collected<'_, P> {
-    /// Makes room for a body of which so much has come; false where it is too long or there is none.
-    fn grow(&mut self, so_far: usize, length: Option<u64>) -> bool {
+impl<P: Platform> Reservation<'_, P> {
+    /// Extends the reservation for a body of which `so_far` bytes have arrived. Returns false if the body is
+    /// too long or the budget is exhausted.
+    fn grow(&mut self, received: usize, length: Option<u64>) -> bool {
         let CollectSettings { each_max, together_max, .. } = self.collector.settings;
-        if length.unwrap_or(so_far as u64) > each_max as u64 || so_far > each_max {
+        if length.unwrap_or(received as u64) > each_max as u64 || received > each_max {
             return false;
         }
-        // Half as much again as has come, so that few pieces ask.
-        let wanted = length.map_or(so_far + so_far / 2, |length| length as usize);
-        if wanted <= self.bytes {
+        // Reserve half again as much, so that few chunks need a further reservation.
+        let needed = length.map_or(received + received / 2, |length| length as usize);
+        if needed <= self.bytes {
             return true;
         }
-        let taken = self.collector.taken.get() + wanted - self.bytes;
-        if taken > together_max {
+        let reserved = self.collector.reserved.get() + needed - self.bytes;
+        if reserved > together_max {
             return false;
         }
-        self.collector.taken.set(taken);
-        self.bytes = wanted;
+        self.collector.reserved.set(reserved);
+        self.bytes = needed;
         true
     }
 }
 
-impl<P: Platform> Drop for Collected<'_, P> {
+impl<P: Platform> Drop for Reservation<'_, P> {
     fn drop(&mut self) {
-        self.collector.taken.set(self.collector.taken.get() - self.bytes);
+        self.collector.reserved.set(self.collector.reserved.get() - self.bytes);
     }
 }
--- a/crates/dataplane/src/connections.rs
+++ b/crates/dataplane/src/connections.rs
@@ -1,4 +1,4 @@
-//! Clients' connections and their number. What answers the requests on them is a parameter.
+//! Accepts client connections, limits their number and closes idle or stalled ones.
 
 use crate::client::{Client, ClientTimes};
 use crate::heads::Headed;
@@ -18,134 +18,134 @@
 use std::time::{Duration, Instant};
 use tokio::sync::Notify;
 
-/// How long a connection on which a request is awaited or has begun to come may be quiet before it makes room for
-/// others. One that is slow but goes on stays.
-const SAY_SOMETHING: Duration = Duration::from_millis(250);
-/// How long a connection may take to end by itself once it has been told to.
-const LINGER: Duration = Duration::from_millis(100);
-/// How long all places may be taken by requests before the next client is closed on rather than left waiting.
-const FULL_TIME: Duration = Duration::from_secs(2);
-/// Pause where the system has no descriptor left.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
-
-/// What answers the requests on clients' connections.
+/// Silence after which a connection that owes a request may be closed to make room for others. Slow but
+/// active connections are kept.
+const SILENCE_MAX: Duration = Duration::from_millis(250);
+/// Time for a connection to finish a graceful close.
+const GRACEFUL_CLOSE_TIMEOUT: Duration = Duration::from_millis(100);
+/// How long new connections wait in the backlog while all slots serve requests; after that they are closed.
+const FULL_WAIT_MAX: Duration = Duration::from_secs(2);
+/// Pause after a failed accept, for example when file descriptors are exhausted.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
+
+/// Handles the requests of client connections.
 pub trait Answers: 'static {
-    /// The body of an answer.
+    /// The body of a response.
     type Body: Body<Data = Bytes, Error: Into<Box<dyn std::error::Error + Send + Sync>>> + 'static;
 
-    /// Answers a request. While one is under way it sets [`Client::busy`], and [`Client::flows`] where its answer
-    /// goes on after this returns; the end of such an answer is told by [`Client::answered`]. Dropped early it says
-    /// that the client has left.
+    /// Handles a request. The handler sets [`Client::busy`] while a request is in progress, and
+    /// [`Client::streaming`] where the response body outlives this call; [`Client::record_answer`] then marks
+    /// its end. Dropping the future early means that the client has disconnected.
     fn answer(
         self: &Rc<Self>,
         request: Request<Incoming>,
         client: &Rc<Client>,
     ) -> impl Future<Output = Response<Self::Body>>;
 
-    /// Whether a connection is kept after an answer.
+    /// Whether connections are kept alive after a response.
     fn keeps_connections(&self) -> bool;
 }
 
-/// The bounds of clients' connections.
+/// Limits of client connections.
 #[derive(Clone, Copy, Debug)]
 pub struct ConnectionSettings {
-    /// Most connections.
+    /// Maximum number of connections.
     pub clients_max: usize,
-    /// Most connections between two requests. Past that answers say that the connection ends: a crowd that asks
-    /// once and stays would leave no place to those who come next.
+    /// Maximum number of idle connections. Above it responses carry `connection: close`, so that idle clients
+    /// do not use up the slots of new ones.
     pub idle_max: usize,
-    /// How long a client may take over what.
+    /// Timeouts of a connection.
     pub times: ClientTimes,
-    /// The largest head of a request, bytes. The HTTP library takes no less than 8 KiB.
+    /// Maximum size of a request head, bytes. The HTTP library requires at least 8 KiB.
     pub largest_head: usize,
 }
 
-/// How connections end once the process is told to stop.
+/// How connections are closed during shutdown.
 #[derive(Clone, Copy, Debug)]
 pub struct Stopping {
-    /// Until when connections are taken in.
+    /// New connections are accepted until then.
     pub accepts_until: Instant,
-    /// Whether connections between two requests are closed although their clients were not told.
+    /// Whether idle connections are closed without a prior `connection: close`.
     pub closes_idle: bool,
-    /// Nothing is waited for after this.
+    /// The shutdown ends then even if connections are still open.
     pub until: Instant,
 }
 
-/// The connections of clients.
+/// The open client connections.
 pub struct Connections<P: Platform, A: Answers> {
     platform: P,
     answers: Rc<A>,
     settings: ConnectionSettings,
     clients: RefCell<BTreeMap<u64, Rc<Client>>>,
-    /// Told each time a client has been answered or has left.
-    left: Rc<Notify>,
-    next: Cell<u64>,
-    odd: Cell<u64>,
+    /// Notified when a client has been answered or has disconnected.
+    released: Rc<Notify>,
+    next_id: Cell<u64>,
+    problem_count: Cell<u64>,
 }
 
 impl<P: Platform, A: Answers> Connections<P, A> {
-    /// None yet.
+    /// Creates an empty set of connections.
     pub fn new(platform: P, answers: Rc<A>, settings: ConnectionSettings) -> Rc<Self> {
         Rc::new(Connections {
             platform,
             answers,
             settings,
             clients: RefCell::default(),
-            left: Rc::default(),
-            next: Cell::new(0),
-            odd: Cell::new(0),
+            released: Rc::default(),
+            next_id: Cell::new(0),
+            problem_count: Cell::new(0),
         })
     }
 
-    /// Connections that are open.
+    /// Number of open connections.
     pub fn open(&self) -> usize {
         self.clients.borrow().len()
     }
 
-    fn full(&self) -> bool {
+    fn is_full(&self) -> bool {
         self.open() >= self.settings.clients_max
     }
 
-    /// Takes connections in for ever. At the limit one that idles makes room, or the next waits in line, but
-    /// not for long: it may be one that is owed an end soon.
+    /// Accepts connections forever. At the limit an idle connection is closed to make room; otherwise the
+    /// next one waits in the backlog for a limited time.
     pub async fn accept(self: &Rc<Self>, listener: &P::Listener) {
         loop {
-            self.make_room().await;
+            self.wait_for_slot().await;
             match listener.accept().await {
-                Ok(_) if self.full() => {
-                    note(&self.platform, &self.odd, "all places taken by requests: a connection closed")
+                Ok(_) if self.is_full() => {
+                    note(&self.platform, &self.problem_count, "connection limit reached: connection closed")
                 }
-                Ok(stream) => self.admit(stream),
-                // Out of descriptors, or the client has gone already: neither may end the gateway.
+                Ok(stream) => self.spawn_connection(stream),
+                // Descriptors are exhausted, or the client has already disconnected: neither may stop the
+                // gateway.
                 Err(e) => {
-                    note(&self.platform, &self.odd, format_args!("accept: {e}"));
-                    self.close_an_idle_one();
-                    self.platform.sleep(ACCEPT_PAUSE).await;
+                    note(&self.platform, &self.problem_count, format_args!("accept: {e}"));
+                    self.evict_idle();
+                    self.platform.sleep(ACCEPT_RETRY_DELAY).await;
                 }
             }
         }
     }
 
-    async fn make_room(&self) {
-        let until = self.platform.now() + FULL_TIME;
-        while self.full() && self.platform.now() < until {
-            let left = self.left.notified();
-            self.close_an_idle_one();
-            // Looked at anew before long: one that says nothing may have become old enough to go.
-            let _ = self.platform.timeout(LINGER, left).await;
+    async fn wait_for_slot(&self) {
+        let until = self.platform.now() + FULL_WAIT_MAX;
+        while self.is_full() && self.platform.now() < until {
+            let released = self.released.notified();
+            self.evict_idle();
+            // Retry soon: a silent connection may have become eligible for closing.
+            let _ = self.platform.timeout(GRACEFUL_CLOSE_TIMEOUT, released).await;
         }
     }
 
-    /// Ends connections on which a long answer stands still.
+    /// Closes connections whose streamed response is stalled.
     pub fn close_stuck(&self) {
         let now = self.platform.now();
         self.clients.borrow().values().filter(|client| client.stuck(now)).for_each(|client| client.end(true));
     }
 
-    /// Stops as the deployment expects it, once told to: connections still come for a while and are taken in;
-    /// all that was taken is answered; those between requests are closed at once, while there is still someone
-    /// to take in a request that crosses the closing. A successor takes new ones, and then those between
-    /// requests end with their next answer, or by themselves as always (`idle_timeout`).
+    /// Shuts down: keeps accepting for a while, answers all received requests and closes idle connections at
+    /// once, while new connections can still be accepted for requests that cross the close. With a successor,
+    /// idle connections end after their next response or by `idle_timeout` instead.
     pub async fn stop(self: &Rc<Self>, listener: P::Listener, stopping: Stopping) {
         if stopping.closes_idle {
             self.close_idle(|client| client.was_served());
@@ -156,8 +156,8 @@
             self.close_idle(|_| true);
         }
         while self.open() > 0 && self.platform.now() < stopping.until {
-            let left = self.left.notified();
-            let _ = self.platform.timeout_at(stopping.until, left).await;
+            let released = self.released.notified();
+            let _ = self.platform.timeout_at(stopping.until, released).await;
         }
     }
 
@@ -166,42 +166,41 @@
         clients.values().filter(|c| c.idles() && which(c)).for_each(|c| c.end(false));
     }
 
-    /// Closes the connection that is least worth keeping. Those come first that owe the rest of a request and have
-    /// sent nothing in a while: hundreds of silent ones must not push out clients that come back. One that has just
-    /// connected stays, its request may be on the way; so does one that writes slowly, but goes on.
-    fn close_an_idle_one(&self) {
+    /// Closes the least valuable idle connection. Silent connections with a partial request go first, so that
+    /// they can't displace returning clients. New connections and slow but active ones are kept.
+    fn evict_idle(&self) {
         let clients = self.clients.borrow();
-        let silent = |c: &Client| self.platform.since(c.quiet_since()) > SAY_SOMETHING;
+        let silent = |c: &Client| self.platform.since(c.quiet_since()) > SILENCE_MAX;
         let idle = clients.values().filter(|c| c.idles() && (c.waits() || silent(c)));
-        if let Some(least) = idle.min_by_key(|c| (c.waits(), c.quiet_since())) {
-            least.end(true);
+        if let Some(evicted) = idle.min_by_key(|c| (c.waits(), c.quiet_since())) {
+            evicted.end(true);
         }
     }
 
-    fn idle_ones(&self) -> usize {
+    fn idle_count(&self) -> usize {
         self.clients.borrow().values().filter(|c| c.was_served() && !c.busy.get()).count()
     }
 
-    fn next_number(&self) -> u64 {
-        self.next.set(self.next.get() + 1);
-        self.next.get()
+    fn next_client_id(&self) -> u64 {
+        self.next_id.set(self.next_id.get() + 1);
+        self.next_id.get()
     }
 
-    fn admit(self: &Rc<Self>, stream: P::Stream) {
-        let (connections, number) = (self.clone(), self.next_number());
+    fn spawn_connection(self: &Rc<Self>, stream: P::Stream) {
+        let (connections, id) = (self.clone(), self.next_client_id());
         let ConnectionSettings { times, largest_head, .. } = self.settings;
-        let client = Client::new(self.platform.now(), times, largest_head, self.left.clone());
-        self.clients.borrow_mut().insert(number, client.clone());
+        let client = Client::new(self.platform.now(), times, largest_head, self.released.clone());
+        self.clients.borrow_mut().insert(id, client.clone());
         self.platform.spawn(async move {
             connections.serve(stream, &client).await;
-            connections.clients.borrow_mut().remove(&number);
-            connections.left.notify_one();
+            connections.clients.borrow_mut().remove(&id);
+            connections.released.notify_one();
         });
     }
 
     async fn answer(&self, request: Request<Incoming>, client: &Rc<Client>) -> Response<A::Body> {
         let mut answer = self.answers.answer(request, client).await;
-        if !self.answers.keeps_connections() || self.idle_ones() >= self.settings.idle_max {
+        if !self.answers.keeps_connections() || self.idle_count() >= self.settings.idle_max {
             answer.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
         }
         if !client.flows.get() {
@@ -223,25 +222,25 @@
         let mut conn = std::pin::pin!(conn);
         loop {
             let now = self.platform.now();
-            let looked_at = now + self.settings.times.shortest();
-            let due = client.overdue_at().unwrap_or(looked_at);
+            let next_check = now + self.settings.times.shortest();
+            let due = client.overdue_at().unwrap_or(next_check);
             if due <= now {
                 return;
             }
-            // A client that misbehaves or leaves ends its own connection and nothing else.
+            // A client error ends only its own connection.
             tokio::select! {
                 biased;
                 ended = conn.as_mut() => return drop(ended),
                 () = client.close.notified() => break,
-                // What it is at may change, and with it the time that it has.
-                () = self.platform.sleep_until(due.min(looked_at)) => {}
+                // The connection's state, and with it its deadline, may have changed.
+                () = self.platform.sleep_until(due.min(next_check)) => {}
             }
         }
         conn.as_mut().graceful_shutdown();
-        // Half a head, or an answer that nobody reads, would hold its place for as long as it pleases.
-        let linger = if client.drop.get() { Duration::ZERO } else { LINGER };
+        // A partial request head or an unread response must not hold the slot indefinitely.
+        let close_timeout = if client.drop.get() { Duration::ZERO } else { GRACEFUL_CLOSE_TIMEOUT };
         let stuck = client.flows.get() && client.drop.get();
-        if self.platform.timeout(linger, conn.as_mut()).await.is_err() && !client.idles() && !stuck {
+        if self.platform.timeout(close_timeout, conn.as_mut()).await.is_err() && !client.idles() && !stuck {
             let _ = conn.await;
         }
     }
--- a/crates/dataplane/src/dialect.rs
+++ b/crates/dataplane/src/dialect.rs
@@ -1,4 +1,5 @@
-//! The words of a platform: what is written to a worker, and what its answers mean.
+//! The protocol between the gateway and its workers: how a request is written and how a response is
+//! classified.
 
 use crate::body::RequestBody;
 use hingestage_policy::{Outcome, WorkerId};
@@ -6,45 +7,46 @@
 use hyper::{Method, StatusCode, Uri};
 use std::time::Duration;
 
-/// What goes on to a worker.
+/// A request to be sent to a worker.
 pub struct Parts {
-    /// The request's method.
+    /// Method.
     pub method: Method,
     /// Path and query.
     pub uri: Uri,
-    /// The id of the request. No two open requests have the same.
+    /// Request id, unique among open requests.
     pub id: HeaderValue,
-    /// The client's headers that go on unchanged.
+    /// Client headers that are forwarded unchanged.
     pub headers: HeaderMap,
-    /// The body.
+    /// Body.
     pub body: RequestBody,
 }
 
-/// What the head of an answer means.
+/// Classification of a response head.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Judgement {
-    /// How the attempt ended, as far as the head tells. [`Outcome::Ok`] makes the answer one for the client.
+    /// Outcome of the attempt, as far as the head tells. On [`Outcome::Ok`] the response is forwarded to the
+    /// client.
     pub outcome: Outcome,
-    /// The true units of the request, where the worker told them.
+    /// Actual cost of the request in units, if the worker reports it.
     pub true_units: Option<f64>,
 }
 
-/// The headers of a platform between gateway and workers.
+/// The platform's headers between the gateway and its workers.
 pub trait Dialect {
-    /// Completes the head of an attempt. `headers` holds what goes on from the client; `left` is the time within
-    /// which the worker's answer is of use.
+    /// Completes the request headers of an attempt. `headers` holds the forwarded client headers; `left` is
+    /// the time within which the response is useful.
     fn write_head(&self, parts: &Parts, worker: WorkerId, left: Duration, headers: &mut HeaderMap);
 
-    /// Tells what the head of an answer means.
+    /// Classifies a response head.
     fn judge(&self, parts: &Parts, status: StatusCode, headers: &HeaderMap) -> Judgement;
 
-    /// The headers of a good answer that go to the client.
+    /// The headers of a successful response that are forwarded to the client.
     fn passed_on(&self, headers: &HeaderMap) -> HeaderMap;
 
-    /// Sees the head of every answer of a worker, whatever its status.
+    /// Observes the headers of every response, whatever its status.
     fn listen(&self, _worker: WorkerId, _headers: &HeaderMap) {}
 
-    /// Whether the connection that the answer came on may serve again, as far as the dialect is concerned.
+    /// Whether the connection may be reused after this response.
     fn may_reuse(&self, _headers: &HeaderMap) -> bool {
         true
     }
--- a/crates/dataplane/src/driver.rs
+++ b/crates/dataplane/src/driver.rs
@@ -1,4 +1,5 @@
-//! Owns the decisions, their clock and the open requests: events in, actions out. Each request ends once.
+//! Drives the decision logic: feeds it events, carries out its actions and owns the open requests. Each
+//! request is answered once.
 
 use crate::body::RequestBody;
 use crate::dialect::{Dialect, Parts};
@@ -17,111 +18,111 @@
 use std::time::{Duration, Instant};
 use tokio::sync::oneshot;
 
-/// Time kept back from each client's own, so that the last moment's answer reaches it before it leaves.
+/// Time reserved before each client's deadline for delivering the answer.
 pub const ANSWER_MARGIN: Duration = Duration::from_millis(15);
 
-/// The one final answer to a request.
+/// The final answer to a request.
 pub enum Answer<S: Stream> {
-    /// A worker's.
+    /// A worker's response.
     Served(Served<S>),
-    /// Trying again is harmless, and best after so long.
+    /// Refused without side effects; retry after this time.
     Refused(Micros),
-    /// Nothing is promised; whether time ran out.
+    /// Failed; a worker may have executed the request.
     Failed {
-        /// No worker answered in time.
+        /// Whether the time ran out.
         late: bool,
     },
 }
 
-/// A client's request as the server has read it.
+/// A client request as parsed by the server.
 pub struct Taken {
-    /// Whose it is.
+    /// The customer that sent it.
     pub customer: CustomerId,
     /// Its class.
     pub class: ClassId,
     /// The customer's plan.
     pub plan: PlanId,
-    /// Units, as guessed.
+    /// Estimated cost, units.
     pub units: f64,
-    /// Gateways that the customer's requests come through.
+    /// Number of gateways that serve this customer.
     pub gateways: u32,
-    /// The first of them.
+    /// The first of these gateways.
     pub first: u32,
-    /// When the client gives up, at the latest.
+    /// The client's deadline.
     pub until: Instant,
-    /// What goes on to a worker.
+    /// The request as sent to a worker.
     pub parts: Parts,
 }
 
-struct Open<P: Platform> {
+struct OpenRequest<P: Platform> {
     parts: Rc<Parts>,
     class: ClassId,
-    /// Where its answer goes; none once it has been given or the client has left.
+    /// Channel for the answer; `None` once answered or after the client has disconnected.
     reply: Option<oneshot::Sender<Answer<P::Stream>>>,
-    /// By number; none once they have ended.
-    attempts: Vec<Option<Running<P>>>,
+    /// By attempt number; `None` once the attempt has ended.
+    attempts: Vec<Option<RunningAttempt<P>>>,
     late: bool,
 }
 
-struct Running<P: Platform> {
+struct RunningAttempt<P: Platform> {
     worker: WorkerId,
     progress: Rc<Progress<P::Stream>>,
     task: P::Task,
     sent: Instant,
 }
 
-/// Makes the decisions of one gateway's life, from settings, seed and the time of its start, µs.
+/// Creates the decision logic from its settings, a seed and the start time, µs.
 pub type MakeDecisions = fn(Settings, u64, Micros) -> Box<dyn Decide>;
 
-/// The decisions as they are served.
+/// The decision logic used in production.
 pub fn gatekeeper(settings: Settings, seed: u64, now: Micros) -> Box<dyn Decide> {
     Box::new(Gatekeeper::new(settings, seed, now))
 }
 
-/// What a driver goes by.
+/// Settings of a driver.
 pub struct DriverSettings {
-    /// What the decisions go by.
+    /// Settings of the decision logic.
     pub policy: Settings,
-    /// For the decisions' random numbers.
+    /// Seed of the decision logic's random numbers.
     pub seed: u64,
-    /// The names of the classes, for the figures.
+    /// Class names, for the metrics.
     pub class_names: Vec<String>,
-    /// Most connections to workers.
+    /// Maximum number of connections to workers.
     pub workers_max: usize,
-    /// A connection to a worker not established by then never is.
+    /// Timeout for connecting to a worker.
     pub connect_timeout: Duration,
-    /// A worker closes a connection that has been idle for so long.
+    /// Idle time after which workers close a connection.
     pub worker_idle: Duration,
-    /// What is written to workers, and what their answers mean.
+    /// The protocol spoken with workers.
     pub dialect: Rc<dyn Dialect>,
 }
 
-/// The gateway's heart.
+/// Connects the decision logic to clients and workers.
 pub struct Driver<P: Platform> {
-    /// What all of it runs on.
+    /// The platform it runs on.
     pub platform: P,
-    /// The workers' side.
+    /// Connections to workers.
     pub workers: Workers<P>,
-    /// What became of the requests.
+    /// Request metrics.
     pub figures: RefCell<Figures>,
     subsystems: Rc<dyn Subsystems>,
     decisions: RefCell<Box<dyn Decide>>,
-    /// All gateways share it, because the names of counts hold the number of a slot of time.
+    /// Aligned to Unix time on all gateways, because counter names contain a time slot number.
     clock: Clock,
-    /// In order: what is called off together must not hang on a table's random keys.
-    open: RefCell<BTreeMap<RequestId, Open<P>>>,
-    /// The clients' own ids of all that is open.
+    /// Ordered, so that the order of cancellations is deterministic.
+    open: RefCell<BTreeMap<RequestId, OpenRequest<P>>>,
+    /// Client-side ids of all open requests.
     ids: RefCell<HashSet<HeaderValue>>,
     next: Cell<u64>,
-    /// Requests taken whose answers have not been written.
+    /// Admitted requests whose answers have not been written.
     inflight: Cell<usize>,
-    most_units: f64,
+    max_units: f64,
     events: RefCell<VecDeque<Event>>,
-    feeding: Cell<bool>,
+    handling: Cell<bool>,
 }
 
 impl<P: Platform> Driver<P> {
-    /// A driver that has heard nothing yet.
+    /// Creates a driver without workers or requests.
     pub fn new(
         platform: P,
         settings: DriverSettings,
@@ -130,7 +131,7 @@
     ) -> Rc<Self> {
         let clock = Clock::new(&platform);
         let now = clock.micros(platform.now());
-        let most_units = settings.policy.most_units;
+        let max_units = settings.policy.most_units;
         Rc::new(Driver {
             workers: Workers::new(
                 platform.clone(),
@@ -148,27 +149,27 @@
             next: Cell::new(0),
             figures: RefCell::new(Figures::new(&settings.class_names)),
             inflight: Cell::new(0),
-            most_units,
+            max_units,
             events: RefCell::default(),
-            feeding: Cell::new(false),
+            handling: Cell::new(false),
         })
     }
 
-    /// The decisions' present: Unix time that runs evenly.
+    /// Current time of the decision logic: monotonic Unix time, µs.
     pub fn micros(&self) -> Micros {
         self.clock.micros(self.platform.now())
     }
 
-    /// Tells the platform how large the tables are that hold what is not over.
+    /// Reports the sizes of the tables of unfinished work to the platform.
     pub fn gauge(&self) {
         self.platform.gauge("open requests", self.open.borrow().len());
         self.platform.gauge("open ids", self.ids.borrow().len());
         self.platform.gauge("pending decisions", self.decisions.borrow().pending());
     }
 
-    /// The figures as operators read them.
+    /// The metrics as JSON.
     pub fn told_figures(&self, srv: Option<SrvFigures>) -> String {
-        let attempts = |open: &Open<P>| {
+        let attempts = |open: &OpenRequest<P>| {
             open.attempts.iter().flatten().filter(|running| running.progress.came_whole()).count()
         };
         self.figures.borrow().json(Gauges {
@@ -180,11 +181,11 @@
         })
     }
 
-    /// Tells the decisions of something, and does what they want done about it. What that leads to at once
-    /// waits its turn, so that actions are carried out in the order in which they were decided.
+    /// Passes an event to the decision logic and carries out its actions. Events caused by an action are
+    /// queued, so that actions are carried out in the order in which they were decided.
     pub fn feed(self: &Rc<Self>, event: Event) {
         self.events.borrow_mut().push_back(event);
-        if self.feeding.replace(true) {
+        if self.handling.replace(true) {
             return;
         }
         let mut actions = Vec::new();
@@ -193,13 +194,13 @@
             let now = self.micros();
             self.decisions.borrow_mut().handle(now, event, &mut actions);
             for action in actions.drain(..) {
-                self.act(action);
+                self.perform(action);
             }
         }
-        self.feeding.set(false);
+        self.handling.set(false);
     }
 
-    fn act(self: &Rc<Self>, action: Action) {
+    fn perform(self: &Rc<Self>, action: Action) {
         match action {
             Action::Send { request, worker, timeout, begin_within } => {
                 self.send(request, worker, timeout, begin_within)
@@ -222,89 +223,93 @@
                     self.feed(Event::Counter { name, outcome });
                 }
             }
-            // The watch is always on.
+            // Discovery is always watched.
             Action::Subscribe => {}
         }
     }
 
-    /// News of the workers. What waits for a connection to one that takes no more work is called off.
+    /// Updates the workers and cancels attempts that still wait for a connection to one that no longer
+    /// accepts work.
     pub fn list_workers(self: &Rc<Self>, list: WorkerList) {
         self.subsystems.listed(&list.workers, list.scope);
         self.feed(Event::Workers(list));
-        self.recall_unwritten();
+        self.cancel_unsent();
     }
 
-    /// Takes a request in. Its answer comes on the channel; dropping the ticket says that the client left.
-    /// One whose own id is open already is not taken: at a worker it would be a second copy of the first.
-    pub fn take(self: &Rc<Self>, taken: Taken) -> Option<TakenIn<P>> {
-        if !self.ids.borrow_mut().insert(taken.parts.id.clone()) {
+    /// Admits a request. The answer arrives on the channel; dropping the ticket signals that the client has
+    /// disconnected. Returns `None` if a request with the same id is open, which a worker would take for a
+    /// duplicate.
+    pub fn take(self: &Rc<Self>, incoming: Taken) -> Option<TakenIn<P>> {
+        if !self.ids.borrow_mut().insert(incoming.parts.id.clone()) {
             return None;
         }
         let plan = self.subsystems.begins(
             self.micros(),
             Beginning {
-                customer: &taken.customer,
-                class: taken.class,
-                plan: taken.plan,
-                first: taken.first,
-                gateways: taken.gateways,
+                customer: &incoming.customer,
+                class: incoming.class,
+                plan: incoming.plan,
+                first: incoming.first,
+                gateways: incoming.gateways,
             },
         );
         self.next.set(self.next.get() + 1);
         let id = RequestId(self.next.get().to_string());
         let (reply, answer) = oneshot::channel();
-        let open = Open {
-            parts: Rc::new(taken.parts),
-            class: taken.class,
+        let open = OpenRequest {
+            parts: Rc::new(incoming.parts),
+            class: incoming.class,
             reply: Some(reply),
             attempts: Vec::new(),
             late: false,
         };
         self.inflight.set(self.inflight.get() + 1);
         self.open.borrow_mut().insert(id.clone(), open);
-        let left = taken.until.saturating_duration_since(self.platform.now()).saturating_sub(ANSWER_MARGIN);
+        let left =
+            incoming.until.saturating_duration_since(self.platform.now()).saturating_sub(ANSWER_MARGIN);
         self.feed(Event::Request(Request {
             id: id.clone(),
-            customer: taken.customer,
-            class: Some(taken.class),
+            customer: incoming.customer,
+            class: Some(incoming.class),
             plan,
-            units: taken.units,
-            gateways: taken.gateways,
-            first: taken.first,
+            units: incoming.units,
+            gateways: incoming.gateways,
+            first: incoming.first,
             time_left: left.as_micros() as Micros,
         }));
         Some((Ticket { driver: self.clone(), id }, answer))
     }
 
-    /// Requests that found no worker in time, since the start.
+    /// Number of requests that found no worker in time, since the start.
     pub fn short(&self) -> u64 {
         self.decisions.borrow().short()
     }
 
-    /// Whether anything may begin.
+    /// Whether new requests may be started.
     pub fn may_begin(&self) -> bool {
         self.subsystems.may_begin()
     }
 
-    /// How often the effect of a class may happen, where a subsystem says so.
+    /// The delivery guarantee of a class, if a subsystem overrides it.
     pub fn effect(&self, class: ClassId) -> Option<Effect> {
         self.subsystems.effect(class)
     }
 
-    /// The longest that a client may wait, where a subsystem says so.
+    /// The maximum client wait, if a subsystem overrides it.
     pub fn longest(&self) -> Option<Duration> {
         self.subsystems.longest()
     }
 
     fn send(self: &Rc<Self>, id: RequestId, worker: WorkerId, timeout: Micros, begin_within: Micros) {
-        let mut all = self.open.borrow_mut();
-        let Some(open) = all.get_mut(&id) else { return };
+        let mut requests = self.open.borrow_mut();
+        let Some(open) = requests.get_mut(&id) else { return };
         let (parts, n) = (open.parts.clone(), open.attempts.len());
         let progress = Rc::new(Progress::default());
         let sent = self.platform.now();
-        let (driver, told, request) = (self.clone(), progress.clone(), id.clone());
-        self.follow_upload(&id, &parts);
-        // What goes out in pieces is owed no answer yet; its end tells all the same.
+        let (driver, attempt_progress, request) = (self.clone(), progress.clone(), id.clone());
+        self.track_upload(&id, &parts);
+        // A worker owes no answer while its request is still being uploaded; only the end of such an attempt
+        // is reported.
         if !matches!(parts.body, RequestBody::Flow(_)) {
             self.subsystems.sent(self.micros(), worker);
         }
@@ -313,15 +318,15 @@
                 begin_by: sent + Duration::from_micros(begin_within),
                 deadline: sent + Duration::from_micros(timeout),
             };
-            let mut attempted = driver.workers.attempt(worker, &parts, times, &told).await;
-            driver.attempt_done(&request, n, &mut attempted);
+            let mut attempted = driver.workers.attempt(worker, &parts, times, &attempt_progress).await;
+            driver.finish_attempt(&request, n, &mut attempted);
             driver.workers.give_back(worker, attempted).await;
         });
-        open.attempts.push(Some(Running { worker, progress, task, sent }));
+        open.attempts.push(Some(RunningAttempt { worker, progress, task, sent }));
     }
 
-    /// Tells the decisions while a long body goes out and when it is out: a worker's time counts from then.
-    fn follow_upload(self: &Rc<Self>, id: &RequestId, parts: &Parts) {
+    /// Reports the start and the end of a streamed upload: the worker's timeout counts from the end.
+    fn track_upload(self: &Rc<Self>, id: &RequestId, parts: &Parts) {
         let RequestBody::Flow(flow) = &parts.body else { return };
         let (driver, flow, request) = (self.clone(), flow.clone(), id.clone());
         self.feed(Event::Uploading { request: request.clone(), over: false });
@@ -332,7 +337,7 @@
         });
     }
 
-    fn attempt_done(self: &Rc<Self>, id: &RequestId, n: usize, attempted: &mut Attempted<P::Stream>) {
+    fn finish_attempt(self: &Rc<Self>, id: &RequestId, n: usize, attempted: &mut Attempted<P::Stream>) {
         let ended = self.open.borrow_mut().get_mut(id).and_then(|open| {
             open.late |= attempted.outcome == Outcome::Timeout;
             let running = open.attempts.get_mut(n).and_then(Option::take)?;
@@ -342,18 +347,18 @@
         if let Some(served) = attempted.served.take() {
             self.answer(id, |_| Answer::Served(served));
         }
-        // More units than any request has are no figure to charge a customer with.
-        let true_units = attempted.true_units.filter(|n| self.most_units <= 0.0 || *n <= self.most_units);
-        // What a worker takes to write its answer tells nothing of how long the work took it.
+        // Ignore reports above the maximum cost of a request.
+        let true_units = attempted.true_units.filter(|n| self.max_units <= 0.0 || *n <= self.max_units);
+        // Latency counts to the first byte of the response, without the time to transfer it.
         let until = attempted.heard.unwrap_or_else(|| self.platform.now());
         let took = until.saturating_duration_since(running.sent);
         self.subsystems.ended(self.micros(), running.worker, attempted.outcome, took);
         self.subsystems.attempt_ended(&parts.id, running.worker, attempted.outcome);
-        self.tell_end(id, n, attempted.outcome, took, true_units);
+        self.report_attempt_end(id, n, attempted.outcome, took, true_units);
     }
 
-    /// Calls an attempt off: its connection ends before the decisions hear of it, so that no further attempt
-    /// can be out together with it.
+    /// Cancels an attempt. Its connection is closed before the decision logic is notified, so that no further
+    /// attempt overlaps with it.
     fn cancel(self: &Rc<Self>, id: &RequestId, n: usize) {
         let slot = self.open.borrow_mut().get_mut(id).and_then(|open| {
             let running = open.attempts.get_mut(n)?.take()?;
@@ -365,25 +370,25 @@
         let took = self.platform.since(running.sent);
         self.subsystems.ended(self.micros(), running.worker, outcome, took);
         self.subsystems.attempt_ended(&parts.id, running.worker, outcome);
-        self.tell_end(id, n, outcome, took, None);
+        self.report_attempt_end(id, n, outcome, took, None);
     }
 
-    /// Calls off what waits for a connection to a worker that takes no more work: once told of a drain,
-    /// nothing new may go out, and a connect that hangs would sit on the request for nothing.
-    fn recall_unwritten(self: &Rc<Self>) {
-        let mut recalled = Vec::new();
+    /// Cancels attempts that still wait for a connection to a worker that no longer accepts work, such as a
+    /// draining one.
+    fn cancel_unsent(self: &Rc<Self>) {
+        let mut cancelled = Vec::new();
         for (id, open) in self.open.borrow().iter() {
             for (n, running) in open.attempts.iter().enumerate() {
                 if running.as_ref().is_some_and(|r| r.progress.waits() && !self.workers.takes_work(r.worker))
                 {
-                    recalled.push((id.clone(), n));
+                    cancelled.push((id.clone(), n));
                 }
             }
         }
-        recalled.iter().for_each(|(id, n)| self.cancel(id, *n));
+        cancelled.iter().for_each(|(id, n)| self.cancel(id, *n));
     }
 
-    fn tell_end(
+    fn report_attempt_end(
         self: &Rc<Self>,
         id: &RequestId,
         attempt: usize,
@@ -395,55 +400,58 @@
             self.figures.borrow_mut().attempted();
         }
         let closed = self.open.borrow().get(id).is_none_or(|open| open.reply.is_none());
-        self.forget_if_over(id);
+        self.remove_if_finished(id);
         let latency = took.as_micros() as Micros;
         let request = id.clone();
         self.feed(Event::AttemptDone(AttemptDone { request, attempt, outcome, latency, closed, true_units }));
     }
 
-    /// The only place that answers a client.
-    fn answer(&self, id: &RequestId, answer: impl FnOnce(&Open<P>) -> Answer<P::Stream>) {
+    /// Answers a client. No other function does.
+    fn answer(&self, id: &RequestId, answer: impl FnOnce(&OpenRequest<P>) -> Answer<P::Stream>) {
         if let Some(open) = self.open.borrow_mut().get_mut(id) {
             if let Some(reply) = open.reply.take() {
                 let answer = answer(open);
-                let how = match &answer {
-                    // How a long one ends is known when it has passed.
+                let result = match &answer {
+                    // A streamed response is counted when it ends.
                     Answer::Served(Served { body: ServedBody::Flow(_), .. }) => None,
                     Answer::Served(_) => Some(Ending::Served),
                     Answer::Refused(_) => Some(Ending::Refused),
                     Answer::Failed { .. } => Some(Ending::Failed),
                 };
-                // A client that has just left needs none.
-                if let (Ok(()), Some(how)) = (reply.send(answer), how) {
-                    self.figures.borrow_mut().ended(open.class.0, how);
+                // Not counted if the client has just disconnected.
+                if let (Ok(()), Some(result)) = (reply.send(answer), result) {
+                    self.figures.borrow_mut().ended(open.class.0, result);
                 }
             }
         }
-        self.forget_if_over(id);
+        self.remove_if_finished(id);
     }
 
     fn client_gone(self: &Rc<Self>, id: &RequestId) {
         let waited = self.open.borrow_mut().get_mut(id).and_then(|open| open.reply.take());
         if waited.is_some() {
             self.feed(Event::ClientGone(id.clone()));
-            self.forget_if_over(id);
+            self.remove_if_finished(id);
         }
     }
 
-    fn forget_if_over(&self, id: &RequestId) {
-        let mut all = self.open.borrow_mut();
-        if all.get(id).is_some_and(|o| o.reply.is_none() && o.attempts.iter().all(Option::is_none)) {
-            if let Some(over) = all.remove(id) {
-                self.ids.borrow_mut().remove(&over.parts.id);
+    fn remove_if_finished(&self, id: &RequestId) {
+        let mut requests = self.open.borrow_mut();
+        if requests
+            .get(id)
+            .is_some_and(|open| open.reply.is_none() && open.attempts.iter().all(Option::is_none))
+        {
+            if let Some(finished) = requests.remove(id) {
+                self.ids.borrow_mut().remove(&finished.parts.id);
             }
         }
     }
 }
 
-/// A request taken in: what stands for its client, and where its answer comes.
+/// An admitted request: its ticket and the channel of its answer.
 pub type TakenIn<P> = (Ticket<P>, oneshot::Receiver<Answer<<P as Platform>::Stream>>);
 
-/// Stands for a client that waits.
+/// Represents a waiting client; dropping it signals that the client has disconnected.
 pub struct Ticket<P: Platform> {
     driver: Rc<Driver<P>>,
     id: RequestId,
--- a/crates/dataplane/src/heads.rs
+++ b/crates/dataplane/src/heads.rs
@@ -1,7 +1,7 @@
-//! A client's connection that remembers the head of the request being read, as it came.
+//! A stream wrapper that records the raw head of the current request and the activity of a client connection.
 //!
-//! The HTTP library drops a `Content-Length` that stands beside a `Transfer-Encoding` (RFC 9112, 6.3), and then
-//! nothing tells whether a second request hides in the body. So heads are kept until their request is answered.
+//! The HTTP library drops a `Content-Length` that accompanies a `Transfer-Encoding` (RFC 9112, 6.3), which
+//! would hide an attempt at request smuggling. The raw head is therefore kept until its request is answered.
 
 use hingestage_platform::Platform;
 use std::cell::{Cell, RefCell};
@@ -12,107 +12,108 @@
 use std::time::Instant;
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 
-/// The head being read, bounded by what the library takes for one.
+/// The raw head of the current request.
 pub struct Head {
-    /// The largest head kept, bytes. The library refuses larger ones.
-    largest: usize,
+    /// Maximum size recorded, bytes. The HTTP library rejects larger heads.
+    max_bytes: usize,
     bytes: Vec<u8>,
-    whole: bool,
-    began: Option<Instant>,
+    complete: bool,
+    started: Option<Instant>,
 }
 
 impl Head {
-    /// Space kept for the next head.
-    const KEPT: usize = 1024;
+    /// Capacity kept between two requests, bytes.
+    const RESERVED_BYTES: usize = 1024;
 
-    /// Nothing has come yet. Of heads over `largest` bytes the rest is not kept.
-    pub fn new(largest: usize) -> Self {
-        Head { largest, bytes: Vec::new(), whole: false, began: None }
+    /// Creates an empty head that records at most `max_bytes`.
+    pub fn new(max_bytes: usize) -> Self {
+        Head { max_bytes, bytes: Vec::new(), complete: false, started: None }
     }
 
-    /// Takes in what has come: of a head, up to its empty line.
+    /// Records received bytes up to the empty line that ends the head.
     pub fn saw(&mut self, now: Instant, bytes: &[u8]) {
         if !bytes.is_empty() {
-            self.began.get_or_insert(now);
+            self.started.get_or_insert(now);
         }
         for byte in bytes {
-            if self.whole || self.bytes.len() >= self.largest {
+            if self.complete || self.bytes.len() >= self.max_bytes {
                 return;
             }
             self.bytes.push(*byte);
-            self.whole = self.bytes.ends_with(b"\r\n\r\n") || self.bytes.ends_with(b"\n\n");
+            self.complete = self.bytes.ends_with(b"\r\n\r\n") || self.bytes.ends_with(b"\n\n");
         }
     }
 
-    /// The request has been answered: what comes next is another head.
+    /// Prepares for the next request.
     pub fn next(&mut self) {
         self.bytes.clear();
-        self.bytes.shrink_to(Self::KEPT);
-        (self.whole, self.began) = (false, None);
+        self.bytes.shrink_to(Self::RESERVED_BYTES);
+        (self.complete, self.started) = (false, None);
     }
 
-    /// Since when a head is being read: none between two requests, and once it is whole.
+    /// When the first byte of an incomplete head arrived; `None` between requests and once the head is
+    /// complete.
     pub fn reading_since(&self) -> Option<Instant> {
-        self.began.filter(|_| !self.whole)
+        self.started.filter(|_| !self.complete)
     }
 
-    /// Whether it has come whole.
+    /// Whether the head is complete.
     pub fn is_whole(&self) -> bool {
-        self.whole
+        self.complete
     }
 
-    /// Whether this is the head of a request with that id in the header `id_name`, and names no length. A head that
-    /// came together with the request before it was not kept, and nothing is known of it.
+    /// Whether this is the complete head of the request with this id in the header `id_name`, and has no
+    /// `Content-Length`. A pipelined head is not recorded, so this returns false for it.
     pub fn names_no_length(&self, id_name: &str, id: &[u8]) -> bool {
-        let mut lines = self.bytes.split(|b| *b == b'\n').map(|line| line.split_at(colon(line)));
+        let mut lines = self.bytes.split(|b| *b == b'\n').map(|line| line.split_at(name_length(line)));
         let named = |line: &[u8], name: &[u8]| line.trim_ascii().eq_ignore_ascii_case(name);
         let same = lines.clone().any(|(name, value)| {
             named(name, id_name.as_bytes()) && value.get(1..).is_some_and(|value| value.trim_ascii() == id)
         });
-        self.whole && same && !lines.any(|(name, _)| named(name, b"content-length"))
+        self.complete && same && !lines.any(|(name, _)| named(name, b"content-length"))
     }
 }
 
-fn colon(line: &[u8]) -> usize {
+fn name_length(line: &[u8]) -> usize {
     line.iter().position(|b| *b == b':').unwrap_or(line.len())
 }
 
-/// What is kept of a client's connection.
+/// Observed transport state of a client connection.
 pub struct Kept {
-    /// The head being read.
+    /// The head of the current request.
     pub head: RefCell<Head>,
-    /// Since when the client has had no room for what is written to it; none where it takes all. Until that has
-    /// gone the connection does not idle, though its answer has left our hands: closing would cut off the end.
+    /// Since when writes have been blocked by the client; `None` if they are not. The connection is not idle
+    /// meanwhile: closing it would truncate the response.
     pub blocked: Cell<Option<Instant>>,
-    /// When anything last came from the client.
+    /// When bytes were last received.
     pub heard: Cell<Option<Instant>>,
 }
 
 impl Kept {
-    /// Nothing has come yet. `largest_head` is the largest head that is kept, bytes.
-    pub fn new(largest_head: usize) -> Self {
-        let head = RefCell::new(Head::new(largest_head));
+    /// Creates the state of a new connection; `max_head_bytes` limits the recorded head.
+    pub fn new(max_head_bytes: usize) -> Self {
+        let head = RefCell::new(Head::new(max_head_bytes));
         Kept { head, blocked: Cell::new(None), heard: Cell::new(None) }
     }
 
-    fn wrote<T>(&self, now: impl FnOnce() -> Instant, polled: Poll<T>) -> Poll<T> {
+    fn record_write<T>(&self, now: impl FnOnce() -> Instant, polled: Poll<T>) -> Poll<T> {
         let since = self.blocked.get();
         self.blocked.set(if polled.is_pending() { since.or_else(|| Some(now())) } else { None });
         polled
     }
 }
 
-/// A connection whose heads are kept.
+/// A client stream that records its activity.
 pub struct Headed<P: Platform> {
     platform: P,
     stream: P::Stream,
-    kept: Rc<Kept>,
+    state: Rc<Kept>,
 }
 
 impl<P: Platform> Headed<P> {
-    /// Keeps the heads that come on a connection.
-    pub fn new(platform: P, stream: P::Stream, kept: Rc<Kept>) -> Self {
-        Headed { platform, stream, kept }
+    /// Wraps a stream.
+    pub fn new(platform: P, stream: P::Stream, state: Rc<Kept>) -> Self {
+        Headed { platform, stream, state }
     }
 }
 
@@ -122,20 +123,20 @@
         let polled = Pin::new(&mut self.stream).poll_read(cx, buf);
         if buf.filled().len() > before {
             let now = self.platform.now();
-            self.kept.heard.set(Some(now));
-            self.kept.head.borrow_mut().saw(now, &buf.filled()[before..]);
+            self.state.heard.set(Some(now));
+            self.state.head.borrow_mut().saw(now, &buf.filled()[before..]);
         }
         polled
     }
 }
 
-// Nothing in it is pinned in place.
+// No field is structurally pinned.
 impl<P: Platform> Unpin for Headed<P> {}
 
 impl<P: Platform> AsyncWrite for Headed<P> {
     fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context, buf: &[u8]) -> Poll<io::Result<usize>> {
         let polled = Pin::new(&mut self.stream).poll_write(cx, buf);
-        self.kept.wrote(|| self.platform.now(), polled)
+        self.state.record_write(|| self.platform.now(), polled)
     }
 
     fn poll_write_vectored(
@@ -144,7 +145,7 @@
         bufs: &[io::IoSlice],
     ) -> Poll<io::Result<usize>> {
         let polled = Pin::new(&mut self.stream).poll_write_vectored(cx, bufs);
-        self.kept.wrote(|| self.platform.now(), polled)
+        self.state.record_write(|| self.platform.now(), polled)
     }
 
     fn is_write_vectored(&self) -> bool {
@@ -164,18 +165,18 @@
 mod tests {
     use super::*;
 
-    const LARGEST: usize = 16 * 1024;
+    const MAX_BYTES: usize = 16 * 1024;
 
-    fn knows(text: &str) -> bool {
-        let mut head = Head::new(LARGEST);
-        // Piece by piece or at once is the same.
+    fn lacks_content_length(text: &str) -> bool {
+        let mut head = Head::new(MAX_BYTES);
+        // The result must not depend on how the head is split.
         text.as_bytes().chunks(3).for_each(|piece| head.saw(Instant::now(), piece));
         head.names_no_length("request-id", b"r-1")
     }
 
     #[test]
-    fn only_a_whole_head_of_this_request_without_a_length_is_trusted() {
-        for (text, trusted) in [
+    fn only_complete_heads_of_this_request_can_lack_a_length() {
+        for (text, lacks_length) in [
             ("POST /p HTTP/1.1\r\nRequest-Id: r-1\r\nTransfer-Encoding: chunked\r\n\r\n5\r\n", true),
             ("POST /p HTTP/1.1\nrequest-id:r-1\n\n", true),
             ("POST /p HTTP/1.1\r\nRequest-Id: r-1\r\ncontent-LENGTH : 5\r\n\r\n", false),
@@ -183,16 +184,16 @@
             ("POST /p HTTP/1.1\r\nRequest-Id: r-1\r\n", false),
             ("5\r\nhello\r\n0\r\n\r\nRequest-Id: r-1\r\n\r\n", false),
         ] {
-            assert_eq!(knows(text), trusted, "{text:?}");
+            assert_eq!(lacks_content_length(text), lacks_length, "{text:?}");
         }
     }
 
     #[test]
-    fn a_head_without_end_takes_no_more_than_its_bound() {
-        let mut head = Head::new(LARGEST);
+    fn the_recorded_head_is_bounded() {
+        let mut head = Head::new(MAX_BYTES);
         (0..100).for_each(|_| head.saw(Instant::now(), &[b'x'; 1000]));
-        assert_eq!(head.bytes.len(), LARGEST);
+        assert_eq!(head.bytes.len(), MAX_BYTES);
         head.next();
-        assert!(head.bytes.capacity() <= Head::KEPT);
+        assert!(head.bytes.capacity() <= Head::RESERVED_BYTES);
     }
 }
--- a/crates/dataplane/src/hooks.rs
+++ b/crates/dataplane/src/hooks.rs
@@ -1,4 +1,4 @@
-//! What stands beside a driver: hears what happens, and has a say in what begins.
+//! Hooks through which other subsystems observe and influence a driver.
 
 use hingestage_policy::{
     ClassId, CounterName, CounterOutcome, CustomerId, Effect, ListScope, Micros, Outcome, PlanId, WorkerId,
@@ -7,64 +7,65 @@
 use hyper::header::HeaderValue;
 use std::time::Duration;
 
-/// A request that is about to begin.
+/// A request that is about to start.
 #[derive(Clone, Copy, Debug)]
 pub struct Beginning<'a> {
-    /// Whose it is.
+    /// The customer that sent it.
     pub customer: &'a CustomerId,
     /// Its class.
     pub class: ClassId,
-    /// The plan that it comes with.
+    /// The plan it was sent with.
     pub plan: PlanId,
-    /// The first of the gateways that the customer's requests come through, and their number.
+    /// The first of the gateways that serve this customer.
     pub first: u32,
-    /// See `first`.
+    /// Number of gateways that serve this customer.
     pub gateways: u32,
 }
 
-/// The subsystems beside a driver. Each method does nothing unless it is written anew; what they want of the decisions
-/// they feed to the driver, also from within a method.
+/// Hooks called by a driver; the defaults do nothing. Implementations may pass events to the driver, also
+/// from within a hook.
 pub trait Subsystems {
-    /// A request begins: gives the plan that it begins under; none where its customer is refused.
+    /// Called when a request starts. Returns the plan to apply, or `None` to refuse it.
     fn begins(&self, _now: Micros, request: Beginning) -> Option<PlanId> {
         Some(request.plan)
     }
 
-    /// An attempt whose body is held whole goes out. One whose body passes through is told of at its end only.
+    /// Called when an attempt with a buffered body is started. Attempts with streamed bodies are reported
+    /// only at their end.
     fn sent(&self, _now: Micros, _worker: WorkerId) {}
 
-    /// An attempt ended after so long.
+    /// Called when an attempt has ended, with its duration.
     fn ended(&self, _now: Micros, _worker: WorkerId, _outcome: Outcome, _took: Duration) {}
 
-    /// An attempt of the request with this id of its client ended; told after [`Subsystems::ended`].
+    /// Called after [`DriverHooks::on_attempt_end`] with the client's request id.
     fn attempt_ended(&self, _id: &HeaderValue, _worker: WorkerId, _outcome: Outcome) {}
 
-    /// News of the workers, before the decisions hear of them.
+    /// Called with a worker update, before the decision logic receives it.
     fn listed(&self, _workers: &[WorkerInfo], _scope: ListScope) {}
 
-    /// Adds to a number that all gateways share. Gives the outcome where it is known at once; otherwise it is fed to
-    /// the driver later, exactly once. Without a counter it is refused.
+    /// Adds to a counter shared by all gateways. Returns the outcome if it is known at once; otherwise the
+    /// outcome must be passed to the driver later, exactly once. Refused without a counter.
     fn count(&self, _name: &CounterName, _amount: f64, _keep: Micros) -> Option<CounterOutcome> {
         Some(CounterOutcome::Refused)
     }
 
-    /// Whether anything may begin.
+    /// Whether new requests may be started.
     fn may_begin(&self) -> bool {
         true
     }
 
-    /// How often the effect of a class may happen, where other than the configuration's settings say so.
+    /// The delivery guarantee of a class, if it overrides the configured one.
     fn effect(&self, _class: ClassId) -> Option<Effect> {
         None
     }
 
-    /// The longest that a client may wait, where other than the configuration's settings say so.
+    /// The maximum client wait, if it overrides the configured one.
     fn longest(&self) -> Option<Duration> {
         None
     }
 }
 
-/// A driver that stands alone.
+/// Hooks that do nothing.
 pub struct NoSubsystems;
 
 impl Subsystems for NoSubsystems {}
--- a/crates/dataplane/src/lib.rs
+++ b/crates/dataplane/src/lib.rs
@@ -1,8 +1,9 @@
-//! What carries requests from clients to workers and answers back, without the words of any one platform.
+//! The data plane: forwards requests from clients to workers and returns the responses, independent of the
+//! platform's protocol.
 //!
-//! Between the two sides: [`driver`] owns the decisions and the open requests, [`hooks`] is what may stand beside it.
-//! Workers' side: [`workers`] keeps pooled connections and makes attempts in the words of a [`dialect`].
-//! Clients' side: [`connections`] takes clients in, whatever answers them; [`collect`] reads bodies within bounds.
+//! [`driver`] runs the decision logic and owns the open requests; [`hooks`] lets other subsystems take part.
+//! On the worker side, [`workers`] pools connections and makes attempts over a [`protocol`]. On the client
+//! side, [`connections`] accepts clients and [`collect`] reads request bodies.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
@@ -20,7 +21,7 @@
 
 use hingestage_platform::Platform;
 
-/// Reports something odd from outside, sparsely: what repeats says so at powers of two only.
+/// Logs a recurring problem, at occurrences that are powers of two only.
 pub fn note(platform: &impl Platform, count: &std::cell::Cell<u64>, what: impl std::fmt::Display) {
     count.set(count.get() + 1);
     if count.get().is_power_of_two() {
--- a/crates/dataplane/src/passing.rs
+++ b/crates/dataplane/src/passing.rs
@@ -1,4 +1,4 @@
-//! Answers on their way to clients: short ones whole, long ones as the worker gives them.
+//! Response bodies on their way to clients: buffered, or streamed from the worker.
 
 use crate::body::{poll_whole, Piece, Source};
 use crate::client::Client;
@@ -14,16 +14,16 @@
 use std::rc::Rc;
 use std::task::{ready, Context, Poll};
 
-/// The body of an answer as the HTTP library writes it.
+/// The body of a response to a client.
 pub enum Written<P: Platform> {
-    /// All of it.
+    /// A buffered body.
     Whole(Full<Bytes>),
-    /// A long one.
+    /// A body streamed from a worker.
     Flow(Box<Passed<P>>),
 }
 
 impl<P: Platform> Written<P> {
-    /// The body of a worker's good answer on its way to its client. The ticket lives as long as a long one.
+    /// Creates the body of a worker's successful response. A streamed body holds the ticket until it ends.
     pub fn served(
         driver: Rc<Driver<P>>,
         client: Rc<Client>,
@@ -42,20 +42,20 @@
     }
 }
 
-/// A worker's long answer on its way. Dropped before its end it is cut off, and its client can tell: the length
-/// said, or the last chunk, is missing.
+/// A response streamed from a worker. If dropped early, the client detects the truncation by the missing
+/// length or last chunk.
 pub struct Passed<P: Platform> {
     driver: Rc<Driver<P>>,
     client: Rc<Client>,
     class: ClassId,
-    /// The request is under way for as long as this lives.
+    /// Keeps the request open for as long as the response is streaming.
     _ticket: Ticket<P>,
-    /// None once it is over.
+    /// `None` once the response has ended.
     rest: Option<Rest<P::Stream>>,
 }
 
 impl<P: Platform> Passed<P> {
-    /// Nothing has passed yet.
+    /// Creates a response of which nothing has been forwarded.
     pub fn new(
         driver: Rc<Driver<P>>,
         client: Rc<Client>,
@@ -66,8 +66,8 @@
         Passed { driver, client, class, _ticket: ticket, rest: Some(rest) }
     }
 
-    /// All has come: the connection to the worker can serve again.
-    fn over(&mut self) {
+    /// Counts the request and returns the worker connection to its pool.
+    fn finish(&mut self) {
         let Some(rest) = self.rest.take() else { return };
         self.driver.figures.borrow_mut().ended(self.class.0, Ending::Served);
         let (driver, worker) = (self.driver.clone(), rest.worker);
@@ -76,12 +76,12 @@
 
     fn poll(&mut self, cx: &mut Context) -> Poll<Piece> {
         let Some(rest) = self.rest.as_mut() else { return Poll::Ready(None) };
-        let (frame, over) = ready!(rest.source.poll(cx));
+        let (frame, complete) = ready!(rest.source.poll(cx));
         if matches!(frame, Some(Ok(_))) {
             self.client.moves(self.driver.platform.now());
         }
-        if over {
-            self.over();
+        if complete {
+            self.finish();
         } else if matches!(frame, Some(Err(_))) {
             self.driver.figures.borrow_mut().ended(self.class.0, Ending::Failed);
             self.rest = None;
@@ -124,5 +124,5 @@
     }
 }
 
-// Nothing in it is pinned in place.
+// No field is structurally pinned.
 impl<P: Platform> Unpin for Written<P> {}
--- a/crates/dataplane/src/wire.rs
+++ b/crates/dataplane/src/wire.rs
@@ -1,5 +1,5 @@
-//! A connection that counts what passes, can be closed at once from outside, and writes nothing new
-//! where something unasked has come in.
+//! A worker connection that counts its bytes, can be closed from outside, and refuses to write after
+//! unsolicited input.
 
 use hingestage_platform::{Stream, Task};
 use std::cell::{Cell, RefCell};
@@ -10,13 +10,13 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::sync::Notify;
 
-/// One of a bounded number of places; free again when dropped.
+/// A slot of a limited number of connections; freed on drop.
 pub struct Place(Rc<Cell<usize>>);
 
 impl Place {
-    /// Takes a place if fewer than `most` are taken.
-    pub fn take(taken: &Rc<Cell<usize>>, most: usize) -> Option<Place> {
-        (taken.get() < most).then(|| {
+    /// Takes a slot if fewer than `max` are taken.
+    pub fn take(taken: &Rc<Cell<usize>>, max: usize) -> Option<Place> {
+        (taken.get() < max).then(|| {
             taken.set(taken.get() + 1);
             Place(taken.clone())
         })
@@ -29,38 +29,38 @@
     }
 }
 
-/// The part of a connection that stays in hand while the HTTP library drives the rest.
+/// The gateway's handle on a connection that the HTTP library drives.
 pub struct Wire<S> {
     stream: RefCell<Option<(S, Place)>>,
     written: Cell<u64>,
     read: Cell<u64>,
-    /// Told of whatever has been read.
-    heard: Notify,
-    /// Whether nothing may have come in by the time of the next write.
-    silent: Cell<bool>,
-    driver: RefCell<Option<Box<dyn Task>>>,
+    /// Notified on each read.
+    read_notify: Notify,
+    /// Whether unsolicited input must fail the next write.
+    fail_on_input: Cell<bool>,
+    task: RefCell<Option<Box<dyn Task>>>,
 }
 
 impl<S: Stream> Wire<S> {
-    /// Takes a connection in.
+    /// Wraps a connected stream.
     pub fn new(stream: S, place: Place) -> Rc<Self> {
         let stream = RefCell::new(Some((stream, place)));
         Rc::new(Wire {
             stream,
             written: Cell::new(0),
             read: Cell::new(0),
-            heard: Notify::new(),
-            silent: Cell::new(false),
-            driver: RefCell::new(None),
+            read_notify: Notify::new(),
+            fail_on_input: Cell::new(false),
+            task: RefCell::new(None),
         })
     }
 
-    /// Names the task that drives it, which ends with it.
+    /// Sets the task that drives the connection; it is aborted on close.
     pub fn driven_by(&self, task: impl Task) {
-        *self.driver.borrow_mut() = Some(Box::new(task));
+        *self.task.borrow_mut() = Some(Box::new(task));
     }
 
-    /// Bytes that the system has taken for sending so far.
+    /// Bytes written to the socket so far.
     pub fn written(&self) -> u64 {
         self.written.get()
     }
@@ -68,7 +68,7 @@
     /// Waits until more than `mark` bytes have been read.
     pub async fn read_past(&self, mark: u64) {
         while self.read.get() <= mark {
-            self.heard.notified().await;
+            self.read_notify.notified().await;
         }
     }
 
@@ -77,27 +77,29 @@
         self.read.get()
     }
 
-    /// Lets the next write fail, with nothing written, if anything can be read by then. What has come in
-    /// unasked would be taken for the answer to what is written next. The system itself is asked: the
-    /// runtime knows only what it was told when it last waited.
+    /// Makes the next write fail, with nothing written, if any input is pending: unsolicited input would be
+    /// taken for the response to the next request. This asks the operating system, because the runtime's
+    /// readiness may be stale.
     pub fn expect_silence(&self) {
-        self.silent.set(true);
+        self.fail_on_input.set(true);
     }
 
-    fn check_silence(&self) -> io::Result<()> {
+    fn check_no_input(&self) -> io::Result<()> {
         let stream = self.stream.borrow();
-        let (true, Some((stream, _))) = (self.silent.replace(false), stream.as_ref()) else { return Ok(()) };
+        let (true, Some((stream, _))) = (self.fail_on_input.replace(false), stream.as_ref()) else {
+            return Ok(());
+        };
         match stream.is_quiet() {
             true => Ok(()),
             false => Err(io::ErrorKind::ConnectionAborted.into()),
         }
     }
 
-    /// Closes the connection before this returns. Merely ending the tasks round it would leave it open until
-    /// they are next run, and a further attempt could meet this one still out.
+    /// Closes the socket before returning. Aborting the tasks alone would leave it open until they next run,
+    /// and a retry could overlap with this attempt.
     pub fn close(&self) {
         drop(self.stream.borrow_mut().take());
-        if let Some(task) = self.driver.borrow_mut().take() {
+        if let Some(task) = self.task.borrow_mut().take() {
             task.abort();
         }
     }
@@ -110,7 +112,7 @@
     }
 
     fn write(&self, poll: impl FnOnce(Pin<&mut S>) -> Poll<io::Result<usize>>) -> Poll<io::Result<usize>> {
-        self.check_silence()?;
+        self.check_no_input()?;
         let polled = self.poll(poll);
         if let Poll::Ready(Ok(n)) = polled {
             self.written.set(self.written.get() + n as u64);
@@ -119,12 +121,12 @@
     }
 }
 
-/// The side of a [`Wire`] that the HTTP library reads and writes.
+/// The I/O side of a [`WorkerConnection`], used by the HTTP library.
 pub struct WireIo<S: Stream>(pub Rc<Wire<S>>);
 
 impl<S: Stream> Drop for WireIo<S> {
     fn drop(&mut self) {
-        // The library is done with it: no descriptor may outlive that.
+        // The HTTP library has finished: free the descriptor at once.
         drop(self.0.stream.borrow_mut().take());
     }
 }
@@ -136,7 +138,7 @@
         let read = (buf.filled().len() - before) as u64;
         if read > 0 {
             self.0.read.set(self.0.read.get() + read);
-            self.0.heard.notify_one();
+            self.0.read_notify.notify_one();
         }
         polled
     }
@@ -174,16 +176,16 @@
     use std::future::poll_fn;
     use tokio::net::TcpStream;
 
-    /// What has come in and the runtime has not noticed yet must stop a write all the same.
+    /// Input that the runtime has not noticed yet must still fail the write.
     #[tokio::test]
-    async fn nothing_is_written_where_something_unasked_has_come_in() {
+    async fn a_write_fails_after_unsolicited_input() {
         let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
         let stream = TcpStream::connect(listener.local_addr().unwrap()).await.unwrap();
         let (mut peer, _) = listener.accept().unwrap();
         let wire = Wire::new(stream, Place::take(&Rc::default(), 1).unwrap());
         let mut io = WireIo(wire.clone());
         let mut buffer = [0; 8];
-        // The runtime learns that there is nothing to read.
+        // Clears the runtime's read readiness.
         let nothing = poll_fn(|cx| {
             let mut buffer = ReadBuf::new(&mut buffer);
             Poll::Ready(Pin::new(&mut io).poll_read(cx, &mut buffer).is_pending())
@@ -192,7 +194,7 @@
         wire.expect_silence();
         assert_eq!(poll_fn(|cx| Pin::new(&mut io).poll_write(cx, b"one")).await.unwrap(), 3);
         std::io::Write::write_all(&mut peer, b"noise").unwrap();
-        // Over loopback it has arrived; no turn of the runtime's loop lies in between.
+        // Loopback delivers at once; the runtime has not polled in between.
         wire.expect_silence();
         let written = poll_fn(|cx| Poll::Ready(Pin::new(&mut io).poll_write(cx, b"two"))).await;
         assert!(matches!(written, Poll::Ready(Err(_))));
--- a/crates/dataplane/src/workers.rs
+++ b/crates/dataplane/src/workers.rs
@@ -1,4 +1,4 @@
-//! The workers' side: pooled connections, attempts, and what an attempt's end proves.
+//! Pooled connections to workers and the attempts made over them.
 
 use crate::body::{Joined, Passing, RequestBody, Source, HELD};
 use crate::dialect::{Dialect, Judgement, Parts};
@@ -23,80 +23,79 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// Idle connections kept to one worker.
-const IDLE_MAX: usize = 32;
-/// The largest head of an answer, bytes.
-const HEAD_MAX: usize = 16 * 1024;
-/// The longest answer, bytes: what is said to be longer is nonsense.
-const LONGEST: u64 = 40 << 20;
-/// Bytes of an answer without a length that are held before it is taken for a long one: it may be spoilt, and
-/// then another attempt can still be made, but the first bytes of a long one are waited for.
-const HELD_CHUNKED: usize = 8 * 1024;
-/// How long an answer that has begun may pause: the machines share a room, and a slow one still writes on.
-const REST: Duration = Duration::from_millis(300);
-/// How long a connection rests after an answer before it carries another request. A worker that sends an
-/// answer twice sends the copy right behind; on its way while the next request is written, it would be taken
-/// for the answer to that and serve one client with what was made for another.
-const RESTED: Duration = Duration::from_millis(2);
-/// How long a connection may take to be ready again once its answer has been read.
-const SETTLE: Duration = Duration::from_millis(250);
-/// Time kept back from the idle time that a worker tells: a request on its way must not cross the closing.
-const IDLE_MARGIN: Duration = Duration::from_secs(1);
-
-/// By when an attempt must have come how far.
+/// Maximum number of idle connections per worker.
+const IDLE_CONNECTIONS_MAX: usize = 32;
+/// Maximum size of a response head, bytes.
+const RESPONSE_HEAD_MAX_BYTES: usize = 16 * 1024;
+/// Maximum declared length of a response, bytes.
+const RESPONSE_MAX_BYTES: u64 = 40 << 20;
+/// Bytes of a chunked response that are buffered before it is streamed. Until then a broken response can
+/// still be retried; more buffering would delay the first bytes of a long one.
+const CHUNKED_BUFFER_MAX_BYTES: usize = 8 * 1024;
+/// Maximum pause within a response before it counts as stalled.
+const STALL_TIMEOUT: Duration = Duration::from_millis(300);
+/// Minimum idle time of a connection before reuse. A duplicate response follows the first one immediately; it
+/// must arrive before the next request is written, or it would be taken for its response.
+const REUSE_DELAY: Duration = Duration::from_millis(2);
+/// Maximum time for a connection to become ready again after a response.
+const READY_TIMEOUT: Duration = Duration::from_millis(250);
+/// Safety margin subtracted from a worker's announced keep-alive timeout.
+const KEEP_ALIVE_MARGIN: Duration = Duration::from_secs(1);
+
+/// Time limits of an attempt.
 #[derive(Clone, Copy, Debug)]
 pub struct Times {
-    /// Not written at all after this, which is no later than the deadline.
+    /// The request is not written after this; no later than the deadline.
     pub begin_by: Instant,
-    /// Given up then.
+    /// The attempt times out then.
     pub deadline: Instant,
 }
 
-/// A worker's good answer.
+/// A worker's successful response.
 pub struct Served<S: Stream> {
-    /// The status.
+    /// Status.
     pub status: StatusCode,
-    /// The headers that go to the client.
+    /// Headers for the client.
     pub headers: HeaderMap,
-    /// The body, unchanged.
+    /// Body, unchanged.
     pub body: ServedBody<S>,
 }
 
-/// The body of a good answer.
+/// The body of a successful response.
 pub enum ServedBody<S: Stream> {
-    /// All of it.
+    /// A buffered body.
     Whole(Bytes),
-    /// What has come so far of a long one, and where the rest comes from.
+    /// A body that is still being received.
     Flow(Box<Rest<S>>),
 }
 
-/// The rest of a long answer.
+/// A response body that is still being received.
 pub struct Rest<S: Stream> {
-    /// What has come so far and what is to come.
+    /// The body.
     pub source: Source,
-    /// The worker that it comes from.
+    /// The worker that sends it.
     pub worker: WorkerId,
     conn: Conn<S>,
 }
 
 impl<S: Stream> Rest<S> {
-    /// The end of an attempt whose answer has come whole: its connection can serve again.
+    /// The result of an attempt whose streamed response is complete; the connection may be reused.
     pub fn over(self) -> Attempted<S> {
         Attempted { conn: Some(self.conn).filter(|conn| conn.reusable), ..Outcome::Ok.into() }
     }
 }
 
-/// The end of an attempt.
+/// Result of an attempt.
 pub struct Attempted<S: Stream> {
-    /// How it ended.
+    /// Outcome.
     pub outcome: Outcome,
-    /// The true units, if told.
+    /// Actual cost in units, if the worker reported it.
     pub true_units: Option<f64>,
-    /// When the answer's first bytes came, where it did not come in one piece.
+    /// When the first bytes of the response arrived.
     pub heard: Option<Instant>,
-    /// The answer, if good.
+    /// The response, if successful.
     pub served: Option<Served<S>>,
-    /// The connection, where it can serve again.
+    /// The connection, if it may be reused.
     conn: Option<Conn<S>>,
 }
 
@@ -106,20 +105,21 @@
     }
 }
 
-/// How far an attempt has come, for those who may call it off.
+/// Progress of an attempt, for cancelling it.
 pub struct Progress<S> {
-    begun: RefCell<Option<Begun<S>>>,
+    started: RefCell<Option<StartedRequest<S>>>,
 }
 
-/// A request that may have been written to a connection that had so many bytes written before.
-struct Begun<S> {
+/// A request being written to a connection.
+struct StartedRequest<S> {
     wire: Rc<Wire<S>>,
     before: u64,
     parts: Rc<Parts>,
 }
 
-impl<S: Stream> Begun<S> {
-    /// Whether it can be whole at the worker: its body is, and some head before it.
+impl<S: Stream> StartedRequest<S> {
+    /// Whether the worker may have received the whole request: the body is sent, and at least part of a head
+    /// before it.
     fn whole(&self) -> bool {
         self.parts.body.over() && self.wire.written() > self.before + self.parts.body.passed()
     }
@@ -127,62 +127,62 @@
 
 impl<S> Default for Progress<S> {
     fn default() -> Self {
-        Progress { begun: RefCell::new(None) }
+        Progress { started: RefCell::new(None) }
     }
 }
 
 impl<S: Stream> Progress<S> {
-    /// Whether it still waits for a connection.
+    /// Whether the attempt still waits for a connection.
     pub fn waits(&self) -> bool {
-        self.begun.borrow().is_none()
+        self.started.borrow().is_none()
     }
 
-    /// Whether a worker may have the whole request by now.
+    /// Whether the worker may have received the whole request.
     pub fn came_whole(&self) -> bool {
-        self.begun.borrow().as_ref().is_some_and(Begun::whole)
+        self.started.borrow().as_ref().is_some_and(StartedRequest::whole)
     }
 
-    /// Ends the attempt's connection at once, and tells whether a worker may have the whole request.
+    /// Closes the attempt's connection and returns whether the worker may have received the whole request.
     pub fn give_up(&self) -> bool {
-        self.begun.borrow_mut().take().is_some_and(|begun| {
-            begun.wire.close();
-            begun.whole()
+        self.started.borrow_mut().take().is_some_and(|started| {
+            started.wire.close();
+            started.whole()
         })
     }
 
-    /// From here on the request may be written.
+    /// Records that the request may be written from now on.
     fn begin(&self, wire: &Rc<Wire<S>>, used: bool, parts: &Rc<Parts>) {
         let (wire, before, parts) = (wire.clone(), wire.written(), parts.clone());
         if used {
             wire.expect_silence();
         }
-        *self.begun.borrow_mut() = Some(Begun { wire, before, parts });
+        *self.started.borrow_mut() = Some(StartedRequest { wire, before, parts });
     }
 }
 
-/// A connection between two requests.
+/// A worker connection, idle or with a request in progress.
 struct Conn<S: Stream> {
     sender: SendRequest<Passing>,
     wire: Rc<Wire<S>>,
-    /// Where it leads, and to which life of the worker.
-    life: Life,
+    /// The worker process it is connected to.
+    process: WorkerProcess,
     idle_since: Instant,
-    /// How long it may stay idle.
+    /// Maximum idle time.
     idle_limit: Duration,
     used: bool,
-    /// Whether it may serve again after the answer that it carries.
+    /// Whether it may be reused after the current response.
     reusable: bool,
 }
 
 impl<S: Stream> Conn<S> {
-    /// Whether it has been idle for so long that the worker may be about to close it.
+    /// Whether the worker may be about to close it.
     fn expired(&self, now: Instant) -> bool {
         now.saturating_duration_since(self.idle_since) >= self.idle_limit
     }
 }
 
-/// Address and start of a worker.
-type Life = (SocketAddr, u64);
+/// Address and start time, ms, of a worker process.
+type WorkerProcess = (SocketAddr, u64);
 
 impl<S: Stream> Drop for Conn<S> {
     fn drop(&mut self) {
@@ -191,91 +191,100 @@
 }
 
 struct Pool<S: Stream> {
-    life: Life,
+    process: WorkerProcess,
     ready: bool,
     idle: Vec<Conn<S>>,
 }
 
-/// Connections to all workers.
+/// Connection pools of all workers.
 pub struct Workers<P: Platform> {
     platform: P,
-    /// In order: whose idle connection makes room must not hang on a table's random keys.
+    /// Ordered, so that the choice of a connection to evict is deterministic.
     pools: RefCell<BTreeMap<WorkerId, Pool<P::Stream>>>,
     open: Rc<Cell<usize>>,
-    most: usize,
+    max_connections: usize,
     connect_timeout: Duration,
-    keep_idle: Duration,
+    idle_timeout: Duration,
     dialect: Rc<dyn Dialect>,
-    odd: Cell<u64>,
-    /// Who wants to know that nobody listens at a worker's address.
+    problem_count: Cell<u64>,
+    /// Called with a worker whose address refuses connections.
     on_refused: RefCell<Option<OnRefused>>,
 }
 
 type OnRefused = Rc<dyn Fn(WorkerId)>;
 
 impl<P: Platform> Workers<P> {
-    /// None known yet. Connections are retired at half the time after which workers close them: a request
-    /// that crosses the closing would be a reset, which may have run.
+    /// Creates an empty set. Connections are retired after half of the workers' idle timeout: a request that
+    /// crosses the worker's close would be reset and may have been executed.
     pub fn new(
         platform: P,
-        most: usize,
+        max_connections: usize,
         connect_timeout: Duration,
         worker_idle: Duration,
         dialect: Rc<dyn Dialect>,
     ) -> Self {
         let (pools, open) = (RefCell::default(), Rc::default());
-        let keep_idle = worker_idle / 2;
-        let (odd, on_refused) = (Cell::new(0), RefCell::default());
-        Workers { platform, pools, open, most, connect_timeout, keep_idle, dialect, odd, on_refused }
+        let idle_timeout = worker_idle / 2;
+        let (problem_count, on_refused) = (Cell::new(0), RefCell::default());
+        Workers {
+            platform,
+            pools,
+            open,
+            max_connections,
+            connect_timeout,
+            idle_timeout,
+            dialect,
+            problem_count,
+            on_refused,
+        }
     }
 
-    /// Tells somebody from now on when nobody listens at a worker's address.
-    pub fn tell_refused(&self, tell: impl Fn(WorkerId) + 'static) {
-        *self.on_refused.borrow_mut() = Some(Rc::new(tell));
+    /// Sets a callback for refused connections.
+    pub fn tell_refused(&self, callback: impl Fn(WorkerId) + 'static) {
+        *self.on_refused.borrow_mut() = Some(Rc::new(callback));
     }
 
-    /// Notes where a worker is, when it started and whether it takes work. Idle connections to one that does
-    /// not, or to a former life of it, are closed: a request written to a dead process is a reset, and an
-    /// unsafe one would then be failed for nothing.
+    /// Adds or updates a worker. Its idle connections are closed if it no longer accepts work or was
+    /// restarted: a request written to a dead process would be reset and could not be retried if unsafe.
     pub fn list(&self, id: WorkerId, addr: SocketAddr, boot_ms: u64, ready: bool) {
-        let (life, mut pools) = ((addr, boot_ms), self.pools.borrow_mut());
-        // Where a new worker has taken an address over, connections of the old one lead nowhere.
-        for (_, former) in pools.iter_mut().filter(|(other, pool)| **other != id && pool.life.0 == addr) {
+        let (process, mut pools) = ((addr, boot_ms), self.pools.borrow_mut());
+        // Another worker has taken over this address, so the old connections are stale.
+        for (_, former) in pools.iter_mut().filter(|(other, pool)| **other != id && pool.process.0 == addr) {
             former.idle.clear();
         }
-        let pool = pools.entry(id).or_insert_with(|| Pool { life, ready, idle: Vec::new() });
-        if pool.life != life || !ready {
+        let pool = pools.entry(id).or_insert_with(|| Pool { process, ready, idle: Vec::new() });
+        if pool.process != process || !ready {
             pool.idle.clear();
         }
-        (pool.life, pool.ready) = (life, ready);
+        (pool.process, pool.ready) = (process, ready);
     }
 
-    /// Forgets a worker.
+    /// Removes a worker.
     pub fn unlist(&self, id: WorkerId) {
         self.pools.borrow_mut().remove(&id);
     }
 
-    /// Forgets all workers but these.
+    /// Removes all workers except these.
     pub fn keep_only(&self, named: &HashSet<WorkerId>) {
         self.pools.borrow_mut().retain(|id, _| named.contains(id));
     }
 
-    /// Whether the list names this worker.
+    /// Whether this worker is known.
     pub fn lists(&self, id: WorkerId) -> bool {
         self.pools.borrow().contains_key(&id)
     }
 
-    /// Workers on the list.
+    /// Number of known workers.
     pub fn listed(&self) -> usize {
         self.pools.borrow().len()
     }
 
-    /// Whether the list, as told so far, lets anything new go to this worker.
+    /// Whether this worker accepts new requests.
     pub fn takes_work(&self, id: WorkerId) -> bool {
         self.pools.borrow().get(&id).is_some_and(|pool| pool.ready)
     }
 
-    /// Closes connections that have been idle for long.
+    /// Closes expired idle connections.
     pub fn retire_idle(&self) {
         let now = self.platform.now();
         for pool in self.pools.borrow_mut().values_mut() {
@@ -283,7 +292,7 @@
         }
     }
 
-    /// Sends a request once and waits for its whole answer.
+    /// Sends a request once and waits for the response, or for the start of a streamed one.
     pub async fn attempt(
         &self,
         worker: WorkerId,
@@ -292,35 +301,35 @@
         progress: &Progress<P::Stream>,
     ) -> Attempted<P::Stream> {
         loop {
-            let mut conn = match self.connection(worker, parts, times.begin_by).await {
+            let mut conn = match self.acquire(worker, parts, times.begin_by).await {
                 Ok(conn) => conn,
                 Err(outcome) => return outcome.into(),
             };
-            // The connection may have taken its time: the list of now decides, not that of the send.
+            // Connecting may have taken a while; check the worker's current state.
             if !self.takes_work(worker) || self.platform.now() > times.begin_by {
                 return Outcome::NotSent.into();
             }
             let Some(body) = parts.body.open() else { return Outcome::NotSent.into() };
             progress.begin(&conn.wire, conn.used, parts);
-            let limit = self.limit(parts, times.deadline);
+            let timeout = self.attempt_timeout(parts, times.deadline);
             let heard = Cell::new(None);
             let exchange = self.exchange(worker, &mut conn, parts, body, times.deadline, &heard);
             let ended = tokio::select! {
                 biased;
                 ended = exchange => Ok(ended),
-                () = limit => Err(Elapsed),
+                () = timeout => Err(Elapsed),
             };
             if let Ok(Ok(answer)) = ended {
-                return Attempted { heard: heard.get(), ..self.attempted(worker, answer, conn) };
+                return Attempted { heard: heard.get(), ..self.attempt_result(worker, answer, conn) };
             }
             let (used, whole) = (conn.used, progress.give_up());
             drop(conn);
             match ended {
-                // A kept connection turned out to be closed before anything was written: that was no attempt.
+                // A pooled connection had been closed before anything was written: retry on another one.
                 Ok(Err(_)) if used && !whole => continue,
                 _ if !whole => return Outcome::ConnectFailed.into(),
-                Ok(Err(Broken::Spoilt(what))) => {
-                    note(&self.platform, &self.odd, format_args!("worker {}: {what}", worker.0));
+                Ok(Err(ExchangeError::Unusable(what))) => {
+                    note(&self.platform, &self.problem_count, format_args!("worker {}: {what}", worker.0));
                     return Outcome::Spoilt.into();
                 }
                 Ok(_) => return Outcome::Reset.into(),
@@ -329,8 +338,8 @@
         }
     }
 
-    /// Writes a request and reads its answer. An answer that begins and does not go on has been spoilt: the rest
-    /// will never come, and the time that is left is better spent on another attempt.
+    /// Writes a request and reads its response. A response that stalls is treated as broken, so that the
+    /// remaining time can be used for a retry.
     async fn exchange(
         &self,
         worker: WorkerId,
@@ -339,25 +348,25 @@
         body: Passing,
         deadline: Instant,
         heard: &Cell<Option<Instant>>,
-    ) -> Result<Answer, Broken> {
+    ) -> Result<ReceivedResponse, ExchangeError> {
         let skipped = Arc::new(AtomicUsize::new(0));
         let left = match &parts.body {
             RequestBody::Whole(_) => deadline.saturating_duration_since(self.platform.now()),
             RequestBody::Flow(flow) => flow.patience,
         };
-        let request = self.request(worker, parts, body, left, skipped.clone());
+        let request = self.build_request(worker, parts, body, left, skipped.clone());
         let (wire, mark) = (conn.wire.clone(), conn.wire.read());
         tokio::select! {
             biased;
-            answer = self.read_answer(worker, parts, &mut conn.sender, request) => answer,
-            () = stalled(&self.platform, &wire, mark, &skipped, heard) => {
-                Err(Broken::Spoilt("an answer without an end"))
+            answer = self.read_response(worker, parts, &mut conn.sender, request) => answer,
+            () = wait_for_stall(&self.platform, &wire, mark, &skipped, heard) => {
+                Err(ExchangeError::Unusable("a response that stalls"))
             }
         }
     }
 
-    /// What goes on to a worker. `skipped` counts the interim answers (1xx) ahead of the final one.
-    fn request(
+    /// Builds the request to a worker. `skipped` counts interim responses (1xx) before the final one.
+    fn build_request(
         &self,
         worker: WorkerId,
         parts: &Parts,
@@ -376,40 +385,45 @@
         request
     }
 
-    async fn read_answer(
+    async fn read_response(
         &self,
         worker: WorkerId,
         parts: &Parts,
         sender: &mut SendRequest<Passing>,
         request: Request<Passing>,
-    ) -> Result<Answer, Broken> {
+    ) -> Result<ReceivedResponse, ExchangeError> {
         let answer: Response<Incoming> =
             sender.send_request(request).await.map_err(|e| match e.is_parse() {
-                true => Broken::Spoilt("an answer that can't be read"),
-                false => Broken::Connection,
+                true => ExchangeError::Unusable("a response that can't be parsed"),
+                false => ExchangeError::Connection,
             })?;
         let (head, body) = answer.into_parts();
         let (status, headers) = (head.status, head.headers);
         self.dialect.listen(worker, &headers);
         let judgement = self.dialect.judge(parts, status, &headers);
-        let body = answer_body(parts, status, &headers, judgement.outcome, body).await?;
-        Ok(Answer { judgement, status, headers, body })
+        let body = receive_body(parts, status, &headers, judgement.outcome, body).await?;
+        Ok(ReceivedResponse { judgement, status, headers, body })
     }
 
-    /// The end of an attempt that was answered. One whose answer has no end of its own is read no further, and
-    /// its connection not kept.
-    fn attempted(&self, worker: WorkerId, answer: Answer, mut conn: Conn<P::Stream>) -> Attempted<P::Stream> {
-        let Answer { judgement, status, headers, body } = answer;
+    /// The result of an answered attempt. A response without framing is not read further, and its connection
+    /// is not reused.
+    fn attempt_result(
+        &self,
+        worker: WorkerId,
+        answer: ReceivedResponse,
+        mut conn: Conn<P::Stream>,
+    ) -> Attempted<P::Stream> {
+        let ReceivedResponse { judgement, status, headers, body } = answer;
         conn.reusable = self.dialect.may_reuse(&headers);
-        if let Some(told) = told_idle(&headers) {
-            conn.idle_limit = self.keep_idle.min(told.saturating_sub(IDLE_MARGIN));
+        if let Some(announced) = announced_idle_timeout(&headers) {
+            conn.idle_limit = self.idle_timeout.min(announced.saturating_sub(KEEP_ALIVE_MARGIN));
         }
         let (body, conn) = match body {
-            AnswerBody::Whole(bytes) => (Some(ServedBody::Whole(bytes)), Some(conn)),
-            AnswerBody::Flow(source) => {
+            ReceivedBody::Buffered(bytes) => (Some(ServedBody::Whole(bytes)), Some(conn)),
+            ReceivedBody::Streamed(source) => {
                 (Some(ServedBody::Flow(Box::new(Rest { source, worker, conn }))), None)
             }
-            AnswerBody::Endless => (None, None),
+            ReceivedBody::Unframed => (None, None),
         };
         let body = body.filter(|_| judgement.outcome == Outcome::Ok);
         let served = body.map(|body| Served { status, headers: self.dialect.passed_on(&headers), body });
@@ -422,8 +436,8 @@
         }
     }
 
-    /// Ends when an attempt has taken too long. A long body's time counts from its last byte.
-    async fn limit(&self, parts: &Parts, deadline: Instant) {
+    /// Completes when the attempt times out. The timeout of a streamed request counts from its last byte.
+    async fn attempt_timeout(&self, parts: &Parts, deadline: Instant) {
         match &parts.body {
             RequestBody::Whole(_) => self.platform.sleep_until(deadline).await,
             RequestBody::Flow(flow) => {
@@ -434,77 +448,77 @@
         }
     }
 
-    /// Takes a connection back once it is ready for another request.
+    /// Returns a connection to its pool once it is ready for another request.
     pub async fn give_back(&self, worker: WorkerId, attempted: Attempted<P::Stream>) {
         let Some(mut conn) = attempted.conn else { return };
-        if !matches!(self.platform.timeout(SETTLE, conn.sender.ready()).await, Ok(Ok(()))) {
+        if !matches!(self.platform.timeout(READY_TIMEOUT, conn.sender.ready()).await, Ok(Ok(()))) {
             return;
         }
         (conn.idle_since, conn.used) = (self.platform.now(), true);
         if let Some(pool) = self.pools.borrow_mut().get_mut(&worker) {
-            // Not to the pool of another life: there it would be taken for a connection to that.
-            if pool.ready && pool.life == conn.life && pool.idle.len() < IDLE_MAX {
+            // Only to the pool of the same worker process.
+            if pool.ready && pool.process == conn.process && pool.idle.len() < IDLE_CONNECTIONS_MAX {
                 pool.idle.push(conn);
             }
         }
     }
 
-    /// A kept connection, the last used first among those that have rested, or a new one.
-    /// A long body goes out on a new one: it can be sent only once, also where nothing of it has arrived.
-    async fn connection(
+    /// Takes the most recently used pooled connection that has rested, or opens a new one. Streamed requests
+    /// use new connections, because they can't be retried if the pooled one turns out to be closed.
+    async fn acquire(
         &self,
         worker: WorkerId,
         parts: &Parts,
         until: Instant,
     ) -> Result<Conn<P::Stream>, Outcome> {
-        let life = {
+        let process = {
             let mut pools = self.pools.borrow_mut();
             let pool = pools.get_mut(&worker).filter(|pool| pool.ready).ok_or(Outcome::NotSent)?;
             let now = self.platform.now();
-            let rested = |conn: &Conn<_>| now.saturating_duration_since(conn.idle_since) >= RESTED;
-            let kept = matches!(parts.body, RequestBody::Whole(_));
-            while let Some(place) = pool.idle.iter().rposition(rested).filter(|_| kept) {
+            let rested = |conn: &Conn<_>| now.saturating_duration_since(conn.idle_since) >= REUSE_DELAY;
+            let may_reuse = matches!(parts.body, RequestBody::Whole(_));
+            while let Some(place) = pool.idle.iter().rposition(rested).filter(|_| may_reuse) {
                 let conn = pool.idle.remove(place);
                 if !conn.expired(now) && conn.sender.is_ready() {
                     return Ok(conn);
                 }
             }
-            pool.life
+            pool.process
         };
-        let place = Place::take(&self.open, self.most).or_else(|| {
-            self.close_an_idle_one();
-            Place::take(&self.open, self.most)
+        let place = Place::take(&self.open, self.max_connections).or_else(|| {
+            self.evict_idle();
+            Place::take(&self.open, self.max_connections)
         });
         let place = place.ok_or(Outcome::NotSent)?;
-        // A machine that is cut off says nothing: the time-out is ours.
+        // An unreachable host may never answer the connect.
         let until = until.min(self.platform.now() + self.connect_timeout);
-        let connected = self.platform.timeout_at(until, self.platform.connect(life.0)).await;
+        let connected = self.platform.timeout_at(until, self.platform.connect(process.0)).await;
         let stream = match connected {
             Ok(Ok(stream)) => stream,
             failed => {
                 let refused = matches!(failed, Ok(Err(e)) if e.kind() == ErrorKind::ConnectionRefused);
-                let tell = self.on_refused.borrow().clone().filter(|_| refused);
-                tell.into_iter().for_each(|tell| tell(worker));
+                let callback = self.on_refused.borrow().clone().filter(|_| refused);
+                callback.into_iter().for_each(|callback| callback(worker));
                 return Err(Outcome::ConnectFailed);
             }
         };
         let wire = Wire::new(stream, place);
         let io = TokioIo::new(WireIo(wire.clone()));
         let (sender, driver) = http1::Builder::new()
-            .max_buf_size(HEAD_MAX)
+            .max_buf_size(RESPONSE_HEAD_MAX_BYTES)
             .handshake(io)
             .await
             .map_err(|_| Outcome::ConnectFailed)?;
         let task = self.platform.spawn(async move {
-            // How it ends is told to the attempt that it carries.
+            // Errors are reported to the attempt on this connection.
             let _ = driver.await;
         });
         wire.driven_by(task);
-        let (idle_since, idle_limit) = (self.platform.now(), self.keep_idle);
-        Ok(Conn { sender, wire, life, idle_since, idle_limit, used: false, reusable: true })
+        let (idle_since, idle_limit) = (self.platform.now(), self.idle_timeout);
+        Ok(Conn { sender, wire, process, idle_since, idle_limit, used: false, reusable: true })
     }
 
-    fn close_an_idle_one(&self) {
+    fn evict_idle(&self) {
         let mut pools = self.pools.borrow_mut();
         let oldest =
             pools.values_mut().filter(|pool| !pool.idle.is_empty()).min_by_key(|p| p.idle[0].idle_since);
@@ -514,116 +528,116 @@
     }
 }
 
-/// An answer as far as it has been read.
-struct Answer {
+/// A response as read so far.
+struct ReceivedResponse {
     judgement: Judgement,
     status: StatusCode,
     headers: HeaderMap,
-    body: AnswerBody,
+    body: ReceivedBody,
 }
 
-enum AnswerBody {
-    Whole(Bytes),
-    /// A long one.
-    Flow(Source),
-    /// One that is read no further.
-    Endless,
+enum ReceivedBody {
+    Buffered(Bytes),
+    /// Still being received.
+    Streamed(Source),
+    /// Without framing; not read further.
+    Unframed,
 }
 
-enum Broken {
+enum ExchangeError {
     Connection,
-    /// An answer came that is of no use, and why.
-    Spoilt(&'static str),
+    /// The response is unusable; the reason.
+    Unusable(&'static str),
 }
 
-/// The idle time that a worker tells: `Keep-Alive: timeout=5`, seconds.
-fn told_idle(headers: &HeaderMap) -> Option<Duration> {
+/// The idle timeout announced by a worker: `Keep-Alive: timeout=5`, seconds.
+fn announced_idle_timeout(headers: &HeaderMap) -> Option<Duration> {
     let values = headers.get_all("keep-alive").iter().filter_map(|value| value.to_str().ok());
     let mut parameters = values.flat_map(|value| value.split(',')).filter_map(|one| one.split_once('='));
     let (_, seconds) = parameters.find(|(name, _)| name.trim().eq_ignore_ascii_case("timeout"))?;
     seconds.trim().parse().ok().map(Duration::from_secs)
 }
 
-/// Whether an answer has no body whatever its headers say (RFC 9110, 6.4.1).
+/// Whether a response never has a body (RFC 9110, 6.4.1).
 fn has_no_body(method: &Method, status: StatusCode) -> bool {
     method == Method::HEAD || matches!(status, StatusCode::NO_CONTENT | StatusCode::NOT_MODIFIED)
 }
 
-/// Reads the body that belongs to a head.
-async fn answer_body(
+/// Reads the body of a response.
+async fn receive_body(
     parts: &Parts,
     status: StatusCode,
     headers: &HeaderMap,
     outcome: Outcome,
     body: Incoming,
-) -> Result<AnswerBody, Broken> {
+) -> Result<ReceivedBody, ExchangeError> {
     if has_no_body(&parts.method, status) {
-        return Ok(AnswerBody::Whole(Bytes::new()));
+        return Ok(ReceivedBody::Buffered(Bytes::new()));
     }
-    // Said to be too long, it is not worth waiting for.
-    if body.size_hint().lower() > LONGEST {
-        return Err(Broken::Spoilt("an answer too large"));
+    // A declared length above the maximum is not worth waiting for.
+    if body.size_hint().lower() > RESPONSE_MAX_BYTES {
+        return Err(ExchangeError::Unusable("a response above the maximum size"));
     }
     let framed = [CONTENT_LENGTH, TRANSFER_ENCODING].iter().any(|name| headers.contains_key(name));
-    // Without a length it would end where the connection does, and might be cut there without a sign.
+    // Without framing the end of the connection ends the body, so truncation would go unnoticed.
     match (framed, outcome) {
         (true, _) => read_body(body).await,
-        (false, Outcome::Ok) => Err(Broken::Spoilt("an answer without a length")),
-        (false, _) => Ok(AnswerBody::Endless),
+        (false, Outcome::Ok) => Err(ExchangeError::Unusable("a response without a length")),
+        (false, _) => Ok(ReceivedBody::Unframed),
     }
 }
 
-/// Reads a body whole, or so far that it turns out to be a long one.
-async fn read_body(mut body: Incoming) -> Result<AnswerBody, Broken> {
+/// Buffers a short body; returns a long one as a stream.
+async fn read_body(mut body: Incoming) -> Result<ReceivedBody, ExchangeError> {
     let length = body.size_hint().exact();
-    // A client waits for the first bytes of a long one, so nothing of it is held back.
+    // Stream at once, without delaying the first bytes.
     if length.is_some_and(|length| length > HELD as u64) {
-        return Ok(AnswerBody::Flow(Source::new(Bytes::new(), body, length)));
+        return Ok(ReceivedBody::Streamed(Source::new(Bytes::new(), body, length)));
     }
-    let held = if length.is_some() { HELD } else { HELD_CHUNKED };
+    let held = if length.is_some() { HELD } else { CHUNKED_BUFFER_MAX_BYTES };
     let mut joined = Joined::default();
     while let Some(frame) = body.frame().await {
-        let frame = frame.map_err(|e| match bad_framing(&e) {
-            true => Broken::Spoilt("an answer that can't be read"),
-            false => Broken::Connection,
+        let frame = frame.map_err(|e| match is_framing_error(&e) {
+            true => ExchangeError::Unusable("a response that can't be parsed"),
+            false => ExchangeError::Connection,
         })?;
         let Ok(data) = frame.into_data() else { continue };
         joined.push(data);
         if joined.len() > held && !body.is_end_stream() {
-            return Ok(AnswerBody::Flow(Source::new(joined.whole(), body, length)));
+            return Ok(ReceivedBody::Streamed(Source::new(joined.whole(), body, length)));
         }
     }
-    Ok(AnswerBody::Whole(joined.whole()))
+    Ok(ReceivedBody::Buffered(joined.whole()))
 }
 
-/// Whether a body's chunks made no sense, as against a connection that ended.
-fn bad_framing(e: &(dyn Error + 'static)) -> bool {
+/// Whether the chunked framing was invalid, as opposed to a closed connection.
+fn is_framing_error(e: &(dyn Error + 'static)) -> bool {
     let cause = e.source().and_then(|cause| cause.downcast_ref::<std::io::Error>());
     cause.is_some_and(|e| matches!(e.kind(), ErrorKind::InvalidInput | ErrorKind::InvalidData))
 }
 
-/// Ends when an answer has begun, past `mark` bytes, and does not go on. Interim answers are no beginning: the
-/// final one comes when it is ready.
-async fn stalled<P: Platform>(
+/// Completes when a response that has started, past `mark` bytes, makes no progress. Interim responses don't
+/// count as a start.
+async fn wait_for_stall<P: Platform>(
     platform: &P,
     wire: &Wire<P::Stream>,
     mut mark: u64,
     skipped: &AtomicUsize,
     heard: &Cell<Option<Instant>>,
 ) {
-    let mut passed_over = 0;
+    let mut interim_seen = 0;
     loop {
         wire.read_past(mark).await;
         heard.set(Some(platform.now()));
         let mut seen = 0;
         while wire.read() > seen {
             seen = wire.read();
-            platform.sleep(REST).await;
+            platform.sleep(STALL_TIMEOUT).await;
         }
         let interim = skipped.load(Ordering::Relaxed);
-        if interim == passed_over {
+        if interim == interim_seen {
             return;
         }
-        (passed_over, mark) = (interim, wire.read());
+        (interim_seen, mark) = (interim, wire.read());
     }
 }
--- a/crates/dataplane/tests/connections.rs
+++ b/crates/dataplane/tests/connections.rs
@@ -1,4 +1,4 @@
-//! Clients' connections on real sockets, whatever answers them: each time that a client has is kept to.
+//! Client connections on real sockets: timeouts and shutdown.
 
 use bytes::Bytes;
 use hingestage_dataplane::client::{Client, ClientTimes};
@@ -16,16 +16,16 @@
 
 const SHORT: Duration = Duration::from_millis(300);
 const LONG: Duration = Duration::from_secs(30);
-/// Far past `SHORT`, and far from `LONG`.
+/// Much longer than `SHORT`, much shorter than `LONG`.
 const LATE: Duration = Duration::from_secs(5);
 const TIMES: ClientTimes =
     ClientTimes { first_head_timeout: LONG, header_timeout: LONG, idle_timeout: LONG, write_timeout: LONG };
 const REQUEST: &[u8] = b"GET / HTTP/1.1\r\nhost: test\r\n\r\n";
 
-/// Answers each request with `ok`.
-struct Ok200;
+/// Answers every request with `ok`.
+struct OkHandler;
 
-impl Answers for Ok200 {
+impl Answers for OkHandler {
     type Body = Full<Bytes>;
 
     async fn answer(
@@ -41,20 +41,20 @@
     }
 }
 
-struct Served {
-    connections: Rc<Connections<Tokio, Ok200>>,
+struct TestServer {
+    connections: Rc<Connections<Tokio, OkHandler>>,
     listener: TcpListener,
 }
 
-impl Served {
-    async fn new(times: ClientTimes) -> Served {
+impl TestServer {
+    async fn new(times: ClientTimes) -> TestServer {
         let settings = ConnectionSettings { clients_max: 8, idle_max: 8, times, largest_head: 16 * 1024 };
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
-        Served { connections: Connections::new(Tokio, Rc::new(Ok200), settings), listener }
+        TestServer { connections: Connections::new(Tokio, Rc::new(OkHandler), settings), listener }
     }
 
-    /// Takes connections in for as long as a client acts.
-    async fn during<T>(&self, client: impl Future<Output = T>) -> T {
+    /// Accepts connections while `client` runs.
+    async fn run_with<T>(&self, client: impl Future<Output = T>) -> T {
         tokio::select! {
             done = client => done,
             () = self.connections.accept(&self.listener) => unreachable!(),
@@ -66,7 +66,7 @@
     }
 }
 
-async fn ask(stream: &mut TcpStream) {
+async fn request(stream: &mut TcpStream) {
     stream.write_all(REQUEST).await.unwrap();
     let mut answer = Vec::new();
     while !answer.ends_with(b"ok") {
@@ -74,65 +74,65 @@
     }
 }
 
-/// The time until the other side closes.
-async fn closed_after(stream: &mut TcpStream) -> Duration {
-    let begun = Instant::now();
+/// The time until the server closes the connection.
+async fn time_until_closed(stream: &mut TcpStream) -> Duration {
+    let started = Instant::now();
     let mut rest = Vec::new();
-    // A reset is an end as well.
+    // A reset also ends the connection.
     let _ = tokio::time::timeout(LATE, stream.read_to_end(&mut rest)).await;
-    begun.elapsed()
+    started.elapsed()
 }
 
-/// A client acts, and is closed on `SHORT` after it was last allowed to be silent.
-fn is_closed_after_a_short_time(times: ClientTimes, acts: impl AsyncFnOnce(&mut TcpStream)) {
+/// Runs `acts` and checks that the server closes the connection about `SHORT` later.
+fn assert_closed_after_short_timeout(times: ClientTimes, act: impl AsyncFnOnce(&mut TcpStream)) {
     run(async {
-        let served = Served::new(times).await;
-        let mut stream = served.connect().await;
-        let acting = async {
-            acts(&mut stream).await;
-            closed_after(&mut stream).await
+        let server = TestServer::new(times).await;
+        let mut stream = server.connect().await;
+        let client = async {
+            act(&mut stream).await;
+            time_until_closed(&mut stream).await
         };
-        let took = served.during(acting).await;
+        let took = server.run_with(client).await;
         assert!(took >= SHORT - Duration::from_millis(50) && took < LATE, "{took:?}");
     });
 }
 
 #[test]
-fn a_served_client_may_idle_for_its_time_and_no_longer() {
-    is_closed_after_a_short_time(ClientTimes { idle_timeout: SHORT, ..TIMES }, async |stream| {
-        ask(stream).await
+fn an_idle_connection_is_closed_after_the_idle_timeout() {
+    assert_closed_after_short_timeout(ClientTimes { idle_timeout: SHORT, ..TIMES }, async |stream| {
+        request(stream).await
     });
 }
 
 #[test]
-fn a_later_head_has_its_own_time_from_its_first_byte_on_however_long_a_client_may_idle() {
-    is_closed_after_a_short_time(ClientTimes { header_timeout: SHORT, ..TIMES }, async |stream| {
-        ask(stream).await;
-        // Silent for longer than a head may take: that is idling, and allowed.
+fn the_timeout_of_a_later_head_starts_at_its_first_byte() {
+    assert_closed_after_short_timeout(ClientTimes { header_timeout: SHORT, ..TIMES }, async |stream| {
+        request(stream).await;
+        // Longer than the head timeout, but idle.
         tokio::time::sleep(2 * SHORT).await;
-        ask(stream).await;
+        request(stream).await;
         stream.write_all(b"GET / HT").await.unwrap();
     });
 }
 
 #[test]
-fn a_first_head_has_its_time_from_the_connection_on() {
-    is_closed_after_a_short_time(ClientTimes { first_head_timeout: SHORT, ..TIMES }, async |_| ());
+fn the_timeout_of_the_first_head_starts_at_the_connection() {
+    assert_closed_after_short_timeout(ClientTimes { first_head_timeout: SHORT, ..TIMES }, async |_| ());
 }
 
 #[test]
-fn a_stop_closes_what_idles_and_ends_once_all_are_gone() {
+fn a_stop_closes_idle_connections_and_returns_when_none_is_left() {
     run(async {
-        let served = Served::new(TIMES).await;
-        let mut stream = served.connect().await;
-        served.during(ask(&mut stream)).await;
-        assert_eq!(served.connections.open(), 1);
+        let server = TestServer::new(TIMES).await;
+        let mut stream = server.connect().await;
+        server.run_with(request(&mut stream)).await;
+        assert_eq!(server.connections.open(), 1);
         let now = Tokio.now();
         let stopping = Stopping { accepts_until: now, closes_idle: true, until: now + LATE };
-        let Served { connections, listener } = served;
+        let TestServer { connections, listener } = server;
         connections.stop(listener, stopping).await;
         assert_eq!(connections.open(), 0);
         assert!(now.elapsed() < LATE);
-        assert!(closed_after(&mut stream).await < LATE);
+        assert!(time_until_closed(&mut stream).await < LATE);
     });
 }
--- a/crates/dataplane/tests/workers.rs
+++ b/crates/dataplane/tests/workers.rs
@@ -1,4 +1,4 @@
-//! Connections to workers on real sockets: which answers are whole, and which connections serve again.
+//! Worker connections on real sockets: response framing and connection reuse.
 
 use bytes::Bytes;
 use hingestage_dataplane::body::RequestBody;
@@ -16,19 +16,19 @@
 use tokio::task::LocalSet;
 
 const WORKER: WorkerId = WorkerId(1);
-const PATIENCE: Duration = Duration::from_secs(5);
-/// A connection rests for a moment before it serves again.
-const REST: Duration = Duration::from_millis(20);
+const TIMEOUT: Duration = Duration::from_secs(5);
+/// Longer than the minimum idle time before reuse.
+const IDLE_BEFORE_REUSE: Duration = Duration::from_millis(20);
 const WORKER_IDLE: Duration = Duration::from_secs(60);
-const PLAIN: &str = "HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nhi";
+const OK_RESPONSE: &str = "HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nhi";
 
-/// Takes each answer below 500 for a good one.
+/// Treats each response below 500 as successful.
 #[derive(Default)]
-struct Plain {
-    heads_seen: Cell<usize>,
+struct TestProtocol {
+    headers_observed: Cell<usize>,
 }
 
-impl Dialect for Plain {
+impl Dialect for TestProtocol {
     fn write_head(&self, parts: &Parts, _worker: WorkerId, _left: Duration, headers: &mut HeaderMap) {
         headers.insert(HOST, HeaderValue::from_static("worker.local"));
         headers.insert("call-id", parts.id.clone());
@@ -44,7 +44,7 @@
     }
 
     fn listen(&self, _worker: WorkerId, _headers: &HeaderMap) {
-        self.heads_seen.set(self.heads_seen.get() + 1);
+        self.headers_observed.set(self.headers_observed.get() + 1);
     }
 
     fn may_reuse(&self, headers: &HeaderMap) -> bool {
@@ -52,7 +52,7 @@
     }
 }
 
-/// A worker that gives every request the same answer.
+/// A worker that answers every request alike.
 struct Worker {
     answer: &'static str,
     connections: Cell<usize>,
@@ -67,7 +67,7 @@
         }
     }
 
-    /// Leaves the connection open whatever the answer says: closing is for the other side here.
+    /// Never closes a connection, whatever the response says.
     async fn answer_all(self: Rc<Self>, mut stream: TcpStream) {
         let mut head = Vec::new();
         while let Ok(byte) = stream.read_u8().await {
@@ -81,41 +81,41 @@
     }
 }
 
-/// What came of two requests, one after the other.
-struct Played {
+/// The results of two consecutive requests.
+struct Exchanges {
     outcome: Outcome,
     served: Option<Served<TcpStream>>,
-    /// Connections that the two took.
+    /// Connections that the two requests used.
     connections: usize,
     heads: Vec<String>,
-    heads_seen: usize,
+    headers_observed: usize,
 }
 
-fn play(method: Method, answer: &'static str) -> Played {
+fn exchange_twice(method: Method, answer: &'static str) -> Exchanges {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
-    LocalSet::new().block_on(&runtime, ask_twice(method, answer))
+    LocalSet::new().block_on(&runtime, request_twice(method, answer))
 }
 
-async fn ask_twice(method: Method, answer: &'static str) -> Played {
+async fn request_twice(method: Method, answer: &'static str) -> Exchanges {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let at = listener.local_addr().unwrap();
     let worker = Rc::new(Worker { answer, connections: Cell::new(0), heads: RefCell::default() });
     tokio::task::spawn_local(worker.clone().serve(listener));
-    let dialect = Rc::new(Plain::default());
-    let workers = Workers::new(Tokio, 8, PATIENCE, WORKER_IDLE, dialect.clone());
+    let dialect = Rc::new(TestProtocol::default());
+    let workers = Workers::new(Tokio, 8, TIMEOUT, WORKER_IDLE, dialect.clone());
     workers.list(WORKER, at, 1, true);
-    let first = ask(&workers, &method).await;
-    ask(&workers, &method).await;
-    Played {
+    let first = request(&workers, &method).await;
+    request(&workers, &method).await;
+    Exchanges {
         outcome: first.0,
         served: first.1,
         connections: worker.connections.get(),
         heads: worker.heads.take(),
-        heads_seen: dialect.heads_seen.get(),
+        headers_observed: dialect.headers_observed.get(),
     }
 }
 
-async fn ask(workers: &Workers<Tokio>, method: &Method) -> (Outcome, Option<Served<TcpStream>>) {
+async fn request(workers: &Workers<Tokio>, method: &Method) -> (Outcome, Option<Served<TcpStream>>) {
     let mut headers = HeaderMap::new();
     headers.insert("content-type", HeaderValue::from_static("text/plain"));
     let parts = Rc::new(Parts {
@@ -125,12 +125,12 @@
         headers,
         body: RequestBody::Whole(Bytes::new()),
     });
-    let deadline = Tokio.now() + PATIENCE;
+    let deadline = Tokio.now() + TIMEOUT;
     let times = Times { begin_by: deadline, deadline };
     let mut attempted = workers.attempt(WORKER, &parts, times, &Progress::default()).await;
     let ended = (attempted.outcome, attempted.served.take());
     workers.give_back(WORKER, attempted).await;
-    Tokio.sleep(REST).await;
+    Tokio.sleep(IDLE_BEFORE_REUSE).await;
     ended
 }
 
@@ -142,23 +142,24 @@
 }
 
 #[test]
-fn a_head_is_written_by_the_dialect_and_a_good_answer_keeps_status_and_headers() {
-    let played = play(Method::GET, "HTTP/1.1 404 Not Found\r\nkind: none\r\ncontent-length: 2\r\n\r\nno");
-    assert_eq!(played.outcome, Outcome::Ok);
+fn the_protocol_writes_the_head_and_a_response_keeps_status_and_headers() {
+    let exchanges =
+        exchange_twice(Method::GET, "HTTP/1.1 404 Not Found\r\nkind: none\r\ncontent-length: 2\r\n\r\nno");
+    assert_eq!(exchanges.outcome, Outcome::Ok);
     for line in
         ["GET /path?query HTTP/1.1", "host: worker.local", "call-id: id-1", "content-type: text/plain"]
     {
-        assert!(played.heads[0].contains(line), "{line} is missing: {}", played.heads[0]);
+        assert!(exchanges.heads[0].contains(line), "{line} is missing: {}", exchanges.heads[0]);
     }
-    let served = played.served.unwrap();
+    let served = exchanges.served.unwrap();
     assert_eq!(served.status, StatusCode::NOT_FOUND);
     assert_eq!(served.headers["kind"], "none");
     assert_eq!(body(Some(served)), "no");
-    assert_eq!((played.connections, played.heads_seen), (1, 2));
+    assert_eq!((exchanges.connections, exchanges.headers_observed), (1, 2));
 }
 
 #[test]
-fn an_answer_that_has_no_body_by_rule_is_whole_without_a_length() {
+fn a_response_that_never_has_a_body_needs_no_length() {
     for (method, answer) in [
         (Method::GET, "HTTP/1.1 204 No Content\r\n\r\n"),
         (Method::GET, "HTTP/1.1 304 Not Modified\r\n\r\n"),
@@ -166,36 +167,36 @@
         (Method::HEAD, "HTTP/1.1 200 OK\r\ncontent-length: 900000\r\n\r\n"),
         (Method::HEAD, "HTTP/1.1 200 OK\r\ncontent-length: 90000000\r\n\r\n"),
     ] {
-        let played = play(method, answer);
-        assert_eq!((played.outcome, played.connections), (Outcome::Ok, 1), "{answer:?}");
-        assert_eq!(body(played.served), "", "{answer:?}");
+        let exchanges = exchange_twice(method, answer);
+        assert_eq!((exchanges.outcome, exchanges.connections), (Outcome::Ok, 1), "{answer:?}");
+        assert_eq!(body(exchanges.served), "", "{answer:?}");
     }
 }
 
 #[test]
-fn a_good_answer_without_a_length_is_spoilt_and_a_bad_one_costs_its_connection() {
-    let good = play(Method::GET, "HTTP/1.1 200 OK\r\n\r\nhi");
+fn a_response_without_framing_is_unusable_or_ends_its_connection() {
+    let good = exchange_twice(Method::GET, "HTTP/1.1 200 OK\r\n\r\nhi");
     assert_eq!((good.outcome, good.connections), (Outcome::Spoilt, 2));
-    let bad = play(Method::GET, "HTTP/1.1 500 Internal Server Error\r\n\r\nno");
+    let bad = exchange_twice(Method::GET, "HTTP/1.1 500 Internal Server Error\r\n\r\nno");
     assert_eq!((bad.outcome, bad.connections), (Outcome::Error, 2));
 }
 
 #[test]
-fn a_connection_serves_again_unless_worker_or_dialect_says_otherwise() {
+fn a_connection_is_reused_unless_the_worker_or_the_protocol_forbids_it() {
     for (answer, connections) in [
-        (PLAIN, 1),
+        (OK_RESPONSE, 1),
         ("HTTP/1.1 200 OK\r\nconnection: close\r\ncontent-length: 2\r\n\r\nhi", 2),
         ("HTTP/1.0 200 OK\r\ncontent-length: 2\r\n\r\nhi", 2),
         ("HTTP/1.1 200 OK\r\nleave: now\r\ncontent-length: 2\r\n\r\nhi", 2),
     ] {
-        let played = play(Method::GET, answer);
-        assert_eq!((played.outcome, played.connections), (Outcome::Ok, connections), "{answer:?}");
+        let exchanges = exchange_twice(Method::GET, answer);
+        assert_eq!((exchanges.outcome, exchanges.connections), (Outcome::Ok, connections), "{answer:?}");
     }
 }
 
 #[test]
-fn a_connection_idles_no_longer_than_its_worker_says_less_a_second() {
-    for (told, connections) in [
+fn keep_alive_timeouts_of_workers_limit_reuse() {
+    for (announced, connections) in [
         ("timeout=5, max=100", 1),
         ("max=100, Timeout = 60", 1),
         ("timeout=1", 2),
@@ -203,8 +204,8 @@
         ("timeout=soon", 1),
         ("max=100", 1),
     ] {
-        let answer = format!("HTTP/1.1 200 OK\r\nKeep-Alive: {told}\r\ncontent-length: 2\r\n\r\nhi");
-        let played = play(Method::GET, answer.leak());
-        assert_eq!((played.outcome, played.connections), (Outcome::Ok, connections), "{told}");
+        let answer = format!("HTTP/1.1 200 OK\r\nKeep-Alive: {announced}\r\ncontent-length: 2\r\n\r\nhi");
+        let exchanges = exchange_twice(Method::GET, answer.leak());
+        assert_eq!((exchanges.outcome, exchanges.connections), (Outcome::Ok, connections), "{announced}");
     }
 }
--- a/crates/handover/src/lib.rs
+++ b/crates/handover/src/lib.rs
@@ -1,9 +1,9 @@
-//! Passes a listening socket from a process to the one that replaces it.
+//! Passes a listening socket from a process to its successor.
 //!
-//! The process in service [`Offer`]s its socket on a Unix socket; whoever connects gets it (`SCM_RIGHTS`,
-//! unix(7)) with a greeting that names the version. The connection then stays open: its end tells the older
-//! process that the newer one is gone. Both accept from one queue of the kernel, so that no connection is
-//! reset when either closes its part.
+//! The running process [`SocketOffer`]s its socket on a Unix socket; a process that connects receives it
+//! (`SCM_RIGHTS`, unix(7)) together with a versioned greeting. The connection stays open, so that either
+//! process notices the end of the other. Both accept from the same kernel queue, so no connection is reset
+//! when one of them closes its descriptor.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
@@ -22,98 +22,100 @@
 use tokio::io::AsyncReadExt;
 use tokio::net::UnixListener;
 
-/// What goes with the socket; another version would be another greeting.
+/// Sent with the socket; contains the protocol version.
 const GREETING: &[u8] = b"hingestage 1\n";
-/// How long a predecessor may take to answer: it may be busy, and a new process is expected within 6 s.
-const PATIENCE: Duration = Duration::from_secs(4);
-/// Pause after an offer that could not be taken up.
-const PAUSE: Duration = Duration::from_millis(100);
+/// How long to wait for the predecessor's answer.
+const GREETING_TIMEOUT: Duration = Duration::from_secs(4);
+/// Pause after a failed accept.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// Where a process that listens at `listen` offers its socket: in `folder`, which both must share. None for a
-/// port that the system chooses, which no successor could name.
+/// Path of the Unix socket in `folder` for a process that listens at `listen`. `None` for port 0, which a
+/// successor could not identify.
 pub fn place(folder: &Path, listen: SocketAddr) -> Option<PathBuf> {
     let name = format!("hingestage-{}.sock", listen.to_string().replace([':', '[', ']'], "-"));
     (listen.port() != 0).then(|| folder.join(name))
 }
 
-/// A socket taken over.
+/// A listening socket received from a predecessor.
 pub struct Taken {
-    /// The predecessor's listening socket.
+    /// The listening socket.
     pub listener: TcpListener,
-    /// The process that it came from.
+    /// The process that passed it on.
     pub predecessor: Predecessor,
 }
 
-/// A process that has been succeeded. As long as this lives it knows that it has a successor.
+/// Keeps the connection to the predecessor open, which tells it that its successor is alive.
 pub struct Predecessor {
     _watch: UnixStream,
 }
 
-/// Takes the socket over from whoever offers it; none where nobody does.
+/// Takes over the socket offered at `path`, or returns `None` if there is no predecessor.
 ///
 /// # Errors
-/// A predecessor is there and gives nothing of use: no answer in time, another version, another address.
+///
+/// The predecessor does not answer in time, uses another version or listens at another address.
 pub fn take(place: &Path, listen: SocketAddr) -> io::Result<Option<Taken>> {
-    // No file, or one that a killed process has left: nobody is there.
+    // No socket file, or one left behind by a killed process.
     let Ok(stream) = UnixStream::connect(place) else { return Ok(None) };
-    stream.set_read_timeout(Some(PATIENCE))?;
+    stream.set_read_timeout(Some(GREETING_TIMEOUT))?;
     let mut greeting = [0; GREETING.len()];
     let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(1))];
     let mut ancillary = RecvAncillaryBuffer::new(&mut space);
     let got =
         recvmsg(&stream, &mut [IoSliceMut::new(&mut greeting)], &mut ancillary, RecvFlags::CMSG_CLOEXEC)?;
-    let passed = ancillary.drain().find_map(|message| match message {
-        RecvAncillaryMessage::ScmRights(mut passed) => passed.next(),
+    let descriptors = ancillary.drain().find_map(|message| match message {
+        RecvAncillaryMessage::ScmRights(mut descriptors) => descriptors.next(),
         _ => None,
     });
-    if got.bytes == 0 && passed.is_none() {
-        // It closed on us: it is ending, and its address will be free.
+    if got.bytes == 0 && descriptors.is_none() {
+        // The predecessor is shutting down; its address will become free.
         return Ok(None);
     }
     if greeting[..got.bytes] != *GREETING {
-        return Err(io::Error::other("the process in service speaks another version"));
+        return Err(io::Error::other("the predecessor uses another protocol version"));
     }
     let listener =
-        TcpListener::from(passed.ok_or_else(|| io::Error::other("no socket came with the greeting"))?);
+        TcpListener::from(descriptors.ok_or_else(|| io::Error::other("the greeting carried no socket"))?);
     if listener.local_addr()? != listen {
-        return Err(io::Error::other("the socket passed on listens elsewhere"));
+        return Err(io::Error::other("the received socket listens at another address"));
     }
     listener.set_nonblocking(true)?;
     Ok(Some(Taken { listener, predecessor: Predecessor { _watch: stream } }))
 }
 
-/// A listening socket on offer to a successor.
+/// Offers a listening socket to a successor.
 pub struct Offer {
-    offers: UnixListener,
+    socket: UnixListener,
     listener: TcpListener,
 }
 
 impl Offer {
-    /// Offers a socket at a place, also where a predecessor did. Only this user can take it.
+    /// Offers a socket at `path`, replacing a predecessor's offer. Only processes of this user can connect.
     ///
     /// # Errors
-    /// The place can't be had: no such folder, or a name too long for a socket (108 bytes).
+    ///
+    /// The socket can't be bound: the folder does not exist, or the path exceeds 108 bytes.
     pub fn new(place: &Path, listener: TcpListener) -> io::Result<Offer> {
         match std::fs::remove_file(place) {
             Err(e) if e.kind() != io::ErrorKind::NotFound => return Err(e),
             _ => {}
         }
-        let offers = UnixListener::bind(place)?;
+        let socket = UnixListener::bind(place)?;
         std::fs::set_permissions(place, std::fs::Permissions::from_mode(0o600))?;
-        Ok(Offer { offers, listener })
+        Ok(Offer { socket, listener })
     }
 
-    /// Passes the socket on for ever, to one successor at a time; tells `successor` of each start before it
-    /// has the socket, and of its end.
+    /// Passes the socket on forever, to one successor at a time. Calls `successor` with true before a
+    /// successor receives the socket and with false when it has ended.
     pub async fn serve(self, successor: impl Fn(bool)) {
         loop {
-            let Ok((mut stream, _)) = self.offers.accept().await else {
-                tokio::time::sleep(PAUSE).await;
+            let Ok((mut stream, _)) = self.socket.accept().await else {
+                tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
                 continue;
             };
             successor(true);
-            if pass(&stream, &self.listener).is_ok() {
-                // It has nothing to say; what counts is its end.
+            if send_listener(&stream, &self.listener).is_ok() {
+                // The successor sends nothing; wait for the end of the connection.
                 let mut buffer = [0; 16];
                 while matches!(stream.read(&mut buffer).await, Ok(n) if n > 0) {}
             }
@@ -122,12 +124,12 @@
     }
 }
 
-fn pass(to: impl AsFd, listener: &TcpListener) -> io::Result<()> {
-    let passed = [listener.as_fd()];
+fn send_listener(to: impl AsFd, listener: &TcpListener) -> io::Result<()> {
+    let descriptors = [listener.as_fd()];
     let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(1))];
     let mut ancillary = SendAncillaryBuffer::new(&mut space);
-    ancillary.push(SendAncillaryMessage::ScmRights(&passed));
-    // So little always has room on a fresh connection.
+    ancillary.push(SendAncillaryMessage::ScmRights(&descriptors));
+    // A fresh connection always has room for these few bytes.
     match sendmsg(to, &[IoSlice::new(GREETING)], &mut ancillary, SendFlags::NOSIGNAL)? {
         n if n == GREETING.len() => Ok(()),
         _ => Err(io::ErrorKind::WriteZero.into()),
@@ -139,15 +141,15 @@
     use super::*;
     use std::io::Write;
 
-    fn place_of(name: &str) -> PathBuf {
+    fn test_path(name: &str) -> PathBuf {
         std::env::temp_dir().join(format!("hingestage-handover-{}-{name}", std::process::id()))
     }
 
-    /// What a peer that says this and then closes gives.
-    fn taken_from(name: &str, says: &'static [u8]) -> io::Result<Option<Taken>> {
-        let place = place_of(name);
-        let offers = std::os::unix::net::UnixListener::bind(&place)?;
-        let peer = std::thread::spawn(move || offers.accept().and_then(|(mut to, _)| to.write_all(says)));
+    /// The result of taking over from a peer that sends `says` and closes.
+    fn take_over_from(name: &str, says: &'static [u8]) -> io::Result<Option<Taken>> {
+        let place = test_path(name);
+        let socket = std::os::unix::net::UnixListener::bind(&place)?;
+        let peer = std::thread::spawn(move || socket.accept().and_then(|(mut to, _)| to.write_all(says)));
         let taken = take(&place, SocketAddr::from(([127, 0, 0, 1], 9)));
         std::fs::remove_file(&place)?;
         peer.join().expect("the peer does not panic")?;
@@ -155,33 +157,33 @@
     }
 
     #[test]
-    fn only_a_socket_with_the_greeting_of_this_version_is_taken() {
-        assert!(matches!(take(&place_of("nobody"), SocketAddr::from(([127, 0, 0, 1], 9))), Ok(None)));
-        assert!(matches!(taken_from("ending", b""), Ok(None)));
+    fn only_sockets_with_the_current_greeting_are_taken_over() {
+        assert!(matches!(take(&test_path("nobody"), SocketAddr::from(([127, 0, 0, 1], 9))), Ok(None)));
+        assert!(matches!(take_over_from("ending", b""), Ok(None)));
         for (name, says) in [("other", &b"hingestage 2\n"[..]), ("bare", GREETING)] {
-            assert!(taken_from(name, says).is_err(), "{name}");
+            assert!(take_over_from(name, says).is_err(), "{name}");
         }
     }
 
-    /// A socket passes with its queue, and its address is looked at.
+    /// The socket is passed on, a wrong address is rejected, and the successor's end is noticed.
     #[tokio::test]
-    async fn a_socket_passes_and_the_successors_end_is_told() -> io::Result<()> {
+    async fn a_socket_is_passed_on_and_the_successors_end_is_noticed() -> io::Result<()> {
         let listener = TcpListener::bind("127.0.0.1:0")?;
-        let (at, place) = (listener.local_addr()?, place_of("passes"));
+        let (at, place) = (listener.local_addr()?, test_path("accepted"));
         let offer = Offer::new(&place, listener)?;
-        let (tell, mut told) = tokio::sync::mpsc::unbounded_channel();
+        let (events, mut received) = tokio::sync::mpsc::unbounded_channel();
         let serving = tokio::spawn(offer.serve(move |serves| {
-            let _ = tell.send(serves);
+            let _ = events.send(serves);
         }));
-        for (wanted, passes) in [(at, true), (SocketAddr::from(([127, 0, 0, 1], 9)), false)] {
+        for (wanted, accepted) in [(at, true), (SocketAddr::from(([127, 0, 0, 1], 9)), false)] {
             let from = place.clone();
             let taken = tokio::task::spawn_blocking(move || take(&from, wanted)).await?;
-            assert_eq!(told.recv().await, Some(true));
-            assert_eq!(taken.is_ok(), passes);
+            assert_eq!(received.recv().await, Some(true));
+            assert_eq!(taken.is_ok(), accepted);
             if let Ok(Some(taken)) = taken {
                 assert_eq!(taken.listener.local_addr()?, at);
             }
-            assert_eq!(told.recv().await, Some(false), "its end goes unnoticed");
+            assert_eq!(received.recv().await, Some(false), "the successor's end was not reported");
         }
         serving.abort();
         std::fs::remove_file(&place)
--- a/crates/membership/src/hosts.rs
+++ b/crates/membership/src/hosts.rs
@@ -1,46 +1,46 @@
-//! The form in which discovery lists workers.
+//! The JSON form of discovery's worker list.
 
 use serde::Deserialize;
 
-/// A list of workers, or what changed of it.
+/// A full list of workers, or the changes since the previous one.
 #[derive(Clone, Debug, Default, Deserialize)]
 pub struct HostList {
-    /// Its version.
+    /// Revision.
     pub rev: u64,
-    /// Whether it names all workers.
+    /// Whether this is a full list.
     #[serde(default)]
     pub all: bool,
-    /// The workers.
+    /// The listed workers.
     #[serde(default)]
     pub targets: Vec<Target>,
 }
 
-/// One worker as listed.
+/// A listed worker.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Target {
-    /// The same at every gateway, for as long as the worker lives.
+    /// Unique id, the same at every gateway for the life of the worker.
     pub uid: String,
-    /// Where it listens; may differ between gateways.
+    /// Address; may differ between gateways.
     #[serde(default)]
     pub endpoint: String,
-    /// Its zone.
+    /// Zone.
     #[serde(default)]
     pub az: String,
-    /// Workers of one group share which keys they have seen.
+    /// Workers of one group share idempotency keys.
     #[serde(default)]
     pub pod_group: u64,
     /// `up`, `draining` or `removed`.
     #[serde(default)]
     pub state: String,
-    /// Its size, for comparison with others.
+    /// Relative capacity.
     pub capacity_hint: Option<f64>,
-    /// When it last started, Unix time in milliseconds; 0 for long ago.
+    /// Last start, Unix time in milliseconds; 0 means long ago.
     #[serde(default)]
     pub boot_ms: u64,
 }
 
 impl Target {
-    /// One of which only the address is known.
+    /// A worker of which nothing but the address is known.
     pub fn nameless() -> Target {
         Target {
             uid: String::new(),
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -1,8 +1,8 @@
-//! Who the workers are, without I/O: what each source says of them, since when, and the one rule that joins it.
+//! Merges the workers reported by discovery and by DNS into one view, without I/O.
 //!
-//! Sources are the list of discovery ([`hosts::HostList`]) and addresses from DNS ([`Address`]). [`rule`] has the
-//! rule as a pure function, [`Membership`] applies it and gives what to tell the decisions. With the list alone
-//! every word of it is passed on as it is.
+//! [`hosts::HostList`] is discovery's list, [`Address`] a DNS record. [`resolve()`] decides on the state of a
+//! worker where both report it; [`Membership`] tracks the reports and produces the updates for the decision
+//! logic. With discovery alone, its list is passed on unchanged.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/crates/membership/src/rule.rs
+++ b/crates/membership/src/rule.rs
@@ -1,64 +1,65 @@
-//! The rule where sources disagree. `docs/srv.md` has it as a table; [`judge`] is that table.
+//! Resolves conflicting reports about a worker. `docs/srv.md` documents the table that [`resolve`]
+//! implements.
 
 use hingestage_policy::Micros;
 
-/// What the list says of a worker.
+/// What discovery reports about a worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListWord {
-    /// Nothing: it never named it.
+    /// Never listed.
     Silent,
-    /// It takes work; when it last started, where that is not long ago.
+    /// Accepts work; last start, unless long ago.
     Up(Option<Micros>),
-    /// It finishes what it has.
+    /// Draining; last start, unless long ago.
     Draining(Option<Micros>),
-    /// It is no more.
+    /// Removed.
     Removed,
 }
 
-/// What DNS says of an address.
+/// What DNS reports about an address.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SrvWord {
-    /// Nothing: no record ever led there.
+    /// Never seen.
     Silent,
-    /// A record leads there; since when, where that counts as a start.
+    /// Present; since when, if that counts as a start.
     Present(Option<Micros>),
-    /// A record did, until then.
+    /// Disappeared at this time.
     Vanished(Micros),
 }
 
-/// What is to be held of a worker.
+/// The resolved state of a worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// It takes work, and started then.
+    /// Accepts work; start time, if known.
     Ready(Option<Micros>),
-    /// It finishes what it has.
+    /// Draining; start time, if known.
     Draining(Option<Micros>),
-    /// It is no worker.
+    /// Not in service.
     Gone,
 }
 
-/// Joins what both sources say:
+/// Resolves the reports of both sources:
 ///
-/// | the list | DNS: silent | DNS: present | DNS: vanished, within the grace | and past it |
+/// | discovery | DNS: unknown | DNS: present | DNS: vanished, within the grace period | after it |
 /// | --- | --- | --- | --- | --- |
-/// | silent | gone | ready, started when first seen | draining | gone |
-/// | up | ready, as the list says | ready, as the list says | draining | gone |
+/// | unknown | gone | ready, started when first seen | draining | gone |
+/// | up | ready, start as listed | ready, start as listed | draining | gone |
 /// | draining | draining | draining | draining | gone |
 /// | removed | gone | gone | gone | gone |
 ///
-/// A drain or an end that one source tells holds until that source takes it back, whatever the other says. A
-/// start that is told beats one that is guessed.
+/// A drain or a removal by one source holds until that source revokes it, whatever the other reports. A reported
+/// start time takes precedence over a guessed one.
 pub fn judge(list: ListWord, srv: SrvWord, now: Micros, grace: Micros) -> Verdict {
-    let told = match list {
+    let reported = match list {
         ListWord::Up(started) | ListWord::Draining(started) => started,
         ListWord::Silent | ListWord::Removed => None,
     };
     match (list, srv) {
         (ListWord::Removed, _) | (ListWord::Silent, SrvWord::Silent) => Verdict::Gone,
         (_, SrvWord::Vanished(since)) if now >= since.saturating_add(grace) => Verdict::Gone,
-        (_, SrvWord::Vanished(_)) | (ListWord::Draining(_), _) => Verdict::Draining(told),
+        (_, SrvWord::Vanished(_)) | (ListWord::Draining(_), _) => Verdict::Draining(reported),
         (ListWord::Silent, SrvWord::Present(seen)) => Verdict::Ready(seen),
-        (ListWord::Up(_), _) => Verdict::Ready(told),
+        (ListWord::Up(_), _) => Verdict::Ready(reported),
     }
 }
 
@@ -68,9 +69,9 @@
 
     const GRACE: Micros = 30;
 
-    /// Each row of the table in `docs/srv.md`.
+    /// Covers every row of the table in `docs/srv.md`.
     #[test]
-    fn every_row_of_the_table() {
+    fn resolves_every_row_of_the_table() {
         use {ListWord as L, SrvWord as S, Verdict as V};
         let (boot, seen) = (Some(7), Some(90));
         let rows = [
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -1,4 +1,4 @@
-//! What every program of the system shares: its settings file, command line, log, signals and runtime.
+//! Shared by all programs: settings file, command line, log, signals and runtime.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/crates/node/src/program.rs
+++ b/crates/node/src/program.rs
@@ -1,4 +1,4 @@
-//! How a program starts: command line, settings, log, runtime.
+//! Program startup: command line, settings, log and runtime.
 
 use crate::settings::Settings;
 use log::LevelFilter;
@@ -9,35 +9,34 @@
 use std::time::{SystemTime, UNIX_EPOCH};
 use tokio::task::LocalSet;
 
-/// Exit code for settings that can't be used.
-const BAD_SETTINGS: u8 = 2;
+/// Exit code for invalid settings.
+const EXIT_BAD_SETTINGS: u8 = 2;
 
-/// A number that tells the lives of a process apart: the time of day at its start, microseconds. A clock that was set
-/// back in between may make it smaller.
+/// Identifies one run of a process: the start time, Unix time in µs. Not monotonic if the clock is set back.
 pub fn incarnation() -> u64 {
     SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_micros() as u64
 }
 
-/// Milliseconds since 1970 by this machine's clock, which may jump.
+/// Unix time in ms by the system clock; may jump.
 pub fn time_of_day() -> u64 {
     SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as u64
 }
 
-/// What a program is called and does.
+/// Name and description of a program.
 pub struct Program {
-    /// Its name, as in the log.
+    /// Name used in the log.
     pub name: &'static str,
     /// One sentence for `--help`.
     pub about: &'static str,
 }
 
-/// Runs a program on one thread until its future ends.
+/// Runs a program on a single thread until its future completes.
 pub fn run<F>(program: &Program, serve: impl FnOnce(Rc<Settings>) -> F) -> ExitCode
 where
     F: Future<Output = eyre::Result<()>> + 'static,
 {
     let flags = flags::Program::from_env_or_exit();
-    if let Some(code) = answered_on_the_command_line(program, &flags) {
+    if let Some(code) = handle_flags(program, &flags) {
         return code;
     }
     start_log();
@@ -45,7 +44,7 @@
         Ok(settings) => Rc::new(Settings { first_terms: flags.first_terms, ..settings }),
         Err(message) => {
             eprintln!("{}: settings: {message}", program.name);
-            return ExitCode::from(BAD_SETTINGS);
+            return ExitCode::from(EXIT_BAD_SETTINGS);
         }
     };
     log::info!("{} starts on {} ({}, {})", program.name, settings.node, settings.zone, settings.region);
@@ -82,8 +81,8 @@
     }
 }
 
-/// Does what needs no running program, and gives the exit code of that.
-fn answered_on_the_command_line(program: &Program, flags: &flags::Program) -> Option<ExitCode> {
+/// Handles the flags that need no running program, and returns their exit code.
+fn handle_flags(program: &Program, flags: &flags::Program) -> Option<ExitCode> {
     if flags.version {
         println!("{} {}: {}", program.name, env!("CARGO_PKG_VERSION"), program.about);
         return Some(ExitCode::SUCCESS);
@@ -99,13 +98,13 @@
         }
         Err(message) => {
             eprintln!("{}: settings: {message}", program.name);
-            ExitCode::from(BAD_SETTINGS)
+            ExitCode::from(EXIT_BAD_SETTINGS)
         }
     }
 }
 
 fn start_log() {
     let config = ConfigBuilder::new().set_time_level(LevelFilter::Off).build();
-    // A logger is there already only in tests.
+    // Tests may have installed a logger already.
     let _ = WriteLogger::init(LevelFilter::Info, config, std::io::stderr());
 }
--- a/crates/node/src/settings.rs
+++ b/crates/node/src/settings.rs
@@ -1,6 +1,6 @@
-//! The settings file of one process (YAML): who it is, where it listens, and the bounds it has to keep.
+//! The settings file (YAML) of a process: its identity, its addresses and its limits.
 //!
-//! Fields that are not listed here are ignored: later releases of the platform may add some.
+//! Unknown fields are ignored, for compatibility with later releases of the platform.
 
 use garde::Validate;
 use serde::de::{Unexpected, Visitor};
@@ -17,38 +17,38 @@
 /// Settings of one process.
 #[derive(Clone, Debug, Deserialize, Validate)]
 pub struct Settings {
-    /// File with terms of trials that a registry sets where none have been set, from the command line.
+    /// File with initial trial terms, from the command line; a registry applies it if none are set.
     #[garde(skip)]
     #[serde(skip)]
     pub first_terms: Option<PathBuf>,
-    /// Name of the machine; stays the same when its processes are started again.
+    /// Host name; stable across restarts.
     #[garde(length(min = 1, max = 128))]
     pub node: String,
-    /// Name of the role in the deploy file.
+    /// Role in the deploy file.
     #[garde(length(max = 128))]
     #[serde(default)]
     pub role: String,
-    /// Address of the machine.
+    /// Address of the host.
     #[garde(skip)]
     pub ip: IpAddr,
-    /// Zone of the machine.
+    /// Zone of the host.
     #[garde(length(min = 1, max = 128))]
     pub zone: String,
-    /// Region of the machine.
+    /// Region of the host.
     #[garde(length(min = 1, max = 128))]
     pub region: String,
     /// Region of each zone.
     #[garde(length(max = 10_000))]
     #[serde(default)]
     pub zones: BTreeMap<String, String>,
-    /// Addresses that are called from outside.
+    /// Externally reachable addresses.
     #[garde(skip)]
     #[serde(default)]
     pub listen: Listen,
-    /// First and last port for traffic between processes of the system.
-    #[garde(custom(is_range))]
+    /// First and last port for internal traffic.
+    #[garde(custom(validate_port_range))]
     pub port_range: (u16, u16),
-    /// Operators' addresses of some core machines.
+    /// Operator-provided addresses of some core nodes.
     #[garde(length(max = 64))]
     #[serde(default)]
     pub seeds: Vec<SocketAddr>,
@@ -56,61 +56,61 @@
     #[garde(skip)]
     #[serde(default)]
     pub bootstrap: bool,
-    /// Limits on what this process may use.
+    /// Resource limits.
     #[garde(dive)]
     #[serde(default)]
     pub limits: Limits,
-    /// Directory on the machine's disk, where it has one.
+    /// Persistent data directory, if the host has a disk.
     #[garde(skip)]
     #[serde(default)]
     pub data_dir: Option<PathBuf>,
-    /// Period within which processes of the system hear from each other.
+    /// Heartbeat interval between processes.
     #[garde(skip)]
     #[serde(default = "default_beat", deserialize_with = "duration")]
     pub beat: Duration,
-    /// Losses that may happen together without any rule being broken.
+    /// Simultaneous failures to tolerate.
     #[garde(skip)]
     #[serde(default)]
     pub tolerate: Tolerate,
-    /// Figures of the rules.
+    /// Deadlines and limits that the system must meet.
     #[garde(skip)]
     #[serde(default)]
     pub bounds: Bounds,
-    /// The platform's list of workers.
+    /// The platform's worker list API.
     #[garde(dive)]
     #[serde(default)]
     pub cloud_api: Option<CloudApi>,
 }
 
-/// Addresses that are called from outside; each role has those that it serves.
+/// Externally reachable addresses; each role serves some of them.
 #[derive(Clone, Debug, Default, Deserialize)]
 pub struct Listen {
-    /// Where clients send requests.
+    /// Client requests.
     #[serde(default)]
     pub http: Option<SocketAddr>,
-    /// Where the platform asks whether the process is ready.
+    /// Readiness probe.
     #[serde(default)]
     pub readiness: Option<SocketAddr>,
-    /// Where the operator calls.
+    /// Operator API.
     #[serde(default)]
     pub admin: Option<SocketAddr>,
-    /// Where clients ask which proxies there are.
+    /// Directory of proxies for clients.
     #[serde(default)]
     pub dir: Option<SocketAddr>,
 }
 
-/// Limits on what a process may use.
+/// Resource limits of a process.
 #[derive(Clone, Debug, Deserialize, Validate)]
 pub struct Limits {
     /// Memory, MB.
     #[garde(range(min = 16))]
     #[serde(default = "default_memory")]
     pub mem_mb: u64,
-    /// Open descriptors.
+    /// File descriptors.
     #[garde(range(min = 64))]
     #[serde(default = "default_descriptors")]
     pub max_fds: usize,
-    /// What the machine's link carries, Mbit/s.
+    /// Network bandwidth, Mbit/s.
     #[garde(range(min = 0.01))]
     #[serde(default = "default_link")]
     pub net_mbps: f64,
@@ -122,63 +122,63 @@
     }
 }
 
-/// Losses that may happen together without any rule being broken.
+/// Simultaneous failures to tolerate.
 #[derive(Clone, Copy, Debug, Default, Deserialize)]
 pub struct Tolerate {
-    /// Machines with a disk.
+    /// Core nodes.
     #[serde(default)]
     pub machines: usize,
-    /// Whole zones.
+    /// Zones.
     #[serde(default)]
     pub zones: usize,
 }
 
-/// Figures of the rules. What a settings file leaves out has the value of the first deployments.
+/// Deadlines and limits that the system must meet. The defaults are those of the first deployments.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(default)]
 pub struct Bounds {
-    /// Age of undisturbed contact after which time bounds hold for a machine.
+    /// Duration of uninterrupted contact after which the deadlines apply to a host.
     #[serde(deserialize_with = "duration")]
     pub contact: Duration,
-    /// Time within which a proper order is acknowledged.
+    /// Deadline for acknowledging a valid order.
     #[serde(deserialize_with = "duration")]
     pub ack: Duration,
-    /// Time within which a worker that leaves gets nothing more.
+    /// Deadline for the last request to a draining worker.
     #[serde(deserialize_with = "duration")]
     pub drain: Duration,
     /// Time from SIGTERM to SIGKILL.
     #[serde(deserialize_with = "duration")]
     pub grace: Duration,
-    /// Time within which an acknowledged configuration is in force.
+    /// Deadline for applying an acknowledged configuration.
     #[serde(deserialize_with = "duration")]
     pub apply: Duration,
-    /// Whether keys that were taken away bind processes that are cut off, too.
+    /// Whether revocations also bind partitioned processes.
     pub revoke_strict: bool,
-    /// Time within which a key that was taken away is refused.
+    /// Deadline for rejecting a revoked key.
     #[serde(deserialize_with = "duration")]
     pub revoke: Duration,
-    /// Further attempts allowed for each request.
+    /// Retries allowed per request.
     pub retry_ratio: f64,
-    /// Span over which further attempts are counted.
+    /// Window over which retries are counted.
     #[serde(deserialize_with = "duration")]
     pub retry_window: Duration,
-    /// Further attempts allowed beside the ratio.
+    /// Retries allowed on top of the ratio.
     pub retry_slack: f64,
-    /// Span over which a tenant's requests are counted.
+    /// Window over which a tenant's requests are counted.
     #[serde(deserialize_with = "duration")]
     pub quota_window: Duration,
-    /// Part of a quota by which it may be exceeded.
+    /// Fraction by which a quota may be exceeded.
     pub quota_excess: f64,
     /// Requests by which a quota may be exceeded.
     pub quota_slack: f64,
-    /// Factor on what a cold worker bears in a second.
+    /// Tolerance factor on the rate of a cold worker.
     pub cold_excess: f64,
-    /// Requests in a second beside that factor.
+    /// Requests per second on top of that factor.
     pub cold_slack: f64,
-    /// Time within which an evacuated zone gets nothing more.
+    /// Deadline for the last request to an evacuated zone.
     #[serde(deserialize_with = "duration")]
     pub evac: Duration,
-    /// The longest time for which clients hold an answer about where to go.
+    /// Maximum time for which clients cache a directory answer.
     #[serde(deserialize_with = "duration")]
     pub ttl_max: Duration,
 }
@@ -207,92 +207,95 @@
     }
 }
 
-/// The platform's list of workers.
+/// The platform's worker list API.
 #[derive(Clone, Debug, Deserialize, Validate)]
 pub struct CloudApi {
-    /// Where it is asked.
+    /// Address.
     #[garde(skip)]
     pub addr: SocketAddr,
-    /// Calls a second that it accepts from the whole system.
+    /// Accepted calls per second, shared by the whole system.
     #[garde(range(min = 0.01))]
     #[serde(default = "default_call_rate")]
     pub rate_per_s: f64,
-    /// How far it lags behind the truth.
+    /// Maximum staleness of the list.
     #[garde(skip)]
     #[serde(default = "default_lag", deserialize_with = "duration")]
     pub lag: Duration,
 }
 
-/// Ports of the system's own traffic, counted from the first of the range, alike on all machines.
+/// Ports of internal services, as offsets into the port range; the same on every host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum InnerPort {
-    /// Registries, on core machines.
+    /// Registry, on core nodes.
     Registry = 0,
-    /// Stores of configuration, on core machines.
+    /// Configuration store, on core nodes.
     ConfigStore = 1,
-    /// Proxies, on edge machines.
+    /// Proxy, on edge nodes.
     Proxy = 2,
 }
 
 impl Settings {
-    /// Reads and checks the file that [`SETTINGS_VARIABLE`] names.
+    /// Reads and validates the file named by [`SETTINGS_VARIABLE`].
     ///
     /// # Errors
+    ///
     /// One line that names the file and the field.
     pub fn load() -> Result<Settings, String> {
         let path = std::env::var(SETTINGS_VARIABLE).map_err(|_| format!("{SETTINGS_VARIABLE} is not set"))?;
         Settings::read(Path::new(&path))
     }
 
-    /// Reads and checks a file.
+    /// Reads and validates a file.
     ///
     /// # Errors
+    ///
     /// One line that names the file and the field.
     pub fn read(path: &Path) -> Result<Settings, String> {
         let text = std::fs::read_to_string(path).map_err(|e| format!("{}: {e}", path.display()))?;
         Settings::parse(&text).map_err(|e| format!("{}: {e}", path.display()))
     }
 
-    /// Reads and checks a text.
+    /// Parses and validates settings.
     ///
     /// # Errors
+    ///
     /// One line that names the field.
     pub fn parse(text: &str) -> Result<Settings, String> {
-        let settings: Settings = serde_norway::from_str(text).map_err(|e| one_line(&e.to_string()))?;
-        settings.validate().map_err(|report| one_line(&report.to_string()))?;
+        let settings: Settings = serde_norway::from_str(text).map_err(|e| join_lines(&e.to_string()))?;
+        settings.validate().map_err(|report| join_lines(&report.to_string()))?;
         Ok(settings)
     }
 
-    /// The region of a zone, where the platform names it.
+    /// The region of a zone, if known.
     pub fn region_of(&self, zone: &str) -> Option<&str> {
         self.zones.get(zone).map(String::as_str)
     }
 
-    /// Whether a zone is known to be in another region than this machine.
+    /// Whether a zone is known to be in another region than this host.
     pub fn is_far(&self, zone: &str) -> bool {
         self.region_of(zone).is_some_and(|region| region != self.region)
     }
 
-    /// The address for the system's own traffic of a kind of process on this machine.
+    /// Address of an internal service on this host.
     pub fn inner(&self, port: InnerPort) -> SocketAddr {
         self.inner_at(self.ip, port)
     }
 
-    /// The same on another machine.
+    /// Address of an internal service on another host.
     pub fn inner_at(&self, ip: IpAddr, port: InnerPort) -> SocketAddr {
         SocketAddr::new(ip, self.port_range.0 + port as u16)
     }
 }
 
-fn one_line(text: &str) -> String {
+fn join_lines(text: &str) -> String {
     text.split_whitespace().collect::<Vec<_>>().join(" ")
 }
 
-fn is_range(range: &(u16, u16), _: &()) -> garde::Result {
+fn validate_port_range(range: &(u16, u16), _: &()) -> garde::Result {
     let needed = InnerPort::Proxy as u16;
     match range.1.checked_sub(range.0) {
         Some(more) if more >= needed => Ok(()),
-        _ => Err(garde::Error::new("names too few ports")),
+        _ => Err(garde::Error::new("has too few ports")),
     }
 }
 
@@ -320,7 +323,7 @@
     1_024
 }
 
-/// A span of time as the platform writes it: a number, then `ms` or `s`.
+/// Parses a duration: a number followed by `ms` or `s`.
 pub fn parse_duration(text: &str) -> Option<Duration> {
     let (number, unit) = match text.strip_suffix("ms") {
         Some(number) => (number, 1e-3),
@@ -334,14 +337,14 @@
     source.deserialize_str(DurationVisitor)
 }
 
-/// Reads a span from the text itself, so that an error names the field it stands in.
+/// Deserializes a duration from its text, so that errors name the field.
 struct DurationVisitor;
 
 impl Visitor<'_> for DurationVisitor {
     type Value = Duration;
 
     fn expecting(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        f.write_str("a time such as `1500ms` or `2.5s`")
+        f.write_str("a duration such as `1500ms` or `2.5s`")
     }
 
     fn visit_str<E: serde::de::Error>(self, text: &str) -> Result<Duration, E> {
--- a/crates/node/src/settings_file.rs
+++ b/crates/node/src/settings_file.rs
@@ -1,4 +1,4 @@
-//! The settings file of a running process, which may change with a signal or without one.
+//! The settings file of a running process, reloaded when it changes.
 
 use crate::settings::{Settings, SETTINGS_VARIABLE};
 use std::cell::RefCell;
@@ -7,12 +7,12 @@
 use std::rc::Rc;
 use std::time::SystemTime;
 
-/// What tells whether a file has changed.
-type Stamp = (SystemTime, u64);
+/// Modification time and length, which identify a version of the file.
+type FileVersion = (SystemTime, u64);
 
 struct Current {
     settings: Rc<Settings>,
-    stamp: Option<Stamp>,
+    version: Option<FileVersion>,
 }
 
 /// The settings file of a running process.
@@ -22,35 +22,35 @@
 }
 
 impl SettingsFile {
-    /// The file that [`SETTINGS_VARIABLE`] names, of which these settings were read at the start.
+    /// The file named by [`SETTINGS_VARIABLE`], with the settings that were loaded at startup.
     pub fn new(settings: Rc<Settings>) -> SettingsFile {
         let path = std::env::var_os(SETTINGS_VARIABLE).map(PathBuf::from);
-        SettingsFile { path, current: RefCell::new(Current { settings, stamp: None }) }
+        SettingsFile { path, current: RefCell::new(Current { settings, version: None }) }
     }
 
-    /// A named file, of which these settings were read at the start.
+    /// The file at `path`, with the settings that were loaded at startup.
     pub fn at(path: PathBuf, settings: Rc<Settings>) -> SettingsFile {
-        SettingsFile { path: Some(path), current: RefCell::new(Current { settings, stamp: None }) }
+        SettingsFile { path: Some(path), current: RefCell::new(Current { settings, version: None }) }
     }
 
-    /// The settings as the file has them now. It is read again only where it has changed; while it can't be used,
-    /// those of before hold.
+    /// The current settings. The file is read again only if it has changed; if it is invalid, the previous
+    /// settings stay in effect.
     pub fn current(&self) -> Rc<Settings> {
         let mut current = self.current.borrow_mut();
-        let stamp = self.stamp();
-        if stamp.is_none() || stamp == current.stamp {
+        let version = self.version();
+        if version.is_none() || version == current.version {
             return current.settings.clone();
         }
-        current.stamp = stamp;
+        current.version = version;
         match self.path.as_deref().map(Settings::read) {
             Some(Ok(settings)) => current.settings = Rc::new(settings),
-            Some(Err(message)) => log::warn!("settings: {message}; those of before hold"),
+            Some(Err(message)) => log::warn!("settings: {message}; keeping the previous settings"),
             None => {}
         }
         current.settings.clone()
     }
 
-    fn stamp(&self) -> Option<Stamp> {
+    fn version(&self) -> Option<FileVersion> {
         let metadata = fs::metadata(self.path.as_ref()?).ok()?;
         Some((metadata.modified().ok()?, metadata.len()))
     }
--- a/crates/node/src/signals.rs
+++ b/crates/node/src/signals.rs
@@ -1,21 +1,22 @@
-//! Signals that the platform sends.
+//! Process signals.
 
 use std::io;
 use tokio::signal::unix::{signal, Signal, SignalKind};
 
-/// Signals that a program reacts to.
+/// Signals that a program handles.
 pub struct Signals {
-    /// The process is to end in order.
+    /// SIGTERM: shut down gracefully.
     pub terminate: Signal,
-    /// The settings file has changed.
+    /// SIGHUP: the settings file has changed.
     pub hangup: Signal,
 }
 
 impl Signals {
-    /// Listens for them from now on.
+    /// Installs the signal handlers.
     ///
     /// # Errors
-    /// The system refuses.
+    ///
+    /// The handlers can't be installed.
     pub fn listen() -> io::Result<Signals> {
         Ok(Signals { terminate: signal(SignalKind::terminate())?, hangup: signal(SignalKind::hangup())? })
     }
--- a/crates/node/tests/settings.rs
+++ b/crates/node/tests/settings.rs
@@ -1,4 +1,4 @@
-//! The settings file: the platform's example is read whole, and a bad field is named in one line.
+//! The settings file: the example parses, and errors name the field in one line.
 
 use hingestage_node::settings::{parse_duration, InnerPort, Settings};
 use std::time::Duration;
@@ -6,7 +6,7 @@
 const EXAMPLE: &str = include_str!("node.yaml");
 
 #[test]
-fn the_platforms_example_is_read() {
+fn the_example_file_parses() {
     let settings = Settings::parse(EXAMPLE).expect("the example");
     assert_eq!(settings.node, "edge-cl-palazzo-1");
     assert_eq!(settings.zones["ct-sala-b"], "sicilia-est");
@@ -25,13 +25,13 @@
 }
 
 #[test]
-fn fields_that_are_not_known_are_passed_over() {
+fn unknown_fields_are_ignored() {
     let more = EXAMPLE.replace("bounds:\n", "bounds:\n  new_bound: \"1s\"\n") + "\nnew: {a: [1]}\n";
     assert!(Settings::parse(&more).is_ok());
 }
 
 #[test]
-fn each_bad_field_is_named_in_one_line() {
+fn errors_name_the_invalid_field_in_one_line() {
     let cases = [
         ("node: \"edge-cl-palazzo-1\"", "node: \"\"", "node"),
         ("ip: \"10.1.0.31\"", "ip: \"here\"", "ip"),
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn a_required_field_that_is_missing_is_named() {
+fn errors_name_a_missing_required_field() {
     for field in ["node", "ip", "zone", "region"] {
         let lines = EXAMPLE.lines().filter(|line| !line.starts_with(&format!("{field}:")));
         let text = lines.collect::<Vec<_>>().join("\n");
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn a_span_is_a_number_and_its_unit() {
+fn a_duration_is_a_number_and_its_unit() {
     assert_eq!(parse_duration("1500ms"), Some(Duration::from_millis(1_500)));
     assert_eq!(parse_duration("2.5s"), Some(Duration::from_millis(2_500)));
     for bad in ["", "s", "5", "5m", "-1s", "NaNs", "infs", "1e300s"] {
--- a/crates/operate/src/figures.rs
+++ b/crates/operate/src/figures.rs
@@ -1,20 +1,20 @@
-//! The figures of a gateway: what became of its requests, counted once each.
+//! Request metrics of a gateway.
 
 use serde::Serialize;
 use std::collections::BTreeMap;
 
-/// How a request ended.
+/// Result of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Ending {
-    /// With a worker's answer.
+    /// Answered by a worker.
     Served,
-    /// Turned away: trying again is harmless.
+    /// Refused without side effects; safe to retry.
     Refused,
-    /// Nothing is promised.
+    /// Failed; a worker may have executed it.
     Failed,
 }
 
-/// Counts since the start of the process. They only grow; what ended after its client had left is not in them.
+/// Counters since the start of the process. Requests whose client disconnected early are not counted.
 #[derive(Clone, Debug, Default)]
 pub struct Figures {
     classes: Vec<String>,
@@ -24,42 +24,42 @@
     reloads: (u64, u64),
 }
 
-/// What is true at the moment, counted by whoever holds it.
+/// Current values, measured by the caller.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Gauges {
-    /// Requests taken and not ended.
+    /// Open requests.
     pub inflight: usize,
-    /// Attempts written whole to workers that have not ended.
+    /// Attempts in progress whose request was fully sent.
     pub attempts_out: usize,
-    /// Workers on discovery's list.
+    /// Workers known from discovery.
     pub hosts_listed: usize,
-    /// Those of them that get nothing for what they did.
+    /// Known workers that are currently avoided.
     pub hosts_down: usize,
-    /// Of the name that workers are taken from, where one is followed.
+    /// Metrics of the DNS source, if configured.
     pub srv: Option<SrvFigures>,
 }
 
-/// What is believed of a name, and what it took to know.
+/// Metrics of a DNS source.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub struct SrvFigures {
-    /// One word on how good it is.
+    /// State of the records, as one word.
     pub standing: &'static str,
-    /// Addresses believed.
+    /// Addresses currently in use.
     pub believed: usize,
-    /// Questions sent.
+    /// Queries sent.
     pub asked: u64,
-    /// Of these, over TCP.
+    /// Queries sent over TCP.
     pub over_tcp: u64,
-    /// Without an answer in time.
+    /// Queries that timed out.
     pub timeouts: u64,
-    /// Answers that did not belong to their question.
+    /// Answers that did not match a query.
     pub foreign: u64,
-    /// Questions that a server failed.
+    /// Queries answered with an error.
     pub failed: u64,
 }
 
 #[derive(Serialize)]
-struct Told<'a> {
+struct Report<'a> {
     success: BTreeMap<&'a str, u64>,
     busy: BTreeMap<&'a str, u64>,
     failure: BTreeMap<&'a str, u64>,
@@ -74,36 +74,36 @@
 }
 
 impl Figures {
-    /// All at 0, for classes of these names.
+    /// All counters at 0, for classes with these names.
     pub fn new(classes: &[String]) -> Self {
         Figures { classes: classes.to_vec(), ended: vec![[0; 3]; classes.len()], ..Figures::default() }
     }
 
-    /// Counts the end of a request of a class; one that is out of range counts nowhere.
-    pub fn ended(&mut self, class: usize, how: Ending) {
+    /// Counts a finished request of a class; ignores classes out of range.
+    pub fn ended(&mut self, class: usize, result: Ending) {
         if let Some(counts) = self.ended.get_mut(class) {
-            counts[how as usize] += 1;
+            counts[result as usize] += 1;
         }
     }
 
-    /// Counts an attempt that came whole to a worker, at its end.
+    /// Counts a finished attempt.
     pub fn attempted(&mut self) {
         self.attempts += 1;
     }
 
-    /// Counts a configuration read again while serving, good or bad.
+    /// Counts a configuration reload and whether it succeeded.
     pub fn reloaded(&mut self, good: bool) {
         let (ok, failed) = &mut self.reloads;
         *(if good { ok } else { failed }) += 1;
     }
 
-    /// All figures as one JSON object.
+    /// All metrics as a JSON object.
     pub fn json(&self, now: Gauges) -> String {
-        let by_class = |how: Ending| {
-            let counts = self.ended.iter().map(|counts| counts[how as usize]);
+        let by_class = |result: Ending| {
+            let counts = self.ended.iter().map(|counts| counts[result as usize]);
             self.classes.iter().map(String::as_str).zip(counts).collect()
         };
-        let told = Told {
+        let report = Report {
             success: by_class(Ending::Served),
             busy: by_class(Ending::Refused),
             failure: by_class(Ending::Failed),
@@ -115,8 +115,8 @@
             reconfig_failed: self.reloads.1,
             srv: now.srv,
         };
-        // Names and numbers only: there is nothing in it that could not be written.
-        serde_json::to_string(&told).unwrap_or_default()
+        // Plain names and numbers always serialize.
+        serde_json::to_string(&report).unwrap_or_default()
     }
 }
 
@@ -125,24 +125,24 @@
     use super::*;
 
     #[test]
-    fn each_end_stands_under_its_class_and_one_count() {
+    fn requests_are_counted_by_class_and_result() {
         let mut figures = Figures::new(&["pull".into(), "push".into()]);
-        for (class, how) in [
+        for (class, result) in [
             (0, Ending::Served),
             (0, Ending::Served),
             (1, Ending::Refused),
             (1, Ending::Failed),
             (2, Ending::Served),
         ] {
-            figures.ended(class, how);
+            figures.ended(class, result);
         }
         figures.attempted();
         figures.reloaded(true);
         figures.reloaded(false);
-        let told =
+        let report =
             figures.json(Gauges { inflight: 4, attempts_out: 2, hosts_listed: 9, hosts_down: 1, srv: None });
         assert_eq!(
-            told,
+            report,
             r#"{"success":{"pull":2,"push":0},"busy":{"pull":0,"push":1},"failure":{"pull":0,"push":1},"backend_calls":3,"inflight":4,"hosts_listed":9,"hosts_down":1,"reconfig_ok":1,"reconfig_failed":1}"#
         );
     }
--- a/crates/operate/src/lib.rs
+++ b/crates/operate/src/lib.rs
@@ -1,8 +1,7 @@
-//! What operators ask of a gateway in service, decided without input or output.
+//! Lifecycle and metrics of a gateway, without I/O.
 //!
-//! [`Life`] says whether clients are wanted and what becomes of their connections while a gateway drains, hands
-//! on to a successor or stops; [`Figures`] count what became of requests. Both are plain values: the gateway's
-//! sockets stand round them (`crates/gateway`).
+//! [`Lifecycle`] decides whether clients are accepted and how connections end while a gateway drains, hands
+//! over to a successor or shuts down; [`Metrics`] counts requests by result.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
