--- a/crates/operate/src/life.rs
+++ b/crates/operate/src/life.rs
@@ -1,29 +1,28 @@
-//! The life of a gateway as its clients notice it: starting, serving, draining, handing on, stopping.
+//! Lifecycle of a gateway: starting, serving, draining, handing over, shutting down.
 
 use std::time::{Duration, Instant};
 
-/// How long new connections are taken in after the call to stop, where no successor takes them: whoever sends
-/// clients here learns of it that late.
-const STILL_ACCEPT: Duration = Duration::from_millis(500);
+/// How long new connections are accepted after a stop without a successor, while load balancers notice it.
+const ACCEPT_AFTER_STOP: Duration = Duration::from_millis(500);
 
-/// What a gateway is told of its own life.
+/// A lifecycle event.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Told {
-    /// Requests can be served: the workers are known.
+    /// The workers are known and requests can be served.
     Ready,
-    /// Clients are to be sent away. Nothing changes if they are already.
+    /// Start draining; no effect if already draining.
     Drain,
-    /// Clients are wanted again.
+    /// Stop draining.
     Undrain,
-    /// Another process has the listening socket as well, and is about to serve.
+    /// A successor shares the listening socket and is about to serve.
     SuccessorStarts,
-    /// That process has ended: this one goes on alone.
+    /// The successor has exited.
     SuccessorGone,
-    /// Everything taken is to be answered, and then the process ends. There is no way back from it.
+    /// Answer all received requests, then exit; irreversible.
     Stop,
 }
 
-/// Where a gateway stands. Time is passed in.
+/// Lifecycle state of a gateway. Times are passed in by the caller.
 #[derive(Clone, Debug, Default)]
 pub struct Life {
     ready: bool,
@@ -33,9 +32,9 @@
 }
 
 impl Life {
-    /// Takes something in.
-    pub fn told(&mut self, now: Instant, what: Told) {
-        match what {
+    /// Applies an event.
+    pub fn told(&mut self, now: Instant, event: Told) {
+        match event {
             Told::Ready => self.ready = true,
             Told::Drain => drop(self.draining.get_or_insert(now)),
             Told::Undrain => self.draining = None,
@@ -45,35 +44,35 @@
         }
     }
 
-    /// Whether clients are to be sent here.
+    /// Whether new clients are accepted.
     pub fn wants_clients(&self) -> bool {
         self.ready && self.draining.is_none() && self.stopping.is_none()
     }
 
-    /// Whether a connection is kept after an answer. Told so in an answer, a client loses nothing by it; closed
-    /// while it idles, its next request may cross the closing.
+    /// Whether connections are kept alive after a response. A client that was sent `connection: close` loses
+    /// no request; one closed while idle may.
     pub fn keeps_connections(&self) -> bool {
         self.draining.is_none() && self.stopping.is_none()
     }
 
-    /// Until when connections are taken in; none for as long as the process lives. What a successor can take is
-    /// left to it at once: the queue is one and the same, and nothing in it is lost.
+    /// Until when new connections are accepted; `None` if not stopping. A successor takes over at once,
+    /// because both share one accept queue.
     pub fn accepts_until(&self) -> Option<Instant> {
-        self.stopping.map(|at| if self.successor { at } else { at + STILL_ACCEPT })
+        self.stopping.map(|at| if self.successor { at } else { at + ACCEPT_AFTER_STOP })
     }
 
-    /// Whether connections between two requests are closed although their clients were not told. With a
-    /// successor there is time for each to ask once more, and be told.
+    /// Whether idle connections are closed without a prior `connection: close`. With a successor there is
+    /// time for one more response on each.
     pub fn closes_idle(&self) -> bool {
         self.stopping.is_some() && !self.successor
     }
 
-    /// Whether the allowance of ceilings may grow: not where a successor's grows already.
+    /// Whether rate limits may refill; not while a successor refills its own.
     pub fn fills_ceilings(&self) -> bool {
         !self.successor
     }
 
-    /// Since when clients are sent away.
+    /// When draining started.
     pub fn draining_since(&self) -> Option<Instant> {
         self.draining
     }
@@ -83,17 +82,17 @@
 mod tests {
     use super::*;
 
-    /// A life told these things, one a second.
-    fn after(told: &[Told]) -> (Life, Instant) {
+    /// A lifecycle after these events, one per second, and its start time.
+    fn lifecycle_after(told: &[Told]) -> (Life, Instant) {
         let (mut life, start) = (Life::default(), Instant::now());
-        for (n, what) in told.iter().enumerate() {
-            life.told(start + Duration::from_secs(n as u64), *what);
+        for (n, event) in told.iter().enumerate() {
+            life.told(start + Duration::from_secs(n as u64), *event);
         }
         (life, start)
     }
 
     #[test]
-    fn clients_are_wanted_from_the_first_list_until_a_drain_or_a_stop() {
+    fn clients_are_accepted_from_ready_until_a_drain_or_a_stop() {
         for (told, wanted, kept) in [
             (&[][..], false, true),
             (&[Told::Ready], true, true),
@@ -103,29 +102,29 @@
             (&[Told::Ready, Told::Stop], false, false),
             (&[Told::Ready, Told::Drain, Told::Stop, Told::Undrain], false, false),
         ] {
-            let (life, _) = after(told);
+            let (life, _) = lifecycle_after(told);
             assert_eq!((life.wants_clients(), life.keeps_connections()), (wanted, kept), "{told:?}");
         }
     }
 
     #[test]
-    fn a_drain_told_twice_began_with_the_first() {
-        let (life, start) = after(&[Told::Drain, Told::Drain]);
+    fn a_repeated_drain_keeps_its_start_time() {
+        let (life, start) = lifecycle_after(&[Told::Drain, Told::Drain]);
         assert_eq!(life.draining_since(), Some(start));
     }
 
     #[test]
-    fn without_a_successor_connections_still_come_in_for_a_while() {
-        let (life, start) = after(&[Told::Stop]);
-        assert_eq!((life.accepts_until(), life.closes_idle()), (Some(start + STILL_ACCEPT), true));
+    fn without_a_successor_connections_are_still_accepted_for_a_while() {
+        let (life, start) = lifecycle_after(&[Told::Stop]);
+        assert_eq!((life.accepts_until(), life.closes_idle()), (Some(start + ACCEPT_AFTER_STOP), true));
     }
 
     #[test]
-    fn a_successor_takes_the_queue_at_once_and_its_end_gives_it_back() {
-        let (life, start) = after(&[Told::SuccessorStarts, Told::Stop]);
+    fn a_successor_takes_over_at_once_and_its_exit_reverts_that() {
+        let (life, start) = lifecycle_after(&[Told::SuccessorStarts, Told::Stop]);
         let stop = start + Duration::from_secs(1);
         assert_eq!((life.accepts_until(), life.closes_idle()), (Some(stop), false));
-        let (life, _) = after(&[Told::SuccessorStarts, Told::SuccessorGone]);
+        let (life, _) = lifecycle_after(&[Told::SuccessorStarts, Told::SuccessorGone]);
         assert!(life.fills_ceilings() && life.accepts_until().is_none());
     }
 }
--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -1,13 +1,11 @@
-//! The seam between the gateway and what it runs on.
+//! The interface between the gateway and its runtime environment.
 //!
-//! Everything above is generic over [`Platform`] and names neither sockets nor clocks of its own. The real
-//! one is [`Tokio`]; the simulator has another, on a virtual clock. The seam is static: served code compiles
-//! to the same calls as if it named tokio itself.
+//! The gateway is generic over [`Platform`] and uses no sockets or clocks of its own. [`Tokio`] is the real
+//! implementation; the simulator has one with a virtual clock. Dispatch is static.
 //!
-//! Two things stay outside of it on purpose. Points in time are `std::time::Instant`, a plain value that the
-//! HTTP library speaks too; only [`Platform::now`] makes one. Random numbers have no method: the gateway's
-//! only source is the seed of its configuration, and nothing served may depend on the order of a randomly
-//! keyed table.
+//! Points in time are `std::time::Instant`, as the HTTP library requires, but only [`Platform::now`] creates
+//! them. Random numbers come from the configured seed; behaviour must not depend on the iteration order of
+//! hash tables.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
@@ -22,64 +20,64 @@
 use std::time::{Duration, Instant};
 use tokio::io::{AsyncRead, AsyncWrite};
 
-/// Unix time, read once: from then on it runs evenly and never goes back.
+/// Unix time that is read once and then advances with the monotonic clock.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
-    /// Microseconds.
-    at: u64,
+    /// Unix time at `since`, µs.
+    unix_micros: u64,
     since: Instant,
 }
 
 impl Clock {
-    /// Reads the time.
+    /// Reads the system clock.
     pub fn new(platform: &impl Platform) -> Clock {
-        Clock { at: platform.unix_time().as_micros() as u64, since: platform.now() }
+        Clock { unix_micros: platform.unix_time().as_micros() as u64, since: platform.now() }
     }
 
-    /// Unix time at a point, microseconds.
+    /// Unix time at `now`, µs.
     pub fn micros(&self, now: Instant) -> u64 {
-        self.at + now.saturating_duration_since(self.since).as_micros() as u64
+        self.unix_micros + now.saturating_duration_since(self.since).as_micros() as u64
     }
 }
 
-/// What a gateway runs on: connections, time, tasks and a log. Handles are cheap to clone.
+/// The runtime environment: network, time, tasks and a log. Handles are cheap to clone.
 pub trait Platform: Clone + 'static {
     /// An established connection.
     type Stream: Stream;
-    /// Where connections come in.
+    /// A listening socket.
     type Listener: Listener<Stream = Self::Stream>;
-    /// Where datagrams come and go.
+    /// A datagram socket.
     type Datagrams: Datagrams;
-    /// Ends at a point in time.
+    /// A future that completes at a point in time.
     type Sleep: Future<Output = ()> + 'static;
-    /// Time as the HTTP library asks for it.
+    /// The timer type of the HTTP library.
     type Timer: hyper::rt::Timer + Send + Sync + 'static;
-    /// A task that has been started.
+    /// A handle on a spawned task.
     type Task: Task;
 
-    /// The present, on a clock that never goes back.
+    /// The current time on a monotonic clock.
     fn now(&self) -> Instant;
 
-    /// Time since the start of 1970. Read it once: it may jump.
+    /// Unix time by the system clock, which may jump.
     fn unix_time(&self) -> Duration;
 
-    /// Waits until a point in time; one in the past is over at once.
+    /// Waits until `at`; completes at once if that is past.
     fn sleep_until(&self, at: Instant) -> Self::Sleep;
 
-    /// The clock as the HTTP library wants it.
+    /// A timer for the HTTP library.
     fn timer(&self) -> Self::Timer;
 
-    /// Starts a task on this thread.
+    /// Spawns a task on the current thread.
     fn spawn(&self, task: impl Future<Output = ()> + 'static) -> Self::Task;
 
-    /// Opens a connection. It sets no time-out: a machine that is cut off never answers.
+    /// Opens a connection, without a timeout: an unreachable host may never answer.
     fn connect(&self, to: SocketAddr) -> impl Future<Output = io::Result<Self::Stream>>;
 
-    /// Listens at an address; port 0 means any that is free.
+    /// Listens at an address; port 0 picks a free port.
     fn listen(&self, at: SocketAddr) -> impl Future<Output = io::Result<Self::Listener>>;
 
-    /// Opens a socket for datagrams at an address; port 0 means a random one that is free. With a peer it
-    /// takes nothing from anybody else.
+    /// Binds a datagram socket; port 0 picks a random free port. With `peer`, only datagrams from that peer
+    /// are received.
     fn datagrams(
         &self,
         at: SocketAddr,
@@ -89,20 +87,20 @@
     /// Writes a line to the log.
     fn log(&self, line: fmt::Arguments);
 
-    /// Tells how many entries a table has, now and then; for whoever watches that all of them shrink.
+    /// Reports the size of a table, for leak detection.
     fn gauge(&self, _table: &'static str, _entries: usize) {}
 
-    /// Waits for a span.
+    /// Waits for a duration.
     fn sleep(&self, span: Duration) -> Self::Sleep {
         self.sleep_until(self.now() + span)
     }
 
-    /// Time since a point, 0 if that is still to come.
+    /// Time elapsed since `at`, or zero if that is in the future.
     fn since(&self, at: Instant) -> Duration {
         self.now().saturating_duration_since(at)
     }
 
-    /// Runs a future until a point in time. What is ready at that very point counts as in time.
+    /// Runs a future until `at`. A future that is ready at the deadline still succeeds.
     fn timeout_at<F: Future>(
         &self,
         at: Instant,
@@ -118,7 +116,7 @@
         }
     }
 
-    /// Runs a future for a span at most.
+    /// Runs a future for at most `span`.
     fn timeout<F: Future>(
         &self,
         span: Duration,
@@ -128,49 +126,49 @@
     }
 }
 
-/// A connection. Dropping it closes it at once: what the peer has sent and nobody read resets it.
+/// A connection. Dropping it closes it at once; unread input causes a reset.
 pub trait Stream: AsyncRead + AsyncWrite + Unpin + 'static {
-    /// Takes as many bytes for sending as there is room for now. `WouldBlock` where there is none.
+    /// Writes as many bytes as fit into the send buffer, or fails with `WouldBlock`.
     fn try_write(&self, bytes: &[u8]) -> io::Result<usize>;
 
-    /// Whether nothing at all has come in that was not read, neither bytes nor an end, as the system itself
-    /// has it now: a runtime knows only what it was told when it last waited.
+    /// Whether no unread input or end of stream is pending, according to the operating system; the runtime's
+    /// readiness may be stale.
     fn is_quiet(&self) -> bool;
 }
 
-/// Where connections come in. Dropping it refuses further ones.
+/// A listening socket. Dropping it refuses further connections.
 pub trait Listener: 'static {
-    /// What comes in.
+    /// The type of accepted connections.
     type Stream;
 
-    /// The next connection. An error leaves the listener in use.
+    /// Accepts a connection. The listener stays usable after an error.
     fn accept(&self) -> impl Future<Output = io::Result<Self::Stream>>;
 
-    /// Where it listens.
+    /// The address it listens at.
     fn local_addr(&self) -> io::Result<SocketAddr>;
 }
 
-/// A socket for datagrams. Dropping it closes it.
+/// A datagram socket. Dropping it closes it.
 pub trait Datagrams: 'static {
-    /// Sends one; to the peer, where the socket has one.
+    /// Sends a datagram; to the peer, if the socket has one.
     fn send(&self, bytes: &[u8], to: SocketAddr) -> impl Future<Output = io::Result<()>>;
 
-    /// The next one: its length, and from whom. What is longer than the buffer is cut.
+    /// Receives a datagram: its length and sender. Longer datagrams are truncated.
     fn receive(&self, buffer: &mut [u8]) -> impl Future<Output = io::Result<(usize, SocketAddr)>>;
 }
 
-/// A task that has been started. Dropping the handle lets it go on.
+/// A spawned task. Dropping the handle detaches it.
 pub trait Task: 'static {
-    /// Ends the task the next time it would run.
+    /// Aborts the task at its next await point.
     fn abort(&self);
 }
 
-/// Time ran out.
+/// The error of a timeout.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Elapsed;
 
 impl fmt::Display for Elapsed {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        f.write_str("out of time")
+        f.write_str("timed out")
     }
 }
--- a/crates/platform/src/real.rs
+++ b/crates/platform/src/real.rs
@@ -1,4 +1,4 @@
-//! The real platform: tokio on one thread, TCP, the system's clocks, standard error.
+//! The Tokio implementation: single-threaded, TCP and UDP, system clocks, log on standard error.
 
 use crate::{Datagrams, Listener, Platform, Stream, Task};
 use hyper_util::rt::TokioTimer;
@@ -12,12 +12,12 @@
 use tokio::net::{TcpListener, TcpStream, UdpSocket};
 use tokio::task::AbortHandle;
 
-/// The variable by which rehearsals lead a process's clock astray: so many seconds ahead, or behind where negative.
+/// Environment variable that shifts the system clock by this many seconds, for tests with clock skew.
 pub const CLOCK_AHEAD: &str = "HINGESTAGE_CLOCK_AHEAD";
-/// The most that it says, seconds; what is further, or no number, is passed over.
-const ASTRAY_MAX: f64 = 3_600.0;
+/// Maximum clock shift, seconds; larger or invalid values are ignored.
+const CLOCK_OFFSET_MAX_S: f64 = 3_600.0;
 
-/// Tokio's runtime with a `LocalSet`, which must be running where a method is called.
+/// Requires a running Tokio runtime with a `LocalSet`.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Tokio;
 
@@ -35,14 +35,16 @@
 
     fn unix_time(&self) -> Duration {
         let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        let ahead = std::env::var(CLOCK_AHEAD).ok().and_then(|seconds| seconds.parse().ok());
-        let Some(ahead) = ahead.filter(|ahead: &f64| ahead.abs() <= ASTRAY_MAX) else { return now };
-        self.log(format_args!("{CLOCK_AHEAD}: the clock is led astray by {ahead} s"));
-        let by = Duration::from_secs_f64(ahead.abs());
-        if ahead > 0.0 {
-            now + by
+        let offset_s = std::env::var(CLOCK_AHEAD).ok().and_then(|seconds| seconds.parse().ok());
+        let Some(offset_s) = offset_s.filter(|offset_s: &f64| offset_s.abs() <= CLOCK_OFFSET_MAX_S) else {
+            return now;
+        };
+        self.log(format_args!("{CLOCK_AHEAD}: the system clock is shifted by {offset_s} s"));
+        let offset = Duration::from_secs_f64(offset_s.abs());
+        if offset_s > 0.0 {
+            now + offset
         } else {
-            now.saturating_sub(by)
+            now.saturating_sub(offset)
         }
     }
 
@@ -59,7 +61,7 @@
     }
 
     async fn connect(&self, to: SocketAddr) -> io::Result<TcpStream> {
-        without_delay(TcpStream::connect(to).await?)
+        with_nodelay(TcpStream::connect(to).await?)
     }
 
     async fn listen(&self, at: SocketAddr) -> io::Result<TcpListener> {
@@ -79,11 +81,11 @@
     }
 }
 
-/// Bytes that the system may take for a peer that connected, ahead of its reading; it doubles the figure.
-const SEND_AHEAD: usize = 256 * 1024;
+/// Send buffer of an accepted connection, bytes; the kernel doubles it.
+const SEND_BUFFER_BYTES: usize = 256 * 1024;
 
-/// Small messages both ways: none may wait for the other side's acknowledgement.
-fn without_delay(stream: TcpStream) -> io::Result<TcpStream> {
+/// Disables Nagle's algorithm: messages are small and must not wait for acknowledgements.
+fn with_nodelay(stream: TcpStream) -> io::Result<TcpStream> {
     let _ = stream.set_nodelay(true);
     Ok(stream)
 }
@@ -118,9 +120,9 @@
 
     async fn accept(&self) -> io::Result<TcpStream> {
         let (stream, _) = TcpListener::accept(self).await?;
-        // What the system takes ahead of a slow peer is memory, and hides whether the peer still reads.
-        let _ = SockRef::from(&stream).set_send_buffer_size(SEND_AHEAD);
-        without_delay(stream)
+        // A large send buffer uses memory and hides whether the peer still reads.
+        let _ = SockRef::from(&stream).set_send_buffer_size(SEND_BUFFER_BYTES);
+        with_nodelay(stream)
     }
 
     fn local_addr(&self) -> io::Result<SocketAddr> {
