--- a/crates/capacity/src/heartbeats.rs
+++ b/crates/capacity/src/heartbeats.rs
@@ -7,7 +7,7 @@
 use crate::measure::{median, thread_cpu, Report};
 use crate::servers::{Machine, Process, TemporaryDir, REGISTRY, STORE};
 use eyre::Result;
-use hingestage_node::settings::InnerPort;
+use hingestage_node::settings::InternalPort;
 use hingestage_registry::directory::{Directory, Figures};
 use hingestage_rpc::messages::{ConfigVersion, Have, ProxyStatus, RegistryAnswer, RegistryRequest, Watched};
 use hingestage_rpc::{encoded, Client};
@@ -123,7 +123,7 @@
 impl Fleet {
     fn start(count: usize, machine: &Machine) -> Fleet {
         let counts = Rc::new(Cell::new(Counts::default()));
-        let addr = machine.addr(InnerPort::Registry);
+        let addr = machine.addr(InternalPort::Registry);
         let proxies = (0..count).map(|number| {
             let proxy = Rc::new(Hollow {
                 status: RefCell::new(fixtures::proxy_status(number)),
--- a/crates/capacity/src/servers.rs
+++ b/crates/capacity/src/servers.rs
@@ -3,7 +3,7 @@
 use crate::fixtures;
 use crate::measure::{process_cpu, process_resident};
 use eyre::{bail, Context, Result};
-use hingestage_node::settings::{InnerPort, SETTINGS_VARIABLE};
+use hingestage_node::settings::{InternalPort, SETTINGS_VARIABLE};
 use hingestage_node::Settings;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 use std::path::{Path, PathBuf};
@@ -74,7 +74,7 @@
 
 impl Machine {
     /// The address of a machine's process for the system's own traffic.
-    pub fn addr(&self, port: InnerPort) -> SocketAddr {
+    pub fn addr(&self, port: InternalPort) -> SocketAddr {
         SocketAddr::new(self.ip, PORT + port as u16)
     }
 
@@ -103,7 +103,7 @@
         let mut command = Command::new(program);
         command.args([section, "0"]).env(SETTINGS_VARIABLE, &self.settings).stdin(Stdio::null());
         let process = Process(command.spawn().wrap_err("starting a process")?);
-        let port = if section == REGISTRY { InnerPort::Registry } else { InnerPort::ConfigStore };
+        let port = if section == REGISTRY { InternalPort::Registry } else { InternalPort::ConfigStore };
         let until = Instant::now() + STARTS_WITHIN;
         while TcpStream::connect(self.addr(port)).await.is_err() {
             if Instant::now() > until {
--- a/crates/config-store/src/audit.rs
+++ b/crates/config-store/src/audit.rs
@@ -4,7 +4,7 @@
 //! of that. It is opened with the first step, so that a system without trials has none.
 
 use eyre::{Result, WrapErr};
-use hingestage_node::time_of_day;
+use hingestage_node::unix_millis;
 use hingestage_rpc::trials::{AuditEntry, TrialRecord};
 use redb::{Database, ReadableTable, ReadableTableMetadata, TableDefinition};
 use std::cell::OnceCell;
@@ -54,7 +54,7 @@
             for record in records {
                 number += 1;
                 let (tenant, position) = (record.tenant.clone(), record.position);
-                let entry = AuditEntry { at: time_of_day(), tenant, position };
+                let entry = AuditEntry { at: unix_millis(), tenant, position };
                 steps.insert(number, serde_json::to_vec(&entry)?.as_slice())?;
             }
             while steps.len()? > KEPT {
--- a/crates/config-store/src/server.rs
+++ b/crates/config-store/src/server.rs
@@ -4,7 +4,7 @@
 use crate::files::{Files, Loaded};
 use compact_str::CompactString;
 use eyre::{eyre, Context, Result};
-use hingestage_node::settings::InnerPort;
+use hingestage_node::settings::InternalPort;
 use hingestage_node::{incarnation, Settings, SettingsFile, Signals};
 use hingestage_replication::{digest, Figures, Micros, Outgoing, Plan, Record, Replica, TrialSet};
 use hingestage_rpc::messages::{
@@ -103,7 +103,7 @@
 
 /// The replica that the disk holds, or a new one.
 fn load(settings: &Settings, files: &mut Files) -> Result<Replica> {
-    let addr = settings.inner(InnerPort::ConfigStore);
+    let addr = settings.internal_addr(InternalPort::ConfigStore);
     let loaded = files.load(&settings.node)?;
     let (me, founder, record) = match loaded {
         Loaded::Whole { me, founder, record } => {
@@ -135,7 +135,7 @@
 
 /// A store whose disk is empty is a new one.
 fn begin(settings: &Settings, files: &mut Files, founder: bool) -> Result<StoreMember> {
-    let addr = settings.inner(InnerPort::ConfigStore);
+    let addr = settings.internal_addr(InternalPort::ConfigStore);
     let disk = incarnation() ^ digest(settings.node.as_bytes());
     let (name, zone) = (settings.node.as_str().into(), settings.zone.as_str().into());
     let me = StoreMember { name, zone, addr, disk };
@@ -146,7 +146,7 @@
 /// Addresses of the stores at the seeds: each of these machines has one.
 fn seed_stores(settings: &Settings) -> Vec<SocketAddr> {
     let machines: BTreeSet<_> = settings.seeds.iter().map(SocketAddr::ip).collect();
-    machines.into_iter().map(|ip| settings.inner_at(ip, InnerPort::ConfigStore)).collect()
+    machines.into_iter().map(|ip| settings.internal_addr_at(ip, InternalPort::ConfigStore)).collect()
 }
 
 /// Asks the seeds for replicas that are not known yet. The settings file is read again: seeds change.
@@ -155,7 +155,7 @@
     loop {
         let current = file.current();
         for seed in &current.seeds {
-            let addr = current.inner_at(seed.ip(), InnerPort::ConfigStore);
+            let addr = current.internal_addr_at(seed.ip(), InternalPort::ConfigStore);
             let known = store.replica.borrow().members().iter().any(|member| member.addr == addr);
             if !known {
                 let (store, peer) = (store.clone(), Peer::new(addr));
@@ -203,7 +203,7 @@
     }
 
     fn exchange_period(&self, member: &StoreMember) -> Duration {
-        if self.settings.is_far(&member.zone) {
+        if self.settings.is_remote_region(&member.zone) {
             EXCHANGE_PERIOD_FAR
         } else {
             EXCHANGE_PERIOD
--- a/crates/config-store/tests/status.rs
+++ b/crates/config-store/tests/status.rs
@@ -2,7 +2,7 @@
 
 use hingestage_config_store::server;
 use hingestage_fixtures::{own_network, run, PLENTY};
-use hingestage_node::settings::InnerPort;
+use hingestage_node::settings::InternalPort;
 use hingestage_node::Settings;
 use hingestage_rpc::messages::{Change, ConfigDocument, Proposed, StoreAnswer, StoreRequest};
 use hingestage_rpc::status::StoreStatus;
@@ -31,7 +31,7 @@
             data_dir.display()
         );
         let settings = Rc::new(Settings::parse(&text).expect("settings"));
-        let stage = Stage { calls: Client::new(settings.inner(InnerPort::ConfigStore)) };
+        let stage = Stage { calls: Client::new(settings.internal_addr(InternalPort::ConfigStore)) };
         spawn_local(async move { server::serve(settings).await.expect("the store runs") });
         while stage.try_status().await.is_none() {
             tokio::task::yield_now().await;
--- a/crates/dataplane/src/client.rs
+++ b/crates/dataplane/src/client.rs
@@ -1,7 +1,7 @@
 //! State of one client connection, shared by the server and a response that is still streaming.
 
-use crate::body::Flow;
-use crate::heads::Kept;
+use crate::body::StreamedBody;
+use crate::monitored_stream::TransportState;
 use hingestage_platform::Platform;
 use std::cell::Cell;
 use std::rc::Rc;
@@ -10,7 +10,7 @@
 
 /// Timeouts of a client connection.
 #[derive(Clone, Copy, Debug)]
-pub struct ClientTimes {
+pub struct ClientTimeouts {
     /// From the connection to the end of the first request head.
     pub first_head_timeout: Duration,
     /// From the first byte of a later request head to its end. The HTTP library's own timeout starts at the
@@ -22,7 +22,7 @@
     pub write_timeout: Duration,
 }
 
-impl ClientTimes {
+impl ClientTimeouts {
     /// The shortest of them, used as the interval of the timeout checks.
     pub fn shortest(&self) -> Duration {
         let later = self.header_timeout.min(self.idle_timeout).min(self.write_timeout);
@@ -32,22 +32,22 @@
 
 /// State of one client connection.
 pub struct Client {
-    times: ClientTimes,
+    timeouts: ClientTimeouts,
     /// Whether a request has been received and not yet answered.
     pub busy: Cell<bool>,
     served: Cell<bool>,
     /// Time of the connection, of the last response or of its last progress.
     last_activity: Cell<Instant>,
     /// Whether to close at once instead of gracefully.
-    pub drop: Cell<bool>,
+    pub close_now: Cell<bool>,
     /// Whether a streamed response is in progress.
-    pub flows: Cell<bool>,
+    pub streaming: Cell<bool>,
     /// Whether the rest of an answered request is being discarded.
-    pub wastes: Cell<bool>,
+    pub discarding: Cell<bool>,
     /// Asks the server to close the connection.
-    pub close: Notify,
+    pub close_signal: Notify,
     /// Transport state observed by the connection's stream wrapper.
-    pub kept: Rc<Kept>,
+    pub transport: Rc<TransportState>,
     /// Notified when any client of the server has been answered or has disconnected.
     released: Rc<Notify>,
 }
@@ -55,62 +55,82 @@
 impl Client {
     /// Creates the state of a new connection. `released` is notified after each response; `max_head_bytes` is
     /// the maximum size of a request head.
-    pub fn new(now: Instant, times: ClientTimes, max_head_bytes: usize, released: Rc<Notify>) -> Rc<Client> {
-        let (busy, served, drop) = (Cell::new(false), Cell::new(false), Cell::new(false));
-        let (last_activity, flows, wastes) = (Cell::new(now), Cell::new(false), Cell::new(false));
-        let (close, kept) = (Notify::new(), Rc::new(Kept::new(max_head_bytes)));
-        Rc::new(Client { times, busy, served, last_activity, drop, flows, wastes, close, kept, released })
+    pub fn new(
+        now: Instant,
+        timeouts: ClientTimeouts,
+        max_head_bytes: usize,
+        released: Rc<Notify>,
+    ) -> Rc<Client> {
+        let (busy, served, close_now) = (Cell::new(false), Cell::new(false), Cell::new(false));
+        let (last_activity, streaming, discarding) = (Cell::new(now), Cell::new(false), Cell::new(false));
+        let (close_signal, transport) = (Notify::new(), Rc::new(TransportState::new(max_head_bytes)));
+        Rc::new(Client {
+            timeouts,
+            busy,
+            served,
+            last_activity,
+            close_now,
+            streaming,
+            discarding,
+            close_signal,
+            transport,
+            released,
+        })
     }
 
     /// Whether no request is in progress and no output is blocked.
-    pub fn idles(&self) -> bool {
-        !self.busy.get() && self.kept.blocked.get().is_none()
+    pub fn is_idle(&self) -> bool {
+        !self.busy.get() && self.transport.blocked_since.get().is_none()
     }
 
     /// Whether at least one request has been answered and no byte of the next one has arrived.
-    pub fn waits(&self) -> bool {
-        let head = self.kept.head.borrow();
+    pub fn awaits_next_request(&self) -> bool {
+        let head = self.transport.head.borrow();
         self.served.get() && head.reading_since().is_none() && !head.is_whole()
     }
 
     /// Time of the last activity in either direction.
     pub fn quiet_since(&self) -> Instant {
-        self.kept.heard.get().map_or(self.last_activity.get(), |heard| heard.max(self.last_activity.get()))
+        self.transport
+            .last_read
+            .get()
+            .map_or(self.last_activity.get(), |last_read| last_read.max(self.last_activity.get()))
     }
 
     /// When the connection times out: on a slow request head, on idleness or on unread output. `None` while a
     /// request is being processed.
-    pub fn overdue_at(&self) -> Option<Instant> {
-        let head = self.kept.head.borrow();
-        if let Some(blocked) = self.kept.blocked.get() {
-            return Some(blocked + self.times.write_timeout);
+    pub fn deadline(&self) -> Option<Instant> {
+        let head = self.transport.head.borrow();
+        if let Some(blocked_since) = self.transport.blocked_since.get() {
+            return Some(blocked_since + self.timeouts.write_timeout);
         }
-        let has_request = self.busy.get() || self.flows.get() || self.wastes.get() || head.is_whole();
+        let has_request = self.busy.get() || self.streaming.get() || self.discarding.get() || head.is_whole();
         let last_activity = self.last_activity.get();
         let due = match self.served.get() {
             true => match head.reading_since() {
-                Some(began) => began + self.times.header_timeout,
-                None => last_activity + self.times.idle_timeout,
+                Some(began) => began + self.timeouts.header_timeout,
+                None => last_activity + self.timeouts.idle_timeout,
             },
-            false => last_activity + self.times.first_head_timeout,
+            false => last_activity + self.timeouts.first_head_timeout,
         };
         (!has_request).then_some(due)
     }
 
     /// Whether a streamed response has made no progress within the write timeout.
-    pub fn stuck(&self, now: Instant) -> bool {
-        self.flows.get() && now.saturating_duration_since(self.last_activity.get()) > self.times.write_timeout
+    pub fn is_stalled(&self, now: Instant) -> bool {
+        self.streaming.get()
+            && now.saturating_duration_since(self.last_activity.get()) > self.timeouts.write_timeout
     }
 
     /// Discards the rest of an answered request in a task of its own. The connection is not idle meanwhile.
-    pub fn waste_rest<P: Platform>(self: &Rc<Self>, platform: &P, flow: Rc<Flow>) {
+    pub fn discard_rest<P: Platform>(self: &Rc<Self>, platform: &P, body: Rc<StreamedBody>) {
         let (client, clock) = (self.clone(), platform.clone());
-        self.wastes.set(true);
+        self.discarding.set(true);
         platform.spawn(async move {
-            flow.waste(clock.clone()).await;
-            client.wastes.set(false);
-            client.moves(clock.now());
-            client.kept.head.borrow_mut().next();
+            body.discard_rest(clock.clone()).await;
+            client.discarding.set(false);
+            client.record_progress(clock.now());
+            client.transport.head.borrow_mut().reset();
         });
     }
 
@@ -120,23 +140,23 @@
     }
 
     /// Records progress of a streamed response.
-    pub fn moves(&self, now: Instant) {
+    pub fn record_progress(&self, now: Instant) {
         self.last_activity.set(now);
     }
 
     /// Closes the connection, after the current request or at once.
-    pub fn end(&self, at_once: bool) {
-        self.drop.set(at_once);
-        self.close.notify_one();
+    pub fn close(&self, at_once: bool) {
+        self.close_now.set(at_once);
+        self.close_signal.notify_one();
     }
 
     /// Records the end of a response.
-    pub fn answered(&self, now: Instant) {
+    pub fn record_answer(&self, now: Instant) {
         self.busy.set(false);
-        self.flows.set(false);
+        self.streaming.set(false);
         self.served.set(true);
         self.last_activity.set(now);
-        self.kept.head.borrow_mut().next();
+        self.transport.head.borrow_mut().reset();
         // At the connection limit `accept` may be waiting for an idle connection to close.
         self.released.notify_one();
     }
@@ -146,7 +166,7 @@
 mod tests {
     use super::*;
 
-    const TIMES: ClientTimes = ClientTimes {
+    const TIMES: ClientTimeouts = ClientTimeouts {
         first_head_timeout: Duration::from_millis(2_600),
         header_timeout: Duration::from_millis(2_200),
         idle_timeout: Duration::from_millis(2_200),
@@ -160,12 +180,12 @@
         let now = Instant::now();
         let client = Client::new(now, TIMES, MAX_HEAD_BYTES, Rc::default());
         client.served.set(true);
-        assert_eq!((client.idles(), client.overdue_at()), (true, Some(now + TIMES.idle_timeout)));
-        client.kept.blocked.set(Some(now));
-        assert_eq!((client.idles(), client.overdue_at()), (false, Some(now + TIMES.write_timeout)));
-        client.kept.blocked.set(None);
+        assert_eq!((client.is_idle(), client.deadline()), (true, Some(now + TIMES.idle_timeout)));
+        client.transport.blocked_since.set(Some(now));
+        assert_eq!((client.is_idle(), client.deadline()), (false, Some(now + TIMES.write_timeout)));
+        client.transport.blocked_since.set(None);
         client.busy.set(true);
-        assert_eq!((client.idles(), client.overdue_at()), (false, None));
+        assert_eq!((client.is_idle(), client.deadline()), (false, None));
     }
 
     /// The idle time between two requests must not count towards the head timeout.
@@ -173,11 +193,11 @@
     fn a_later_head_timeout_starts_at_its_first_byte() {
         let (now, pause) = (Instant::now(), Duration::from_secs(2));
         let client = Client::new(now, TIMES, MAX_HEAD_BYTES, Rc::default());
-        client.kept.head.borrow_mut().saw(now + pause, b"GET ");
-        assert_eq!(client.overdue_at(), Some(now + TIMES.first_head_timeout));
+        client.transport.head.borrow_mut().push(now + pause, b"GET ");
+        assert_eq!(client.deadline(), Some(now + TIMES.first_head_timeout));
         client.served.set(true);
-        assert_eq!(client.overdue_at(), Some(now + pause + TIMES.header_timeout));
-        client.kept.head.borrow_mut().saw(now + pause, b"/ HTTP/1.1\r\n\r\n");
-        assert_eq!(client.overdue_at(), None);
+        assert_eq!(client.deadline(), Some(now + pause + TIMES.header_timeout));
+        client.transport.head.borrow_mut().push(now + pause, b"/ HTTP/1.1\r\n\r\n");
+        assert_eq!(client.deadline(), None);
     }
 }
--- a/crates/dataplane/src/collect.rs
+++ b/crates/dataplane/src/collect.rs
@@ -1,6 +1,6 @@
 //! Reads request bodies: buffers short ones and those that fit into the memory budget, streams the others.
 
-use crate::body::{BodyLimits, Flow, Joined, RequestBody, HELD};
+use crate::body::{BodyLimits, ChunkBuffer, RequestBody, StreamedBody, BUFFERED_MAX};
 use bytes::Bytes;
 use hingestage_platform::Platform;
 use http_body_util::BodyExt;
@@ -14,9 +14,9 @@
     /// Limits on the size and the pace of bodies.
     pub limits: BodyLimits,
     /// Maximum length of a buffered body, bytes. Longer bodies are streamed.
-    pub each_max: usize,
+    pub body_max_bytes: usize,
     /// Memory budget for all bodies longer than [`BUFFERED_MAX`] that are being buffered, bytes.
-    pub together_max: usize,
+    pub total_max_bytes: usize,
 }
 
 /// Why a body could not be read.
@@ -44,7 +44,7 @@
 
     /// Whether the declared length exceeds the maximum.
     pub fn is_too_long(&self, body: &Incoming) -> bool {
-        body.size_hint().lower() > self.settings.limits.longest
+        body.size_hint().lower() > self.settings.limits.max_bytes
     }
 
     /// Buffers a body if it is short or fits into the memory budget, otherwise returns it as a stream.
@@ -53,30 +53,40 @@
     /// # Errors
     ///
     /// The client is too slow, or the framing is invalid.
-    pub async fn read(&self, mut body: Incoming, patience: Duration) -> Result<RequestBody, CollectError> {
+    pub async fn read(
+        &self,
+        mut body: Incoming,
+        answer_timeout: Duration,
+    ) -> Result<RequestBody, CollectError> {
         if body.is_end_stream() {
-            return Ok(RequestBody::Whole(Bytes::new()));
+            return Ok(RequestBody::Buffered(Bytes::new()));
         }
-        let BodyLimits { piece_timeout, slowest, .. } = self.settings.limits;
+        let BodyLimits { chunk_timeout, min_bytes_per_s, .. } = self.settings.limits;
         let length = body.size_hint().exact();
         let mut reservation = Reservation { collector: self, bytes: 0 };
-        let mut buffer = Joined::default();
+        let mut buffer = ChunkBuffer::default();
         let started = self.platform.now();
         loop {
             let received = buffer.len();
-            if received > HELD && !reservation.grow(received, length) {
-                let flow = Flow::new(buffer.whole(), body, length, patience, self.settings.limits);
-                return Ok(RequestBody::Flow(flow));
+            if received > BUFFERED_MAX && !reservation.grow(received, length) {
+                let body = StreamedBody::new(
+                    buffer.into_bytes(),
+                    body,
+                    length,
+                    answer_timeout,
+                    self.settings.limits,
+                );
+                return Ok(RequestBody::Streamed(body));
             }
             // Deadline at the minimum rate.
-            let due = started + piece_timeout + Duration::from_secs_f64(received as f64 / slowest);
-            let until = due.min(self.platform.now() + piece_timeout);
+            let due = started + chunk_timeout + Duration::from_secs_f64(received as f64 / min_bytes_per_s);
+            let until = due.min(self.platform.now() + chunk_timeout);
             let frame = self.platform.timeout_at(until, body.frame()).await;
             let Some(frame) = frame.map_err(|_| CollectError::TooSlow)? else { break };
             let Ok(data) = frame.map_err(|_| CollectError::BadFraming)?.into_data() else { continue };
             buffer.push(data);
         }
-        Ok(RequestBody::Whole(buffer.whole()))
+        Ok(RequestBody::Buffered(buffer.into_bytes()))
     }
 }
 
@@ -90,8 +100,8 @@
     /// Extends the reservation for a body of which `so_far` bytes have arrived. Returns false if the body is
     /// too long or the budget is exhausted.
     fn grow(&mut self, received: usize, length: Option<u64>) -> bool {
-        let CollectSettings { each_max, together_max, .. } = self.collector.settings;
-        if length.unwrap_or(received as u64) > each_max as u64 || received > each_max {
+        let CollectSettings { body_max_bytes, total_max_bytes, .. } = self.collector.settings;
+        if length.unwrap_or(received as u64) > body_max_bytes as u64 || received > body_max_bytes {
             return false;
         }
         // Reserve half again as much, so that few chunks need a further reservation.
@@ -100,7 +110,7 @@
             return true;
         }
         let reserved = self.collector.reserved.get() + needed - self.bytes;
-        if reserved > together_max {
+        if reserved > total_max_bytes {
             return false;
         }
         self.collector.reserved.set(reserved);
--- a/crates/dataplane/src/connections.rs
+++ b/crates/dataplane/src/connections.rs
@@ -1,7 +1,7 @@
 //! Accepts client connections, limits their number and closes idle or stalled ones.
 
-use crate::client::{Client, ClientTimes};
-use crate::heads::Headed;
+use crate::client::{Client, ClientTimeouts};
+use crate::monitored_stream::MonitoredStream;
 use crate::note;
 use bytes::Bytes;
 use hingestage_platform::{Listener, Platform};
@@ -29,14 +29,14 @@
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
 /// Handles the requests of client connections.
-pub trait Answers: 'static {
+pub trait RequestHandler: 'static {
     /// The body of a response.
     type Body: Body<Data = Bytes, Error: Into<Box<dyn std::error::Error + Send + Sync>>> + 'static;
 
     /// Handles a request. The handler sets [`Client::busy`] while a request is in progress, and
     /// [`Client::streaming`] where the response body outlives this call; [`Client::record_answer`] then marks
     /// its end. Dropping the future early means that the client has disconnected.
-    fn answer(
+    fn handle(
         self: &Rc<Self>,
         request: Request<Incoming>,
         client: &Rc<Client>,
@@ -50,31 +50,31 @@
 #[derive(Clone, Copy, Debug)]
 pub struct ConnectionSettings {
     /// Maximum number of connections.
-    pub clients_max: usize,
+    pub max_connections: usize,
     /// Maximum number of idle connections. Above it responses carry `connection: close`, so that idle clients
     /// do not use up the slots of new ones.
-    pub idle_max: usize,
+    pub max_idle: usize,
     /// Timeouts of a connection.
-    pub times: ClientTimes,
+    pub timeouts: ClientTimeouts,
     /// Maximum size of a request head, bytes. The HTTP library requires at least 8 KiB.
-    pub largest_head: usize,
+    pub max_head_bytes: usize,
 }
 
 /// How connections are closed during shutdown.
 #[derive(Clone, Copy, Debug)]
-pub struct Stopping {
+pub struct Shutdown {
     /// New connections are accepted until then.
-    pub accepts_until: Instant,
+    pub accept_until: Instant,
     /// Whether idle connections are closed without a prior `connection: close`.
-    pub closes_idle: bool,
+    pub close_idle: bool,
     /// The shutdown ends then even if connections are still open.
-    pub until: Instant,
+    pub deadline: Instant,
 }
 
 /// The open client connections.
-pub struct Connections<P: Platform, A: Answers> {
+pub struct Connections<P: Platform, A: RequestHandler> {
     platform: P,
-    answers: Rc<A>,
+    handler: Rc<A>,
     settings: ConnectionSettings,
     clients: RefCell<BTreeMap<u64, Rc<Client>>>,
     /// Notified when a client has been answered or has disconnected.
@@ -83,12 +83,12 @@
     problem_count: Cell<u64>,
 }
 
-impl<P: Platform, A: Answers> Connections<P, A> {
+impl<P: Platform, A: RequestHandler> Connections<P, A> {
     /// Creates an empty set of connections.
-    pub fn new(platform: P, answers: Rc<A>, settings: ConnectionSettings) -> Rc<Self> {
+    pub fn new(platform: P, handler: Rc<A>, settings: ConnectionSettings) -> Rc<Self> {
         Rc::new(Connections {
             platform,
-            answers,
+            handler,
             settings,
             clients: RefCell::default(),
             released: Rc::default(),
@@ -98,12 +98,12 @@
     }
 
     /// Number of open connections.
-    pub fn open(&self) -> usize {
+    pub fn open_count(&self) -> usize {
         self.clients.borrow().len()
     }
 
     fn is_full(&self) -> bool {
-        self.open() >= self.settings.clients_max
+        self.open_count() >= self.settings.max_connections
     }
 
     /// Accepts connections forever. At the limit an idle connection is closed to make room; otherwise the
@@ -138,32 +138,36 @@
     }
 
     /// Closes connections whose streamed response is stalled.
-    pub fn close_stuck(&self) {
+    pub fn close_stalled(&self) {
         let now = self.platform.now();
-        self.clients.borrow().values().filter(|client| client.stuck(now)).for_each(|client| client.end(true));
+        self.clients
+            .borrow()
+            .values()
+            .filter(|client| client.is_stalled(now))
+            .for_each(|client| client.close(true));
     }
 
     /// Shuts down: keeps accepting for a while, answers all received requests and closes idle connections at
     /// once, while new connections can still be accepted for requests that cross the close. With a successor,
     /// idle connections end after their next response or by `idle_timeout` instead.
-    pub async fn stop(self: &Rc<Self>, listener: P::Listener, stopping: Stopping) {
-        if stopping.closes_idle {
+    pub async fn stop(self: &Rc<Self>, listener: P::Listener, shutdown: Shutdown) {
+        if shutdown.close_idle {
             self.close_idle(|client| client.was_served());
         }
-        let _ = self.platform.timeout_at(stopping.accepts_until, self.accept(&listener)).await;
+        let _ = self.platform.timeout_at(shutdown.accept_until, self.accept(&listener)).await;
         drop(listener);
-        if stopping.closes_idle {
+        if shutdown.close_idle {
             self.close_idle(|_| true);
         }
-        while self.open() > 0 && self.platform.now() < stopping.until {
+        while self.open_count() > 0 && self.platform.now() < shutdown.deadline {
             let released = self.released.notified();
-            let _ = self.platform.timeout_at(stopping.until, released).await;
+            let _ = self.platform.timeout_at(shutdown.deadline, released).await;
         }
     }
 
     fn close_idle(&self, which: impl Fn(&Client) -> bool) {
         let clients = self.clients.borrow();
-        clients.values().filter(|c| c.idles() && which(c)).for_each(|c| c.end(false));
+        clients.values().filter(|c| c.is_idle() && which(c)).for_each(|c| c.close(false));
     }
 
     /// Closes the least valuable idle connection. Silent connections with a partial request go first, so that
@@ -171,9 +175,9 @@
     fn evict_idle(&self) {
         let clients = self.clients.borrow();
         let silent = |c: &Client| self.platform.since(c.quiet_since()) > SILENCE_MAX;
-        let idle = clients.values().filter(|c| c.idles() && (c.waits() || silent(c)));
-        if let Some(evicted) = idle.min_by_key(|c| (c.waits(), c.quiet_since())) {
-            evicted.end(true);
+        let idle = clients.values().filter(|c| c.is_idle() && (c.awaits_next_request() || silent(c)));
+        if let Some(evicted) = idle.min_by_key(|c| (c.awaits_next_request(), c.quiet_since())) {
+            evicted.close(true);
         }
     }
 
@@ -188,8 +192,8 @@
 
     fn spawn_connection(self: &Rc<Self>, stream: P::Stream) {
         let (connections, id) = (self.clone(), self.next_client_id());
-        let ConnectionSettings { times, largest_head, .. } = self.settings;
-        let client = Client::new(self.platform.now(), times, largest_head, self.released.clone());
+        let ConnectionSettings { timeouts, max_head_bytes, .. } = self.settings;
+        let client = Client::new(self.platform.now(), timeouts, max_head_bytes, self.released.clone());
         self.clients.borrow_mut().insert(id, client.clone());
         self.platform.spawn(async move {
             connections.serve(stream, &client).await;
@@ -198,32 +202,32 @@
         });
     }
 
-    async fn answer(&self, request: Request<Incoming>, client: &Rc<Client>) -> Response<A::Body> {
-        let mut answer = self.answers.answer(request, client).await;
-        if !self.answers.keeps_connections() || self.idle_count() >= self.settings.idle_max {
-            answer.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
+    async fn respond(&self, request: Request<Incoming>, client: &Rc<Client>) -> Response<A::Body> {
+        let mut response = self.handler.handle(request, client).await;
+        if !self.handler.keeps_connections() || self.idle_count() >= self.settings.max_idle {
+            response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
         }
-        if !client.flows.get() {
-            client.answered(self.platform.now());
+        if !client.streaming.get() {
+            client.record_answer(self.platform.now());
         }
-        answer
+        response
     }
 
     async fn serve(self: &Rc<Self>, stream: P::Stream, client: &Rc<Client>) {
         let service = service_fn(|request| {
             let (connections, client) = (self.clone(), client.clone());
-            async move { Ok::<_, Infallible>(connections.answer(request, &client).await) }
+            async move { Ok::<_, Infallible>(connections.respond(request, &client).await) }
         });
         let mut builder = hyper::server::conn::http1::Builder::new();
-        let conn = builder.max_buf_size(self.settings.largest_head).serve_connection(
-            TokioIo::new(Headed::new(self.platform.clone(), stream, client.kept.clone())),
+        let conn = builder.max_buf_size(self.settings.max_head_bytes).serve_connection(
+            TokioIo::new(MonitoredStream::new(self.platform.clone(), stream, client.transport.clone())),
             service,
         );
         let mut conn = std::pin::pin!(conn);
         loop {
             let now = self.platform.now();
-            let next_check = now + self.settings.times.shortest();
-            let due = client.overdue_at().unwrap_or(next_check);
+            let next_check = now + self.settings.timeouts.shortest();
+            let due = client.deadline().unwrap_or(next_check);
             if due <= now {
                 return;
             }
@@ -231,16 +235,17 @@
             tokio::select! {
                 biased;
                 ended = conn.as_mut() => return drop(ended),
-                () = client.close.notified() => break,
+                () = client.close_signal.notified() => break,
                 // The connection's state, and with it its deadline, may have changed.
                 () = self.platform.sleep_until(due.min(next_check)) => {}
             }
         }
         conn.as_mut().graceful_shutdown();
         // A partial request head or an unread response must not hold the slot indefinitely.
-        let close_timeout = if client.drop.get() { Duration::ZERO } else { GRACEFUL_CLOSE_TIMEOUT };
-        let stuck = client.flows.get() && client.drop.get();
-        if self.platform.timeout(close_timeout, conn.as_mut()).await.is_err() && !client.idles() && !stuck {
+        let close_timeout = if client.close_now.get() { Duration::ZERO } else { GRACEFUL_CLOSE_TIMEOUT };
+        let stalled = client.streaming.get() && client.close_now.get();
+        if self.platform.timeout(close_timeout, conn.as_mut()).await.is_err() && !client.is_idle() && !stalled
+        {
             let _ = conn.await;
         }
     }
--- a/crates/dataplane/src/driver.rs
+++ b/crates/dataplane/src/driver.rs
@@ -2,10 +2,12 @@
 //! request is answered once.
 
 use crate::body::RequestBody;
-use crate::dialect::{Dialect, Parts};
-use crate::hooks::{Beginning, Subsystems};
-use crate::workers::{Attempted, Progress, Served, ServedBody, Times, Workers};
-use hingestage_operate::{Ending, Figures, Gauges, SrvFigures};
+use crate::hooks::{DriverHooks, StartingRequest};
+use crate::protocol::{RequestParts, WorkerProtocol};
+use crate::workers::{
+    AttemptProgress, AttemptResult, AttemptTimes, WorkerResponse, WorkerResponseBody, Workers,
+};
+use hingestage_operate::{Gauges, Metrics, RequestResult, SrvMetrics};
 use hingestage_platform::{Clock, Platform, Stream, Task};
 use hingestage_policy::{
     Action, AttemptDone, ClassId, CustomerId, Decide, Effect, Event, Gatekeeper, Micros, Outcome, PlanId,
@@ -24,18 +26,18 @@
 /// The final answer to a request.
 pub enum Answer<S: Stream> {
     /// A worker's response.
-    Served(Served<S>),
+    Served(WorkerResponse<S>),
     /// Refused without side effects; retry after this time.
     Refused(Micros),
     /// Failed; a worker may have executed the request.
     Failed {
         /// Whether the time ran out.
-        late: bool,
+        timed_out: bool,
     },
 }
 
 /// A client request as parsed by the server.
-pub struct Taken {
+pub struct IncomingRequest {
     /// The customer that sent it.
     pub customer: CustomerId,
     /// Its class.
@@ -45,34 +47,34 @@
     /// Estimated cost, units.
     pub units: f64,
     /// Number of gateways that serve this customer.
-    pub gateways: u32,
+    pub gateway_count: u32,
     /// The first of these gateways.
-    pub first: u32,
+    pub first_gateway: u32,
     /// The client's deadline.
-    pub until: Instant,
+    pub deadline: Instant,
     /// The request as sent to a worker.
-    pub parts: Parts,
+    pub parts: RequestParts,
 }
 
 struct OpenRequest<P: Platform> {
-    parts: Rc<Parts>,
+    parts: Rc<RequestParts>,
     class: ClassId,
     /// Channel for the answer; `None` once answered or after the client has disconnected.
     reply: Option<oneshot::Sender<Answer<P::Stream>>>,
     /// By attempt number; `None` once the attempt has ended.
     attempts: Vec<Option<RunningAttempt<P>>>,
-    late: bool,
+    timed_out: bool,
 }
 
 struct RunningAttempt<P: Platform> {
     worker: WorkerId,
-    progress: Rc<Progress<P::Stream>>,
+    progress: Rc<AttemptProgress<P::Stream>>,
     task: P::Task,
     sent: Instant,
 }
 
 /// Creates the decision logic from its settings, a seed and the start time, µs.
-pub type MakeDecisions = fn(Settings, u64, Micros) -> Box<dyn Decide>;
+pub type DecisionFactory = fn(Settings, u64, Micros) -> Box<dyn Decide>;
 
 /// The decision logic used in production.
 pub fn gatekeeper(settings: Settings, seed: u64, now: Micros) -> Box<dyn Decide> {
@@ -88,13 +90,13 @@
     /// Class names, for the metrics.
     pub class_names: Vec<String>,
     /// Maximum number of connections to workers.
-    pub workers_max: usize,
+    pub max_worker_connections: usize,
     /// Timeout for connecting to a worker.
     pub connect_timeout: Duration,
     /// Idle time after which workers close a connection.
-    pub worker_idle: Duration,
+    pub worker_idle_timeout: Duration,
     /// The protocol spoken with workers.
-    pub dialect: Rc<dyn Dialect>,
+    pub protocol: Rc<dyn WorkerProtocol>,
 }
 
 /// Connects the decision logic to clients and workers.
@@ -104,8 +106,8 @@
     /// Connections to workers.
     pub workers: Workers<P>,
     /// Request metrics.
-    pub figures: RefCell<Figures>,
-    subsystems: Rc<dyn Subsystems>,
+    pub metrics: RefCell<Metrics>,
+    hooks: Rc<dyn DriverHooks>,
     decisions: RefCell<Box<dyn Decide>>,
     /// Aligned to Unix time on all gateways, because counter names contain a time slot number.
     clock: Clock,
@@ -126,8 +128,8 @@
     pub fn new(
         platform: P,
         settings: DriverSettings,
-        subsystems: Rc<dyn Subsystems>,
-        decide: MakeDecisions,
+        hooks: Rc<dyn DriverHooks>,
+        decide: DecisionFactory,
     ) -> Rc<Self> {
         let clock = Clock::new(&platform);
         let now = clock.micros(platform.now());
@@ -135,19 +137,19 @@
         Rc::new(Driver {
             workers: Workers::new(
                 platform.clone(),
-                settings.workers_max,
+                settings.max_worker_connections,
                 settings.connect_timeout,
-                settings.worker_idle,
-                settings.dialect,
+                settings.worker_idle_timeout,
+                settings.protocol,
             ),
-            subsystems,
+            hooks,
             decisions: RefCell::new(decide(settings.policy, settings.seed, now)),
             clock,
             platform,
             open: RefCell::default(),
             ids: RefCell::default(),
             next: Cell::new(0),
-            figures: RefCell::new(Figures::new(&settings.class_names)),
+            metrics: RefCell::new(Metrics::new(&settings.class_names)),
             inflight: Cell::new(0),
             max_units,
             events: RefCell::default(),
@@ -161,21 +163,21 @@
     }
 
     /// Reports the sizes of the tables of unfinished work to the platform.
-    pub fn gauge(&self) {
+    pub fn report_gauges(&self) {
         self.platform.gauge("open requests", self.open.borrow().len());
         self.platform.gauge("open ids", self.ids.borrow().len());
         self.platform.gauge("pending decisions", self.decisions.borrow().pending());
     }
 
     /// The metrics as JSON.
-    pub fn told_figures(&self, srv: Option<SrvFigures>) -> String {
+    pub fn metrics_json(&self, srv: Option<SrvMetrics>) -> String {
         let attempts = |open: &OpenRequest<P>| {
-            open.attempts.iter().flatten().filter(|running| running.progress.came_whole()).count()
+            open.attempts.iter().flatten().filter(|running| running.progress.may_be_received()).count()
         };
-        self.figures.borrow().json(Gauges {
+        self.metrics.borrow().json(Gauges {
             inflight: self.inflight.get(),
-            attempts_out: self.open.borrow().values().map(attempts).sum(),
-            hosts_listed: self.workers.listed(),
+            attempts_in_flight: self.open.borrow().values().map(attempts).sum(),
+            hosts_listed: self.workers.count(),
             hosts_down: self.decisions.borrow().avoided(),
             srv,
         })
@@ -183,7 +185,7 @@
 
     /// Passes an event to the decision logic and carries out its actions. Events caused by an action are
     /// queued, so that actions are carried out in the order in which they were decided.
-    pub fn feed(self: &Rc<Self>, event: Event) {
+    pub fn handle_event(self: &Rc<Self>, event: Event) {
         self.events.borrow_mut().push_back(event);
         if self.handling.replace(true) {
             return;
@@ -209,18 +211,20 @@
             Action::Refuse { request, retry_after } => {
                 self.answer(&request, |_| Answer::Refused(retry_after))
             }
-            Action::Fail(request) => self.answer(&request, |open| Answer::Failed { late: open.late }),
+            Action::Fail(request) => {
+                self.answer(&request, |open| Answer::Failed { timed_out: open.timed_out })
+            }
             Action::SetTimer { token, after } => {
                 let driver = self.clone();
                 let sleep = self.platform.sleep(Duration::from_micros(after));
                 self.platform.spawn(async move {
                     sleep.await;
-                    driver.feed(Event::Timer(token));
+                    driver.handle_event(Event::Timer(token));
                 });
             }
             Action::Count { name, amount, keep } => {
-                if let Some(outcome) = self.subsystems.count(&name, amount, keep) {
-                    self.feed(Event::Counter { name, outcome });
+                if let Some(outcome) = self.hooks.add_to_counter(&name, amount, keep) {
+                    self.handle_event(Event::Counter { name, outcome });
                 }
             }
             // Discovery is always watched.
@@ -230,27 +234,27 @@
 
     /// Updates the workers and cancels attempts that still wait for a connection to one that no longer
     /// accepts work.
-    pub fn list_workers(self: &Rc<Self>, list: WorkerList) {
-        self.subsystems.listed(&list.workers, list.scope);
-        self.feed(Event::Workers(list));
+    pub fn update_workers(self: &Rc<Self>, list: WorkerList) {
+        self.hooks.on_workers_update(&list.workers, list.scope);
+        self.handle_event(Event::Workers(list));
         self.cancel_unsent();
     }
 
     /// Admits a request. The answer arrives on the channel; dropping the ticket signals that the client has
     /// disconnected. Returns `None` if a request with the same id is open, which a worker would take for a
     /// duplicate.
-    pub fn take(self: &Rc<Self>, incoming: Taken) -> Option<TakenIn<P>> {
+    pub fn admit(self: &Rc<Self>, incoming: IncomingRequest) -> Option<AdmittedRequest<P>> {
         if !self.ids.borrow_mut().insert(incoming.parts.id.clone()) {
             return None;
         }
-        let plan = self.subsystems.begins(
+        let plan = self.hooks.on_request_start(
             self.micros(),
-            Beginning {
+            StartingRequest {
                 customer: &incoming.customer,
                 class: incoming.class,
                 plan: incoming.plan,
-                first: incoming.first,
-                gateways: incoming.gateways,
+                first_gateway: incoming.first_gateway,
+                gateway_count: incoming.gateway_count,
             },
         );
         self.next.set(self.next.get() + 1);
@@ -261,85 +265,85 @@
             class: incoming.class,
             reply: Some(reply),
             attempts: Vec::new(),
-            late: false,
+            timed_out: false,
         };
         self.inflight.set(self.inflight.get() + 1);
         self.open.borrow_mut().insert(id.clone(), open);
         let left =
-            incoming.until.saturating_duration_since(self.platform.now()).saturating_sub(ANSWER_MARGIN);
-        self.feed(Event::Request(Request {
+            incoming.deadline.saturating_duration_since(self.platform.now()).saturating_sub(ANSWER_MARGIN);
+        self.handle_event(Event::Request(Request {
             id: id.clone(),
             customer: incoming.customer,
             class: Some(incoming.class),
             plan,
             units: incoming.units,
-            gateways: incoming.gateways,
-            first: incoming.first,
+            gateways: incoming.gateway_count,
+            first: incoming.first_gateway,
             time_left: left.as_micros() as Micros,
         }));
         Some((Ticket { driver: self.clone(), id }, answer))
     }
 
     /// Number of requests that found no worker in time, since the start.
-    pub fn short(&self) -> u64 {
+    pub fn unplaced_requests(&self) -> u64 {
         self.decisions.borrow().short()
     }
 
     /// Whether new requests may be started.
-    pub fn may_begin(&self) -> bool {
-        self.subsystems.may_begin()
+    pub fn may_start_requests(&self) -> bool {
+        self.hooks.may_start_requests()
     }
 
     /// The delivery guarantee of a class, if a subsystem overrides it.
     pub fn effect(&self, class: ClassId) -> Option<Effect> {
-        self.subsystems.effect(class)
+        self.hooks.effect(class)
     }
 
     /// The maximum client wait, if a subsystem overrides it.
-    pub fn longest(&self) -> Option<Duration> {
-        self.subsystems.longest()
+    pub fn max_wait(&self) -> Option<Duration> {
+        self.hooks.max_wait()
     }
 
     fn send(self: &Rc<Self>, id: RequestId, worker: WorkerId, timeout: Micros, begin_within: Micros) {
         let mut requests = self.open.borrow_mut();
         let Some(open) = requests.get_mut(&id) else { return };
         let (parts, n) = (open.parts.clone(), open.attempts.len());
-        let progress = Rc::new(Progress::default());
+        let progress = Rc::new(AttemptProgress::default());
         let sent = self.platform.now();
         let (driver, attempt_progress, request) = (self.clone(), progress.clone(), id.clone());
         self.track_upload(&id, &parts);
         // A worker owes no answer while its request is still being uploaded; only the end of such an attempt
         // is reported.
-        if !matches!(parts.body, RequestBody::Flow(_)) {
-            self.subsystems.sent(self.micros(), worker);
+        if !matches!(parts.body, RequestBody::Streamed(_)) {
+            self.hooks.on_attempt_start(self.micros(), worker);
         }
         let task = self.platform.spawn(async move {
-            let times = Times {
+            let times = AttemptTimes {
                 begin_by: sent + Duration::from_micros(begin_within),
                 deadline: sent + Duration::from_micros(timeout),
             };
             let mut attempted = driver.workers.attempt(worker, &parts, times, &attempt_progress).await;
             driver.finish_attempt(&request, n, &mut attempted);
-            driver.workers.give_back(worker, attempted).await;
+            driver.workers.release(worker, attempted).await;
         });
         open.attempts.push(Some(RunningAttempt { worker, progress, task, sent }));
     }
 
     /// Reports the start and the end of a streamed upload: the worker's timeout counts from the end.
-    fn track_upload(self: &Rc<Self>, id: &RequestId, parts: &Parts) {
-        let RequestBody::Flow(flow) = &parts.body else { return };
-        let (driver, flow, request) = (self.clone(), flow.clone(), id.clone());
-        self.feed(Event::Uploading { request: request.clone(), over: false });
+    fn track_upload(self: &Rc<Self>, id: &RequestId, parts: &RequestParts) {
+        let RequestBody::Streamed(body) = &parts.body else { return };
+        let (driver, body, request) = (self.clone(), body.clone(), id.clone());
+        self.handle_event(Event::Uploading { request: request.clone(), over: false });
         self.platform.spawn(async move {
-            if flow.ends(&driver.platform).await {
-                driver.feed(Event::Uploading { request, over: true });
+            if body.wait_until_sent(&driver.platform).await {
+                driver.handle_event(Event::Uploading { request, over: true });
             }
         });
     }
 
-    fn finish_attempt(self: &Rc<Self>, id: &RequestId, n: usize, attempted: &mut Attempted<P::Stream>) {
+    fn finish_attempt(self: &Rc<Self>, id: &RequestId, n: usize, attempted: &mut AttemptResult<P::Stream>) {
         let ended = self.open.borrow_mut().get_mut(id).and_then(|open| {
-            open.late |= attempted.outcome == Outcome::Timeout;
+            open.timed_out |= attempted.outcome == Outcome::Timeout;
             let running = open.attempts.get_mut(n).and_then(Option::take)?;
             Some((running, open.parts.clone()))
         });
@@ -350,10 +354,10 @@
         // Ignore reports above the maximum cost of a request.
         let true_units = attempted.true_units.filter(|n| self.max_units <= 0.0 || *n <= self.max_units);
         // Latency counts to the first byte of the response, without the time to transfer it.
-        let until = attempted.heard.unwrap_or_else(|| self.platform.now());
+        let until = attempted.first_byte_at.unwrap_or_else(|| self.platform.now());
         let took = until.saturating_duration_since(running.sent);
-        self.subsystems.ended(self.micros(), running.worker, attempted.outcome, took);
-        self.subsystems.attempt_ended(&parts.id, running.worker, attempted.outcome);
+        self.hooks.on_attempt_end(self.micros(), running.worker, attempted.outcome, took);
+        self.hooks.on_attempt_outcome(&parts.id, running.worker, attempted.outcome);
         self.report_attempt_end(id, n, attempted.outcome, took, true_units);
     }
 
@@ -365,11 +369,11 @@
             Some((running, open.parts.clone()))
         });
         let Some((running, parts)) = slot else { return };
-        let outcome = if running.progress.give_up() { Outcome::Cancelled } else { Outcome::NotSent };
+        let outcome = if running.progress.abort() { Outcome::Cancelled } else { Outcome::NotSent };
         running.task.abort();
         let took = self.platform.since(running.sent);
-        self.subsystems.ended(self.micros(), running.worker, outcome, took);
-        self.subsystems.attempt_ended(&parts.id, running.worker, outcome);
+        self.hooks.on_attempt_end(self.micros(), running.worker, outcome, took);
+        self.hooks.on_attempt_outcome(&parts.id, running.worker, outcome);
         self.report_attempt_end(id, n, outcome, took, None);
     }
 
@@ -379,7 +383,9 @@
         let mut cancelled = Vec::new();
         for (id, open) in self.open.borrow().iter() {
             for (n, running) in open.attempts.iter().enumerate() {
-                if running.as_ref().is_some_and(|r| r.progress.waits() && !self.workers.takes_work(r.worker))
+                if running
+                    .as_ref()
+                    .is_some_and(|r| r.progress.awaits_connection() && !self.workers.takes_work(r.worker))
                 {
                     cancelled.push((id.clone(), n));
                 }
@@ -397,13 +403,20 @@
         true_units: Option<f64>,
     ) {
         if !matches!(outcome, Outcome::ConnectFailed | Outcome::NotSent) {
-            self.figures.borrow_mut().attempted();
+            self.metrics.borrow_mut().record_attempt();
         }
         let closed = self.open.borrow().get(id).is_none_or(|open| open.reply.is_none());
         self.remove_if_finished(id);
         let latency = took.as_micros() as Micros;
         let request = id.clone();
-        self.feed(Event::AttemptDone(AttemptDone { request, attempt, outcome, latency, closed, true_units }));
+        self.handle_event(Event::AttemptDone(AttemptDone {
+            request,
+            attempt,
+            outcome,
+            latency,
+            closed,
+            true_units,
+        }));
     }
 
     /// Answers a client. No other function does.
@@ -413,14 +426,14 @@
                 let answer = answer(open);
                 let result = match &answer {
                     // A streamed response is counted when it ends.
-                    Answer::Served(Served { body: ServedBody::Flow(_), .. }) => None,
-                    Answer::Served(_) => Some(Ending::Served),
-                    Answer::Refused(_) => Some(Ending::Refused),
-                    Answer::Failed { .. } => Some(Ending::Failed),
+                    Answer::Served(WorkerResponse { body: WorkerResponseBody::Streamed(_), .. }) => None,
+                    Answer::Served(_) => Some(RequestResult::Served),
+                    Answer::Refused(_) => Some(RequestResult::Refused),
+                    Answer::Failed { .. } => Some(RequestResult::Failed),
                 };
                 // Not counted if the client has just disconnected.
                 if let (Ok(()), Some(result)) = (reply.send(answer), result) {
-                    self.figures.borrow_mut().ended(open.class.0, result);
+                    self.metrics.borrow_mut().record_request(open.class.0, result);
                 }
             }
         }
@@ -430,7 +443,7 @@
     fn client_gone(self: &Rc<Self>, id: &RequestId) {
         let waited = self.open.borrow_mut().get_mut(id).and_then(|open| open.reply.take());
         if waited.is_some() {
-            self.feed(Event::ClientGone(id.clone()));
+            self.handle_event(Event::ClientGone(id.clone()));
             self.remove_if_finished(id);
         }
     }
@@ -449,7 +462,7 @@
 }
 
 /// An admitted request: its ticket and the channel of its answer.
-pub type TakenIn<P> = (Ticket<P>, oneshot::Receiver<Answer<<P as Platform>::Stream>>);
+pub type AdmittedRequest<P> = (Ticket<P>, oneshot::Receiver<Answer<<P as Platform>::Stream>>);
 
 /// Represents a waiting client; dropping it signals that the client has disconnected.
 pub struct Ticket<P: Platform> {
--- a/crates/dataplane/src/lib.rs
+++ b/crates/dataplane/src/lib.rs
@@ -11,12 +11,12 @@
 pub mod client;
 pub mod collect;
 pub mod connections;
-pub mod dialect;
 pub mod driver;
-pub mod heads;
 pub mod hooks;
-pub mod passing;
-pub mod wire;
+pub mod monitored_stream;
+pub mod protocol;
+pub mod response_body;
+pub mod tracked_connection;
 pub mod workers;
 
 use hingestage_platform::Platform;
--- a/crates/dataplane/src/heads.rs
+++ b/crates/dataplane/src/monitored_stream.rs
@@ -13,7 +13,7 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 
 /// The raw head of the current request.
-pub struct Head {
+pub struct RequestHead {
     /// Maximum size recorded, bytes. The HTTP library rejects larger heads.
     max_bytes: usize,
     bytes: Vec<u8>,
@@ -21,17 +21,17 @@
     started: Option<Instant>,
 }
 
-impl Head {
+impl RequestHead {
     /// Capacity kept between two requests, bytes.
     const RESERVED_BYTES: usize = 1024;
 
     /// Creates an empty head that records at most `max_bytes`.
     pub fn new(max_bytes: usize) -> Self {
-        Head { max_bytes, bytes: Vec::new(), complete: false, started: None }
+        RequestHead { max_bytes, bytes: Vec::new(), complete: false, started: None }
     }
 
     /// Records received bytes up to the empty line that ends the head.
-    pub fn saw(&mut self, now: Instant, bytes: &[u8]) {
+    pub fn push(&mut self, now: Instant, bytes: &[u8]) {
         if !bytes.is_empty() {
             self.started.get_or_insert(now);
         }
@@ -45,7 +45,7 @@
     }
 
     /// Prepares for the next request.
-    pub fn next(&mut self) {
+    pub fn reset(&mut self) {
         self.bytes.clear();
         self.bytes.shrink_to(Self::RESERVED_BYTES);
         (self.complete, self.started) = (false, None);
@@ -64,7 +64,7 @@
 
     /// Whether this is the complete head of the request with this id in the header `id_name`, and has no
     /// `Content-Length`. A pipelined head is not recorded, so this returns false for it.
-    pub fn names_no_length(&self, id_name: &str, id: &[u8]) -> bool {
+    pub fn lacks_content_length(&self, id_name: &str, id: &[u8]) -> bool {
         let mut lines = self.bytes.split(|b| *b == b'\n').map(|line| line.split_at(name_length(line)));
         let named = |line: &[u8], name: &[u8]| line.trim_ascii().eq_ignore_ascii_case(name);
         let same = lines.clone().any(|(name, value)| {
@@ -79,61 +79,61 @@
 }
 
 /// Observed transport state of a client connection.
-pub struct Kept {
+pub struct TransportState {
     /// The head of the current request.
-    pub head: RefCell<Head>,
+    pub head: RefCell<RequestHead>,
     /// Since when writes have been blocked by the client; `None` if they are not. The connection is not idle
     /// meanwhile: closing it would truncate the response.
-    pub blocked: Cell<Option<Instant>>,
+    pub blocked_since: Cell<Option<Instant>>,
     /// When bytes were last received.
-    pub heard: Cell<Option<Instant>>,
+    pub last_read: Cell<Option<Instant>>,
 }
 
-impl Kept {
+impl TransportState {
     /// Creates the state of a new connection; `max_head_bytes` limits the recorded head.
     pub fn new(max_head_bytes: usize) -> Self {
-        let head = RefCell::new(Head::new(max_head_bytes));
-        Kept { head, blocked: Cell::new(None), heard: Cell::new(None) }
+        let head = RefCell::new(RequestHead::new(max_head_bytes));
+        TransportState { head, blocked_since: Cell::new(None), last_read: Cell::new(None) }
     }
 
     fn record_write<T>(&self, now: impl FnOnce() -> Instant, polled: Poll<T>) -> Poll<T> {
-        let since = self.blocked.get();
-        self.blocked.set(if polled.is_pending() { since.or_else(|| Some(now())) } else { None });
+        let since = self.blocked_since.get();
+        self.blocked_since.set(if polled.is_pending() { since.or_else(|| Some(now())) } else { None });
         polled
     }
 }
 
 /// A client stream that records its activity.
-pub struct Headed<P: Platform> {
+pub struct MonitoredStream<P: Platform> {
     platform: P,
     stream: P::Stream,
-    state: Rc<Kept>,
+    state: Rc<TransportState>,
 }
 
-impl<P: Platform> Headed<P> {
+impl<P: Platform> MonitoredStream<P> {
     /// Wraps a stream.
-    pub fn new(platform: P, stream: P::Stream, state: Rc<Kept>) -> Self {
-        Headed { platform, stream, state }
+    pub fn new(platform: P, stream: P::Stream, state: Rc<TransportState>) -> Self {
+        MonitoredStream { platform, stream, state }
     }
 }
 
-impl<P: Platform> AsyncRead for Headed<P> {
+impl<P: Platform> AsyncRead for MonitoredStream<P> {
     fn poll_read(mut self: Pin<&mut Self>, cx: &mut Context, buf: &mut ReadBuf) -> Poll<io::Result<()>> {
         let before = buf.filled().len();
         let polled = Pin::new(&mut self.stream).poll_read(cx, buf);
         if buf.filled().len() > before {
             let now = self.platform.now();
-            self.state.heard.set(Some(now));
-            self.state.head.borrow_mut().saw(now, &buf.filled()[before..]);
+            self.state.last_read.set(Some(now));
+            self.state.head.borrow_mut().push(now, &buf.filled()[before..]);
         }
         polled
     }
 }
 
 // No field is structurally pinned.
-impl<P: Platform> Unpin for Headed<P> {}
+impl<P: Platform> Unpin for MonitoredStream<P> {}
 
-impl<P: Platform> AsyncWrite for Headed<P> {
+impl<P: Platform> AsyncWrite for MonitoredStream<P> {
     fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context, buf: &[u8]) -> Poll<io::Result<usize>> {
         let polled = Pin::new(&mut self.stream).poll_write(cx, buf);
         self.state.record_write(|| self.platform.now(), polled)
@@ -168,10 +168,10 @@
     const MAX_BYTES: usize = 16 * 1024;
 
     fn lacks_content_length(text: &str) -> bool {
-        let mut head = Head::new(MAX_BYTES);
+        let mut head = RequestHead::new(MAX_BYTES);
         // The result must not depend on how the head is split.
-        text.as_bytes().chunks(3).for_each(|piece| head.saw(Instant::now(), piece));
-        head.names_no_length("request-id", b"r-1")
+        text.as_bytes().chunks(3).for_each(|piece| head.push(Instant::now(), piece));
+        head.lacks_content_length("request-id", b"r-1")
     }
 
     #[test]
@@ -190,10 +190,10 @@
 
     #[test]
     fn the_recorded_head_is_bounded() {
-        let mut head = Head::new(MAX_BYTES);
-        (0..100).for_each(|_| head.saw(Instant::now(), &[b'x'; 1000]));
+        let mut head = RequestHead::new(MAX_BYTES);
+        (0..100).for_each(|_| head.push(Instant::now(), &[b'x'; 1000]));
         assert_eq!(head.bytes.len(), MAX_BYTES);
-        head.next();
-        assert!(head.bytes.capacity() <= Head::RESERVED_BYTES);
+        head.reset();
+        assert!(head.bytes.capacity() <= RequestHead::RESERVED_BYTES);
     }
 }
--- a/crates/dataplane/src/dialect.rs
+++ b/crates/dataplane/src/protocol.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 /// A request to be sent to a worker.
-pub struct Parts {
+pub struct RequestParts {
     /// Method.
     pub method: Method,
     /// Path and query.
@@ -23,7 +23,7 @@
 
 /// Classification of a response head.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Judgement {
+pub struct Classification {
     /// Outcome of the attempt, as far as the head tells. On [`Outcome::Ok`] the response is forwarded to the
     /// client.
     pub outcome: Outcome,
@@ -32,19 +32,19 @@
 }
 
 /// The platform's headers between the gateway and its workers.
-pub trait Dialect {
+pub trait WorkerProtocol {
     /// Completes the request headers of an attempt. `headers` holds the forwarded client headers; `left` is
     /// the time within which the response is useful.
-    fn write_head(&self, parts: &Parts, worker: WorkerId, left: Duration, headers: &mut HeaderMap);
+    fn write_head(&self, parts: &RequestParts, worker: WorkerId, left: Duration, headers: &mut HeaderMap);
 
     /// Classifies a response head.
-    fn judge(&self, parts: &Parts, status: StatusCode, headers: &HeaderMap) -> Judgement;
+    fn classify(&self, parts: &RequestParts, status: StatusCode, headers: &HeaderMap) -> Classification;
 
     /// The headers of a successful response that are forwarded to the client.
-    fn passed_on(&self, headers: &HeaderMap) -> HeaderMap;
+    fn client_headers(&self, headers: &HeaderMap) -> HeaderMap;
 
     /// Observes the headers of every response, whatever its status.
-    fn listen(&self, _worker: WorkerId, _headers: &HeaderMap) {}
+    fn observe_headers(&self, _worker: WorkerId, _headers: &HeaderMap) {}
 
     /// Whether the connection may be reused after this response.
     fn may_reuse(&self, _headers: &HeaderMap) -> bool {
--- a/crates/dataplane/src/wire.rs
+++ b/crates/dataplane/src/tracked_connection.rs
@@ -11,27 +11,27 @@
 use tokio::sync::Notify;
 
 /// A slot of a limited number of connections; freed on drop.
-pub struct Place(Rc<Cell<usize>>);
+pub struct ConnectionSlot(Rc<Cell<usize>>);
 
-impl Place {
+impl ConnectionSlot {
     /// Takes a slot if fewer than `max` are taken.
-    pub fn take(taken: &Rc<Cell<usize>>, max: usize) -> Option<Place> {
+    pub fn take(taken: &Rc<Cell<usize>>, max: usize) -> Option<ConnectionSlot> {
         (taken.get() < max).then(|| {
             taken.set(taken.get() + 1);
-            Place(taken.clone())
+            ConnectionSlot(taken.clone())
         })
     }
 }
 
-impl Drop for Place {
+impl Drop for ConnectionSlot {
     fn drop(&mut self) {
         self.0.set(self.0.get() - 1);
     }
 }
 
 /// The gateway's handle on a connection that the HTTP library drives.
-pub struct Wire<S> {
-    stream: RefCell<Option<(S, Place)>>,
+pub struct TrackedConnection<S> {
+    stream: RefCell<Option<(S, ConnectionSlot)>>,
     written: Cell<u64>,
     read: Cell<u64>,
     /// Notified on each read.
@@ -41,11 +41,11 @@
     task: RefCell<Option<Box<dyn Task>>>,
 }
 
-impl<S: Stream> Wire<S> {
+impl<S: Stream> TrackedConnection<S> {
     /// Wraps a connected stream.
-    pub fn new(stream: S, place: Place) -> Rc<Self> {
+    pub fn new(stream: S, place: ConnectionSlot) -> Rc<Self> {
         let stream = RefCell::new(Some((stream, place)));
-        Rc::new(Wire {
+        Rc::new(TrackedConnection {
             stream,
             written: Cell::new(0),
             read: Cell::new(0),
@@ -56,12 +56,12 @@
     }
 
     /// Sets the task that drives the connection; it is aborted on close.
-    pub fn driven_by(&self, task: impl Task) {
+    pub fn set_driver(&self, task: impl Task) {
         *self.task.borrow_mut() = Some(Box::new(task));
     }
 
     /// Bytes written to the socket so far.
-    pub fn written(&self) -> u64 {
+    pub fn bytes_written(&self) -> u64 {
         self.written.get()
     }
 
@@ -73,14 +73,14 @@
     }
 
     /// Bytes read so far.
-    pub fn read(&self) -> u64 {
+    pub fn bytes_read(&self) -> u64 {
         self.read.get()
     }
 
     /// Makes the next write fail, with nothing written, if any input is pending: unsolicited input would be
     /// taken for the response to the next request. This asks the operating system, because the runtime's
     /// readiness may be stale.
-    pub fn expect_silence(&self) {
+    pub fn fail_on_pending_input(&self) {
         self.fail_on_input.set(true);
     }
 
@@ -122,16 +122,16 @@
 }
 
 /// The I/O side of a [`WorkerConnection`], used by the HTTP library.
-pub struct WireIo<S: Stream>(pub Rc<Wire<S>>);
+pub struct TrackedIo<S: Stream>(pub Rc<TrackedConnection<S>>);
 
-impl<S: Stream> Drop for WireIo<S> {
+impl<S: Stream> Drop for TrackedIo<S> {
     fn drop(&mut self) {
         // The HTTP library has finished: free the descriptor at once.
         drop(self.0.stream.borrow_mut().take());
     }
 }
 
-impl<S: Stream> AsyncRead for WireIo<S> {
+impl<S: Stream> AsyncRead for TrackedIo<S> {
     fn poll_read(self: Pin<&mut Self>, cx: &mut Context, buf: &mut ReadBuf) -> Poll<io::Result<()>> {
         let before = buf.filled().len();
         let polled = self.0.poll(|stream| stream.poll_read(cx, buf));
@@ -144,7 +144,7 @@
     }
 }
 
-impl<S: Stream> AsyncWrite for WireIo<S> {
+impl<S: Stream> AsyncWrite for TrackedIo<S> {
     fn poll_write(self: Pin<&mut Self>, cx: &mut Context, buf: &[u8]) -> Poll<io::Result<usize>> {
         self.0.write(|stream| stream.poll_write(cx, buf))
     }
@@ -182,8 +182,8 @@
         let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
         let stream = TcpStream::connect(listener.local_addr().unwrap()).await.unwrap();
         let (mut peer, _) = listener.accept().unwrap();
-        let wire = Wire::new(stream, Place::take(&Rc::default(), 1).unwrap());
-        let mut io = WireIo(wire.clone());
+        let handle = TrackedConnection::new(stream, ConnectionSlot::take(&Rc::default(), 1).unwrap());
+        let mut io = TrackedIo(handle.clone());
         let mut buffer = [0; 8];
         // Clears the runtime's read readiness.
         let nothing = poll_fn(|cx| {
@@ -191,13 +191,13 @@
             Poll::Ready(Pin::new(&mut io).poll_read(cx, &mut buffer).is_pending())
         });
         assert!(nothing.await);
-        wire.expect_silence();
+        handle.fail_on_pending_input();
         assert_eq!(poll_fn(|cx| Pin::new(&mut io).poll_write(cx, b"one")).await.unwrap(), 3);
         std::io::Write::write_all(&mut peer, b"noise").unwrap();
         // Loopback delivers at once; the runtime has not polled in between.
-        wire.expect_silence();
+        handle.fail_on_pending_input();
         let written = poll_fn(|cx| Poll::Ready(Pin::new(&mut io).poll_write(cx, b"two"))).await;
         assert!(matches!(written, Poll::Ready(Err(_))));
-        assert_eq!(wire.written(), 3);
+        assert_eq!(handle.bytes_written(), 3);
     }
 }
--- a/crates/dataplane/src/workers.rs
+++ b/crates/dataplane/src/workers.rs
@@ -1,9 +1,9 @@
 //! Pooled connections to workers and the attempts made over them.
 
-use crate::body::{Joined, Passing, RequestBody, Source, HELD};
-use crate::dialect::{Dialect, Judgement, Parts};
+use crate::body::{BodySource, ChunkBuffer, OutgoingBody, RequestBody, BUFFERED_MAX};
 use crate::note;
-use crate::wire::{Place, Wire, WireIo};
+use crate::protocol::{Classification, RequestParts, WorkerProtocol};
+use crate::tracked_connection::{ConnectionSlot, TrackedConnection, TrackedIo};
 use bytes::Bytes;
 use hingestage_platform::{Elapsed, Platform, Stream};
 use hingestage_policy::{Outcome, WorkerId};
@@ -44,7 +44,7 @@
 
 /// Time limits of an attempt.
 #[derive(Clone, Copy, Debug)]
-pub struct Times {
+pub struct AttemptTimes {
     /// The request is not written after this; no later than the deadline.
     pub begin_by: Instant,
     /// The attempt times out then.
@@ -52,118 +52,119 @@
 }
 
 /// A worker's successful response.
-pub struct Served<S: Stream> {
+pub struct WorkerResponse<S: Stream> {
     /// Status.
     pub status: StatusCode,
     /// Headers for the client.
     pub headers: HeaderMap,
     /// Body, unchanged.
-    pub body: ServedBody<S>,
+    pub body: WorkerResponseBody<S>,
 }
 
 /// The body of a successful response.
-pub enum ServedBody<S: Stream> {
+pub enum WorkerResponseBody<S: Stream> {
     /// A buffered body.
-    Whole(Bytes),
+    Buffered(Bytes),
     /// A body that is still being received.
-    Flow(Box<Rest<S>>),
+    Streamed(Box<PartialResponse<S>>),
 }
 
 /// A response body that is still being received.
-pub struct Rest<S: Stream> {
+pub struct PartialResponse<S: Stream> {
     /// The body.
-    pub source: Source,
+    pub source: BodySource,
     /// The worker that sends it.
     pub worker: WorkerId,
     conn: Conn<S>,
 }
 
-impl<S: Stream> Rest<S> {
+impl<S: Stream> PartialResponse<S> {
     /// The result of an attempt whose streamed response is complete; the connection may be reused.
-    pub fn over(self) -> Attempted<S> {
-        Attempted { conn: Some(self.conn).filter(|conn| conn.reusable), ..Outcome::Ok.into() }
+    pub fn into_result(self) -> AttemptResult<S> {
+        AttemptResult { conn: Some(self.conn).filter(|conn| conn.reusable), ..Outcome::Ok.into() }
     }
 }
 
 /// Result of an attempt.
-pub struct Attempted<S: Stream> {
+pub struct AttemptResult<S: Stream> {
     /// Outcome.
     pub outcome: Outcome,
     /// Actual cost in units, if the worker reported it.
     pub true_units: Option<f64>,
     /// When the first bytes of the response arrived.
-    pub heard: Option<Instant>,
+    pub first_byte_at: Option<Instant>,
     /// The response, if successful.
-    pub served: Option<Served<S>>,
+    pub served: Option<WorkerResponse<S>>,
     /// The connection, if it may be reused.
     conn: Option<Conn<S>>,
 }
 
-impl<S: Stream> From<Outcome> for Attempted<S> {
+impl<S: Stream> From<Outcome> for AttemptResult<S> {
     fn from(outcome: Outcome) -> Self {
-        Attempted { outcome, true_units: None, heard: None, served: None, conn: None }
+        AttemptResult { outcome, true_units: None, first_byte_at: None, served: None, conn: None }
     }
 }
 
 /// Progress of an attempt, for cancelling it.
-pub struct Progress<S> {
+pub struct AttemptProgress<S> {
     started: RefCell<Option<StartedRequest<S>>>,
 }
 
 /// A request being written to a connection.
 struct StartedRequest<S> {
-    wire: Rc<Wire<S>>,
+    handle: Rc<TrackedConnection<S>>,
     before: u64,
-    parts: Rc<Parts>,
+    parts: Rc<RequestParts>,
 }
 
 impl<S: Stream> StartedRequest<S> {
     /// Whether the worker may have received the whole request: the body is sent, and at least part of a head
     /// before it.
-    fn whole(&self) -> bool {
-        self.parts.body.over() && self.wire.written() > self.before + self.parts.body.passed()
+    fn may_be_received(&self) -> bool {
+        self.parts.body.is_complete()
+            && self.handle.bytes_written() > self.before + self.parts.body.forwarded()
     }
 }
 
-impl<S> Default for Progress<S> {
+impl<S> Default for AttemptProgress<S> {
     fn default() -> Self {
-        Progress { started: RefCell::new(None) }
+        AttemptProgress { started: RefCell::new(None) }
     }
 }
 
-impl<S: Stream> Progress<S> {
+impl<S: Stream> AttemptProgress<S> {
     /// Whether the attempt still waits for a connection.
-    pub fn waits(&self) -> bool {
+    pub fn awaits_connection(&self) -> bool {
         self.started.borrow().is_none()
     }
 
     /// Whether the worker may have received the whole request.
-    pub fn came_whole(&self) -> bool {
-        self.started.borrow().as_ref().is_some_and(StartedRequest::whole)
+    pub fn may_be_received(&self) -> bool {
+        self.started.borrow().as_ref().is_some_and(StartedRequest::may_be_received)
     }
 
     /// Closes the attempt's connection and returns whether the worker may have received the whole request.
-    pub fn give_up(&self) -> bool {
+    pub fn abort(&self) -> bool {
         self.started.borrow_mut().take().is_some_and(|started| {
-            started.wire.close();
-            started.whole()
+            started.handle.close();
+            started.may_be_received()
         })
     }
 
     /// Records that the request may be written from now on.
-    fn begin(&self, wire: &Rc<Wire<S>>, used: bool, parts: &Rc<Parts>) {
-        let (wire, before, parts) = (wire.clone(), wire.written(), parts.clone());
+    fn start(&self, handle: &Rc<TrackedConnection<S>>, used: bool, parts: &Rc<RequestParts>) {
+        let (handle, before, parts) = (handle.clone(), handle.bytes_written(), parts.clone());
         if used {
-            wire.expect_silence();
+            handle.fail_on_pending_input();
         }
-        *self.started.borrow_mut() = Some(StartedRequest { wire, before, parts });
+        *self.started.borrow_mut() = Some(StartedRequest { handle, before, parts });
     }
 }
 
 /// A worker connection, idle or with a request in progress.
 struct Conn<S: Stream> {
-    sender: SendRequest<Passing>,
-    wire: Rc<Wire<S>>,
+    sender: SendRequest<OutgoingBody>,
+    handle: Rc<TrackedConnection<S>>,
     /// The worker process it is connected to.
     process: WorkerProcess,
     idle_since: Instant,
@@ -181,12 +182,17 @@
     }
 }
 
-/// Address and start time, ms, of a worker process.
-type WorkerProcess = (SocketAddr, u64);
+/// Identifies a worker process.
+#[derive(Clone, Copy, PartialEq, Eq)]
+struct WorkerProcess {
+    addr: SocketAddr,
+    /// Start time, Unix time in milliseconds.
+    boot_ms: u64,
+}
 
 impl<S: Stream> Drop for Conn<S> {
     fn drop(&mut self) {
-        self.wire.close();
+        self.handle.close();
     }
 }
 
@@ -205,7 +211,7 @@
     max_connections: usize,
     connect_timeout: Duration,
     idle_timeout: Duration,
-    dialect: Rc<dyn Dialect>,
+    protocol: Rc<dyn WorkerProtocol>,
     problem_count: Cell<u64>,
     /// Called with a worker whose address refuses connections.
     on_refused: RefCell<Option<OnRefused>>,
@@ -220,11 +226,11 @@
         platform: P,
         max_connections: usize,
         connect_timeout: Duration,
-        worker_idle: Duration,
-        dialect: Rc<dyn Dialect>,
+        worker_idle_timeout: Duration,
+        protocol: Rc<dyn WorkerProtocol>,
     ) -> Self {
         let (pools, open) = (RefCell::default(), Rc::default());
-        let idle_timeout = worker_idle / 2;
+        let idle_timeout = worker_idle_timeout / 2;
         let (problem_count, on_refused) = (Cell::new(0), RefCell::default());
         Workers {
             platform,
@@ -233,23 +239,24 @@
             max_connections,
             connect_timeout,
             idle_timeout,
-            dialect,
+            protocol,
             problem_count,
             on_refused,
         }
     }
 
     /// Sets a callback for refused connections.
-    pub fn tell_refused(&self, callback: impl Fn(WorkerId) + 'static) {
+    pub fn on_connection_refused(&self, callback: impl Fn(WorkerId) + 'static) {
         *self.on_refused.borrow_mut() = Some(Rc::new(callback));
     }
 
     /// Adds or updates a worker. Its idle connections are closed if it no longer accepts work or was
     /// restarted: a request written to a dead process would be reset and could not be retried if unsafe.
-    pub fn list(&self, id: WorkerId, addr: SocketAddr, boot_ms: u64, ready: bool) {
-        let (process, mut pools) = ((addr, boot_ms), self.pools.borrow_mut());
+    pub fn update(&self, id: WorkerId, addr: SocketAddr, boot_ms: u64, ready: bool) {
+        let (process, mut pools) = (WorkerProcess { addr, boot_ms }, self.pools.borrow_mut());
         // Another worker has taken over this address, so the old connections are stale.
-        for (_, former) in pools.iter_mut().filter(|(other, pool)| **other != id && pool.process.0 == addr) {
+        for (_, former) in pools.iter_mut().filter(|(other, pool)| **other != id && pool.process.addr == addr)
+        {
             former.idle.clear();
         }
         let pool = pools.entry(id).or_insert_with(|| Pool { process, ready, idle: Vec::new() });
@@ -260,22 +267,22 @@
     }
 
     /// Removes a worker.
-    pub fn unlist(&self, id: WorkerId) {
+    pub fn remove(&self, id: WorkerId) {
         self.pools.borrow_mut().remove(&id);
     }
 
     /// Removes all workers except these.
-    pub fn keep_only(&self, named: &HashSet<WorkerId>) {
+    pub fn retain_workers(&self, named: &HashSet<WorkerId>) {
         self.pools.borrow_mut().retain(|id, _| named.contains(id));
     }
 
     /// Whether this worker is known.
-    pub fn lists(&self, id: WorkerId) -> bool {
+    pub fn contains(&self, id: WorkerId) -> bool {
         self.pools.borrow().contains_key(&id)
     }
 
     /// Number of known workers.
-    pub fn listed(&self) -> usize {
+    pub fn count(&self) -> usize {
         self.pools.borrow().len()
     }
 
@@ -296,10 +303,10 @@
     pub async fn attempt(
         &self,
         worker: WorkerId,
-        parts: &Rc<Parts>,
-        times: Times,
-        progress: &Progress<P::Stream>,
-    ) -> Attempted<P::Stream> {
+        parts: &Rc<RequestParts>,
+        times: AttemptTimes,
+        progress: &AttemptProgress<P::Stream>,
+    ) -> AttemptResult<P::Stream> {
         loop {
             let mut conn = match self.acquire(worker, parts, times.begin_by).await {
                 Ok(conn) => conn,
@@ -309,25 +316,28 @@
             if !self.takes_work(worker) || self.platform.now() > times.begin_by {
                 return Outcome::NotSent.into();
             }
-            let Some(body) = parts.body.open() else { return Outcome::NotSent.into() };
-            progress.begin(&conn.wire, conn.used, parts);
+            let Some(body) = parts.body.outgoing() else { return Outcome::NotSent.into() };
+            progress.start(&conn.handle, conn.used, parts);
             let timeout = self.attempt_timeout(parts, times.deadline);
-            let heard = Cell::new(None);
-            let exchange = self.exchange(worker, &mut conn, parts, body, times.deadline, &heard);
+            let first_byte_at = Cell::new(None);
+            let exchange = self.exchange(worker, &mut conn, parts, body, times.deadline, &first_byte_at);
             let ended = tokio::select! {
                 biased;
                 ended = exchange => Ok(ended),
                 () = timeout => Err(Elapsed),
             };
             if let Ok(Ok(answer)) = ended {
-                return Attempted { heard: heard.get(), ..self.attempt_result(worker, answer, conn) };
+                return AttemptResult {
+                    first_byte_at: first_byte_at.get(),
+                    ..self.attempt_result(worker, answer, conn)
+                };
             }
-            let (used, whole) = (conn.used, progress.give_up());
+            let (used, may_be_received) = (conn.used, progress.abort());
             drop(conn);
             match ended {
                 // A pooled connection had been closed before anything was written: retry on another one.
-                Ok(Err(_)) if used && !whole => continue,
-                _ if !whole => return Outcome::ConnectFailed.into(),
+                Ok(Err(_)) if used && !may_be_received => continue,
+                _ if !may_be_received => return Outcome::ConnectFailed.into(),
                 Ok(Err(ExchangeError::Unusable(what))) => {
                     note(&self.platform, &self.problem_count, format_args!("worker {}: {what}", worker.0));
                     return Outcome::Spoilt.into();
@@ -344,22 +354,22 @@
         &self,
         worker: WorkerId,
         conn: &mut Conn<P::Stream>,
-        parts: &Parts,
-        body: Passing,
+        parts: &RequestParts,
+        body: OutgoingBody,
         deadline: Instant,
-        heard: &Cell<Option<Instant>>,
+        first_byte_at: &Cell<Option<Instant>>,
     ) -> Result<ReceivedResponse, ExchangeError> {
         let skipped = Arc::new(AtomicUsize::new(0));
         let left = match &parts.body {
-            RequestBody::Whole(_) => deadline.saturating_duration_since(self.platform.now()),
-            RequestBody::Flow(flow) => flow.patience,
+            RequestBody::Buffered(_) => deadline.saturating_duration_since(self.platform.now()),
+            RequestBody::Streamed(body) => body.answer_timeout,
         };
         let request = self.build_request(worker, parts, body, left, skipped.clone());
-        let (wire, mark) = (conn.wire.clone(), conn.wire.read());
+        let (handle, mark) = (conn.handle.clone(), conn.handle.bytes_read());
         tokio::select! {
             biased;
             answer = self.read_response(worker, parts, &mut conn.sender, request) => answer,
-            () = wait_for_stall(&self.platform, &wire, mark, &skipped, heard) => {
+            () = wait_for_stall(&self.platform, &handle, mark, &skipped, first_byte_at) => {
                 Err(ExchangeError::Unusable("a response that stalls"))
             }
         }
@@ -369,16 +379,16 @@
     fn build_request(
         &self,
         worker: WorkerId,
-        parts: &Parts,
-        body: Passing,
+        parts: &RequestParts,
+        body: OutgoingBody,
         left: Duration,
         skipped: Arc<AtomicUsize>,
-    ) -> Request<Passing> {
+    ) -> Request<OutgoingBody> {
         let mut request = Request::new(body);
         *request.method_mut() = parts.method.clone();
         *request.uri_mut() = parts.uri.clone();
         *request.headers_mut() = parts.headers.clone();
-        self.dialect.write_head(parts, worker, left, request.headers_mut());
+        self.protocol.write_head(parts, worker, left, request.headers_mut());
         hyper::ext::on_informational(&mut request, move |_| {
             skipped.fetch_add(1, Ordering::Relaxed);
         });
@@ -388,9 +398,9 @@
     async fn read_response(
         &self,
         worker: WorkerId,
-        parts: &Parts,
-        sender: &mut SendRequest<Passing>,
-        request: Request<Passing>,
+        parts: &RequestParts,
+        sender: &mut SendRequest<OutgoingBody>,
+        request: Request<OutgoingBody>,
     ) -> Result<ReceivedResponse, ExchangeError> {
         let answer: Response<Incoming> =
             sender.send_request(request).await.map_err(|e| match e.is_parse() {
@@ -399,10 +409,10 @@
             })?;
         let (head, body) = answer.into_parts();
         let (status, headers) = (head.status, head.headers);
-        self.dialect.listen(worker, &headers);
-        let judgement = self.dialect.judge(parts, status, &headers);
-        let body = receive_body(parts, status, &headers, judgement.outcome, body).await?;
-        Ok(ReceivedResponse { judgement, status, headers, body })
+        self.protocol.observe_headers(worker, &headers);
+        let classification = self.protocol.classify(parts, status, &headers);
+        let body = receive_body(parts, status, &headers, classification.outcome, body).await?;
+        Ok(ReceivedResponse { classification, status, headers, body })
     }
 
     /// The result of an answered attempt. A response without framing is not read further, and its connection
@@ -412,44 +422,45 @@
         worker: WorkerId,
         answer: ReceivedResponse,
         mut conn: Conn<P::Stream>,
-    ) -> Attempted<P::Stream> {
-        let ReceivedResponse { judgement, status, headers, body } = answer;
-        conn.reusable = self.dialect.may_reuse(&headers);
+    ) -> AttemptResult<P::Stream> {
+        let ReceivedResponse { classification, status, headers, body } = answer;
+        conn.reusable = self.protocol.may_reuse(&headers);
         if let Some(announced) = announced_idle_timeout(&headers) {
             conn.idle_limit = self.idle_timeout.min(announced.saturating_sub(KEEP_ALIVE_MARGIN));
         }
         let (body, conn) = match body {
-            ReceivedBody::Buffered(bytes) => (Some(ServedBody::Whole(bytes)), Some(conn)),
+            ReceivedBody::Buffered(bytes) => (Some(WorkerResponseBody::Buffered(bytes)), Some(conn)),
             ReceivedBody::Streamed(source) => {
-                (Some(ServedBody::Flow(Box::new(Rest { source, worker, conn }))), None)
+                (Some(WorkerResponseBody::Streamed(Box::new(PartialResponse { source, worker, conn }))), None)
             }
             ReceivedBody::Unframed => (None, None),
         };
-        let body = body.filter(|_| judgement.outcome == Outcome::Ok);
-        let served = body.map(|body| Served { status, headers: self.dialect.passed_on(&headers), body });
-        Attempted {
-            outcome: judgement.outcome,
-            true_units: judgement.true_units,
-            heard: None,
+        let body = body.filter(|_| classification.outcome == Outcome::Ok);
+        let served =
+            body.map(|body| WorkerResponse { status, headers: self.protocol.client_headers(&headers), body });
+        AttemptResult {
+            outcome: classification.outcome,
+            true_units: classification.true_units,
+            first_byte_at: None,
             served,
             conn: conn.filter(|conn| conn.reusable),
         }
     }
 
     /// Completes when the attempt times out. The timeout of a streamed request counts from its last byte.
-    async fn attempt_timeout(&self, parts: &Parts, deadline: Instant) {
+    async fn attempt_timeout(&self, parts: &RequestParts, deadline: Instant) {
         match &parts.body {
-            RequestBody::Whole(_) => self.platform.sleep_until(deadline).await,
-            RequestBody::Flow(flow) => {
-                if flow.ends(&self.platform).await {
-                    self.platform.sleep(flow.patience).await;
+            RequestBody::Buffered(_) => self.platform.sleep_until(deadline).await,
+            RequestBody::Streamed(body) => {
+                if body.wait_until_sent(&self.platform).await {
+                    self.platform.sleep(body.answer_timeout).await;
                 }
             }
         }
     }
 
     /// Returns a connection to its pool once it is ready for another request.
-    pub async fn give_back(&self, worker: WorkerId, attempted: Attempted<P::Stream>) {
+    pub async fn release(&self, worker: WorkerId, attempted: AttemptResult<P::Stream>) {
         let Some(mut conn) = attempted.conn else { return };
         if !matches!(self.platform.timeout(READY_TIMEOUT, conn.sender.ready()).await, Ok(Ok(()))) {
             return;
@@ -468,7 +479,7 @@
     async fn acquire(
         &self,
         worker: WorkerId,
-        parts: &Parts,
+        parts: &RequestParts,
         until: Instant,
     ) -> Result<Conn<P::Stream>, Outcome> {
         let process = {
@@ -476,7 +487,7 @@
             let pool = pools.get_mut(&worker).filter(|pool| pool.ready).ok_or(Outcome::NotSent)?;
             let now = self.platform.now();
             let rested = |conn: &Conn<_>| now.saturating_duration_since(conn.idle_since) >= REUSE_DELAY;
-            let may_reuse = matches!(parts.body, RequestBody::Whole(_));
+            let may_reuse = matches!(parts.body, RequestBody::Buffered(_));
             while let Some(place) = pool.idle.iter().rposition(rested).filter(|_| may_reuse) {
                 let conn = pool.idle.remove(place);
                 if !conn.expired(now) && conn.sender.is_ready() {
@@ -485,14 +496,14 @@
             }
             pool.process
         };
-        let place = Place::take(&self.open, self.max_connections).or_else(|| {
+        let place = ConnectionSlot::take(&self.open, self.max_connections).or_else(|| {
             self.evict_idle();
-            Place::take(&self.open, self.max_connections)
+            ConnectionSlot::take(&self.open, self.max_connections)
         });
         let place = place.ok_or(Outcome::NotSent)?;
         // An unreachable host may never answer the connect.
         let until = until.min(self.platform.now() + self.connect_timeout);
-        let connected = self.platform.timeout_at(until, self.platform.connect(process.0)).await;
+        let connected = self.platform.timeout_at(until, self.platform.connect(process.addr)).await;
         let stream = match connected {
             Ok(Ok(stream)) => stream,
             failed => {
@@ -502,8 +513,8 @@
                 return Err(Outcome::ConnectFailed);
             }
         };
-        let wire = Wire::new(stream, place);
-        let io = TokioIo::new(WireIo(wire.clone()));
+        let handle = TrackedConnection::new(stream, place);
+        let io = TokioIo::new(TrackedIo(handle.clone()));
         let (sender, driver) = http1::Builder::new()
             .max_buf_size(RESPONSE_HEAD_MAX_BYTES)
             .handshake(io)
@@ -513,9 +524,9 @@
             // Errors are reported to the attempt on this connection.
             let _ = driver.await;
         });
-        wire.driven_by(task);
+        handle.set_driver(task);
         let (idle_since, idle_limit) = (self.platform.now(), self.idle_timeout);
-        Ok(Conn { sender, wire, process, idle_since, idle_limit, used: false, reusable: true })
+        Ok(Conn { sender, handle, process, idle_since, idle_limit, used: false, reusable: true })
     }
 
     fn evict_idle(&self) {
@@ -530,7 +541,7 @@
 
 /// A response as read so far.
 struct ReceivedResponse {
-    judgement: Judgement,
+    classification: Classification,
     status: StatusCode,
     headers: HeaderMap,
     body: ReceivedBody,
@@ -539,7 +550,7 @@
 enum ReceivedBody {
     Buffered(Bytes),
     /// Still being received.
-    Streamed(Source),
+    Streamed(BodySource),
     /// Without framing; not read further.
     Unframed,
 }
@@ -565,7 +576,7 @@
 
 /// Reads the body of a response.
 async fn receive_body(
-    parts: &Parts,
+    parts: &RequestParts,
     status: StatusCode,
     headers: &HeaderMap,
     outcome: Outcome,
@@ -591,11 +602,11 @@
 async fn read_body(mut body: Incoming) -> Result<ReceivedBody, ExchangeError> {
     let length = body.size_hint().exact();
     // Stream at once, without delaying the first bytes.
-    if length.is_some_and(|length| length > HELD as u64) {
-        return Ok(ReceivedBody::Streamed(Source::new(Bytes::new(), body, length)));
+    if length.is_some_and(|length| length > BUFFERED_MAX as u64) {
+        return Ok(ReceivedBody::Streamed(BodySource::new(Bytes::new(), body, length)));
     }
-    let held = if length.is_some() { HELD } else { CHUNKED_BUFFER_MAX_BYTES };
-    let mut joined = Joined::default();
+    let held = if length.is_some() { BUFFERED_MAX } else { CHUNKED_BUFFER_MAX_BYTES };
+    let mut joined = ChunkBuffer::default();
     while let Some(frame) = body.frame().await {
         let frame = frame.map_err(|e| match is_framing_error(&e) {
             true => ExchangeError::Unusable("a response that can't be parsed"),
@@ -604,10 +615,10 @@
         let Ok(data) = frame.into_data() else { continue };
         joined.push(data);
         if joined.len() > held && !body.is_end_stream() {
-            return Ok(ReceivedBody::Streamed(Source::new(joined.whole(), body, length)));
+            return Ok(ReceivedBody::Streamed(BodySource::new(joined.into_bytes(), body, length)));
         }
     }
-    Ok(ReceivedBody::Buffered(joined.whole()))
+    Ok(ReceivedBody::Buffered(joined.into_bytes()))
 }
 
 /// Whether the chunked framing was invalid, as opposed to a closed connection.
@@ -620,24 +631,24 @@
 /// count as a start.
 async fn wait_for_stall<P: Platform>(
     platform: &P,
-    wire: &Wire<P::Stream>,
+    handle: &TrackedConnection<P::Stream>,
     mut mark: u64,
     skipped: &AtomicUsize,
-    heard: &Cell<Option<Instant>>,
+    first_byte_at: &Cell<Option<Instant>>,
 ) {
     let mut interim_seen = 0;
     loop {
-        wire.read_past(mark).await;
-        heard.set(Some(platform.now()));
+        handle.read_past(mark).await;
+        first_byte_at.set(Some(platform.now()));
         let mut seen = 0;
-        while wire.read() > seen {
-            seen = wire.read();
+        while handle.bytes_read() > seen {
+            seen = handle.bytes_read();
             platform.sleep(STALL_TIMEOUT).await;
         }
         let interim = skipped.load(Ordering::Relaxed);
         if interim == interim_seen {
             return;
         }
-        (interim_seen, mark) = (interim, wire.read());
+        (interim_seen, mark) = (interim, handle.bytes_read());
     }
 }
--- a/crates/dataplane/tests/connections.rs
+++ b/crates/dataplane/tests/connections.rs
@@ -1,8 +1,8 @@
 //! Client connections on real sockets: timeouts and shutdown.
 
 use bytes::Bytes;
-use hingestage_dataplane::client::{Client, ClientTimes};
-use hingestage_dataplane::connections::{Answers, ConnectionSettings, Connections, Stopping};
+use hingestage_dataplane::client::{Client, ClientTimeouts};
+use hingestage_dataplane::connections::{ConnectionSettings, Connections, RequestHandler, Shutdown};
 use hingestage_fixtures::block_on as run;
 use hingestage_platform::{Platform, Tokio};
 use http_body_util::Full;
@@ -18,17 +18,21 @@
 const LONG: Duration = Duration::from_secs(30);
 /// Much longer than `SHORT`, much shorter than `LONG`.
 const LATE: Duration = Duration::from_secs(5);
-const TIMES: ClientTimes =
-    ClientTimes { first_head_timeout: LONG, header_timeout: LONG, idle_timeout: LONG, write_timeout: LONG };
+const TIMEOUTS: ClientTimeouts = ClientTimeouts {
+    first_head_timeout: LONG,
+    header_timeout: LONG,
+    idle_timeout: LONG,
+    write_timeout: LONG,
+};
 const REQUEST: &[u8] = b"GET / HTTP/1.1\r\nhost: test\r\n\r\n";
 
 /// Answers every request with `ok`.
 struct OkHandler;
 
-impl Answers for OkHandler {
+impl RequestHandler for OkHandler {
     type Body = Full<Bytes>;
 
-    async fn answer(
+    async fn handle(
         self: &Rc<Self>,
         _request: Request<Incoming>,
         _client: &Rc<Client>,
@@ -47,8 +51,9 @@
 }
 
 impl TestServer {
-    async fn new(times: ClientTimes) -> TestServer {
-        let settings = ConnectionSettings { clients_max: 8, idle_max: 8, times, largest_head: 16 * 1024 };
+    async fn new(timeouts: ClientTimeouts) -> TestServer {
+        let settings =
+            ConnectionSettings { max_connections: 8, max_idle: 8, timeouts, max_head_bytes: 16 * 1024 };
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         TestServer { connections: Connections::new(Tokio, Rc::new(OkHandler), settings), listener }
     }
@@ -84,9 +89,9 @@
 }
 
 /// Runs `acts` and checks that the server closes the connection about `SHORT` later.
-fn assert_closed_after_short_timeout(times: ClientTimes, act: impl AsyncFnOnce(&mut TcpStream)) {
+fn assert_closed_after_short_timeout(timeouts: ClientTimeouts, act: impl AsyncFnOnce(&mut TcpStream)) {
     run(async {
-        let server = TestServer::new(times).await;
+        let server = TestServer::new(timeouts).await;
         let mut stream = server.connect().await;
         let client = async {
             act(&mut stream).await;
@@ -99,14 +104,14 @@
 
 #[test]
 fn an_idle_connection_is_closed_after_the_idle_timeout() {
-    assert_closed_after_short_timeout(ClientTimes { idle_timeout: SHORT, ..TIMES }, async |stream| {
+    assert_closed_after_short_timeout(ClientTimeouts { idle_timeout: SHORT, ..TIMEOUTS }, async |stream| {
         request(stream).await
     });
 }
 
 #[test]
 fn the_timeout_of_a_later_head_starts_at_its_first_byte() {
-    assert_closed_after_short_timeout(ClientTimes { header_timeout: SHORT, ..TIMES }, async |stream| {
+    assert_closed_after_short_timeout(ClientTimeouts { header_timeout: SHORT, ..TIMEOUTS }, async |stream| {
         request(stream).await;
         // Longer than the head timeout, but idle.
         tokio::time::sleep(2 * SHORT).await;
@@ -117,21 +122,21 @@
 
 #[test]
 fn the_timeout_of_the_first_head_starts_at_the_connection() {
-    assert_closed_after_short_timeout(ClientTimes { first_head_timeout: SHORT, ..TIMES }, async |_| ());
+    assert_closed_after_short_timeout(ClientTimeouts { first_head_timeout: SHORT, ..TIMEOUTS }, async |_| ());
 }
 
 #[test]
 fn a_stop_closes_idle_connections_and_returns_when_none_is_left() {
     run(async {
-        let server = TestServer::new(TIMES).await;
+        let server = TestServer::new(TIMEOUTS).await;
         let mut stream = server.connect().await;
         server.run_with(request(&mut stream)).await;
-        assert_eq!(server.connections.open(), 1);
+        assert_eq!(server.connections.open_count(), 1);
         let now = Tokio.now();
-        let stopping = Stopping { accepts_until: now, closes_idle: true, until: now + LATE };
+        let shutdown = Shutdown { accept_until: now, close_idle: true, deadline: now + LATE };
         let TestServer { connections, listener } = server;
-        connections.stop(listener, stopping).await;
-        assert_eq!(connections.open(), 0);
+        connections.stop(listener, shutdown).await;
+        assert_eq!(connections.open_count(), 0);
         assert!(now.elapsed() < LATE);
         assert!(time_until_closed(&mut stream).await < LATE);
     });
--- a/crates/dataplane/tests/workers.rs
+++ b/crates/dataplane/tests/workers.rs
@@ -2,8 +2,10 @@
 
 use bytes::Bytes;
 use hingestage_dataplane::body::RequestBody;
-use hingestage_dataplane::dialect::{Dialect, Judgement, Parts};
-use hingestage_dataplane::workers::{Progress, Served, ServedBody, Times, Workers};
+use hingestage_dataplane::protocol::{Classification, RequestParts, WorkerProtocol};
+use hingestage_dataplane::workers::{
+    AttemptProgress, AttemptTimes, WorkerResponse, WorkerResponseBody, Workers,
+};
 use hingestage_platform::{Platform, Tokio};
 use hingestage_policy::{Outcome, WorkerId};
 use hyper::header::{HeaderMap, HeaderValue, HOST};
@@ -28,22 +30,22 @@
     headers_observed: Cell<usize>,
 }
 
-impl Dialect for TestProtocol {
-    fn write_head(&self, parts: &Parts, _worker: WorkerId, _left: Duration, headers: &mut HeaderMap) {
+impl WorkerProtocol for TestProtocol {
+    fn write_head(&self, parts: &RequestParts, _worker: WorkerId, _left: Duration, headers: &mut HeaderMap) {
         headers.insert(HOST, HeaderValue::from_static("worker.local"));
         headers.insert("call-id", parts.id.clone());
     }
 
-    fn judge(&self, _parts: &Parts, status: StatusCode, _headers: &HeaderMap) -> Judgement {
+    fn classify(&self, _parts: &RequestParts, status: StatusCode, _headers: &HeaderMap) -> Classification {
         let outcome = if status.is_server_error() { Outcome::Error } else { Outcome::Ok };
-        Judgement { outcome, true_units: None }
+        Classification { outcome, true_units: None }
     }
 
-    fn passed_on(&self, headers: &HeaderMap) -> HeaderMap {
+    fn client_headers(&self, headers: &HeaderMap) -> HeaderMap {
         headers.clone()
     }
 
-    fn listen(&self, _worker: WorkerId, _headers: &HeaderMap) {
+    fn observe_headers(&self, _worker: WorkerId, _headers: &HeaderMap) {
         self.headers_observed.set(self.headers_observed.get() + 1);
     }
 
@@ -84,7 +86,7 @@
 /// The results of two consecutive requests.
 struct Exchanges {
     outcome: Outcome,
-    served: Option<Served<TcpStream>>,
+    served: Option<WorkerResponse<TcpStream>>,
     /// Connections that the two requests used.
     connections: usize,
     heads: Vec<String>,
@@ -101,9 +103,9 @@
     let at = listener.local_addr().unwrap();
     let worker = Rc::new(Worker { answer, connections: Cell::new(0), heads: RefCell::default() });
     tokio::task::spawn_local(worker.clone().serve(listener));
-    let dialect = Rc::new(TestProtocol::default());
-    let workers = Workers::new(Tokio, 8, TIMEOUT, WORKER_IDLE, dialect.clone());
-    workers.list(WORKER, at, 1, true);
+    let protocol = Rc::new(TestProtocol::default());
+    let workers = Workers::new(Tokio, 8, TIMEOUT, WORKER_IDLE, protocol.clone());
+    workers.update(WORKER, at, 1, true);
     let first = request(&workers, &method).await;
     request(&workers, &method).await;
     Exchanges {
@@ -111,32 +113,32 @@
         served: first.1,
         connections: worker.connections.get(),
         heads: worker.heads.take(),
-        headers_observed: dialect.headers_observed.get(),
+        headers_observed: protocol.headers_observed.get(),
     }
 }
 
-async fn request(workers: &Workers<Tokio>, method: &Method) -> (Outcome, Option<Served<TcpStream>>) {
+async fn request(workers: &Workers<Tokio>, method: &Method) -> (Outcome, Option<WorkerResponse<TcpStream>>) {
     let mut headers = HeaderMap::new();
     headers.insert("content-type", HeaderValue::from_static("text/plain"));
-    let parts = Rc::new(Parts {
+    let parts = Rc::new(RequestParts {
         method: method.clone(),
         uri: "/path?query".parse().unwrap(),
         id: HeaderValue::from_static("id-1"),
         headers,
-        body: RequestBody::Whole(Bytes::new()),
+        body: RequestBody::Buffered(Bytes::new()),
     });
     let deadline = Tokio.now() + TIMEOUT;
-    let times = Times { begin_by: deadline, deadline };
-    let mut attempted = workers.attempt(WORKER, &parts, times, &Progress::default()).await;
+    let times = AttemptTimes { begin_by: deadline, deadline };
+    let mut attempted = workers.attempt(WORKER, &parts, times, &AttemptProgress::default()).await;
     let ended = (attempted.outcome, attempted.served.take());
-    workers.give_back(WORKER, attempted).await;
+    workers.release(WORKER, attempted).await;
     Tokio.sleep(IDLE_BEFORE_REUSE).await;
     ended
 }
 
-fn body(served: Option<Served<TcpStream>>) -> Bytes {
+fn body(served: Option<WorkerResponse<TcpStream>>) -> Bytes {
     match served.map(|served| served.body) {
-        Some(ServedBody::Whole(bytes)) => bytes,
+        Some(WorkerResponseBody::Buffered(bytes)) => bytes,
         _ => panic!("no whole answer"),
     }
 }
--- a/crates/gateway/src/admin.rs
+++ b/crates/gateway/src/admin.rs
@@ -9,7 +9,7 @@
 use hingestage_dataplane::driver::Driver;
 use hingestage_dataplane::note;
 use hingestage_fleet::table::{GATEWAYS_MAX, MESSAGE_MAX};
-use hingestage_operate::Told;
+use hingestage_operate::LifecycleEvent;
 use hingestage_platform::{Listener, Platform};
 use hingestage_turns::word::WORD_MAX;
 use http_body_util::{BodyExt, Full, Limited};
@@ -177,7 +177,7 @@
             "/ready" => text(StatusCode::SERVICE_UNAVAILABLE, "not ready"),
             "/metrics" => {
                 let srv = self.follower.borrow().as_ref().map(|follower| follower.figures());
-                let mut answer = text(StatusCode::OK, self.driver.told_figures(srv));
+                let mut answer = text(StatusCode::OK, self.driver.metrics_json(srv));
                 answer.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
                 answer
             }
@@ -201,8 +201,8 @@
             }
             path if path.starts_with("/sites/") && !post => not("POST"),
             path if path.starts_with("/sites/") => self.declare(path),
-            "/drain" => self.tell(Told::Drain, "draining"),
-            "/undrain" => self.tell(Told::Undrain, "serving"),
+            "/drain" => self.tell(LifecycleEvent::Drain, "draining"),
+            "/undrain" => self.tell(LifecycleEvent::Undrain, "serving"),
             _ => text(StatusCode::NOT_FOUND, "no such call"),
         }
     }
@@ -244,7 +244,7 @@
         }
     }
 
-    fn tell(&self, what: Told, word: &'static str) -> Response<Full<Bytes>> {
+    fn tell(&self, what: LifecycleEvent, word: &'static str) -> Response<Full<Bytes>> {
         self.driver.platform.log(format_args!("told by an operator: {word}"));
         self.server.told(what);
         text(StatusCode::OK, word)
--- a/crates/gateway/src/changes.rs
+++ b/crates/gateway/src/changes.rs
@@ -246,7 +246,7 @@
         }
         let terms = found.as_ref().map(|(_, rules)| rules.terms());
         *self.begins.borrow_mut() = found;
-        driver.feed(Event::Terms(terms));
+        driver.handle_event(Event::Terms(terms));
     }
 
     /// Brings what is in force to an instant at which something may begin.
--- a/crates/gateway/src/config.rs
+++ b/crates/gateway/src/config.rs
@@ -120,10 +120,10 @@
             policy: self.settings.clone(),
             seed: self.seed,
             class_names: self.names.classes.clone(),
-            workers_max: self.workers_max,
+            max_worker_connections: self.workers_max,
             connect_timeout: self.connect_timeout,
-            worker_idle: self.worker_idle,
-            dialect: Rc::new(RelayDialect),
+            worker_idle_timeout: self.worker_idle,
+            protocol: Rc::new(RelayDialect),
         }
     }
 
--- a/crates/gateway/src/discovery.rs
+++ b/crates/gateway/src/discovery.rs
@@ -4,9 +4,9 @@
 use bytes::{Bytes, BytesMut};
 use hingestage_dataplane::driver::Driver;
 use hingestage_dataplane::note;
-use hingestage_dataplane::wire::{Place, Wire, WireIo};
+use hingestage_dataplane::tracked_connection::{ConnectionSlot, TrackedConnection, TrackedIo};
 use hingestage_membership::hosts::HostList;
-use hingestage_membership::{Address, Change, Located, Membership, Sources, Told};
+use hingestage_membership::{Address, Membership, MembershipUpdate, Sources, WorkerLocation, WorkerUpdate};
 use hingestage_platform::{Platform, Stream, Task};
 use hingestage_policy::{Availability, ListScope, Micros, WorkerId, WorkerList};
 use http_body_util::{BodyExt, Empty, Limited};
@@ -40,49 +40,49 @@
 
     /// Goes by other sources from the next word on.
     pub fn go_by(&self, sources: Sources) {
-        self.members.borrow_mut().go_by(sources);
+        self.members.borrow_mut().reconfigure(sources);
     }
 
     /// Brings pools and decisions to a list. `scope` says what the list covers.
     pub fn apply<P: Platform>(&self, driver: &Rc<Driver<P>>, list: &HostList, scope: ListScope) {
-        let change = self.members.borrow_mut().list(list, scope, driver.micros());
+        let change = self.members.borrow_mut().apply_list(list, scope, driver.micros());
         self.carry_out(driver, change);
     }
 
     /// Brings them to what DNS names.
     pub fn apply_srv<P: Platform>(&self, driver: &Rc<Driver<P>>, addresses: &[Address]) {
-        let change = self.members.borrow_mut().srv(addresses, driver.micros());
+        let change = self.members.borrow_mut().apply_dns(addresses, driver.micros());
         self.carry_out(driver, change);
     }
 
     /// Nobody listens at a worker's address.
     pub fn refused<P: Platform>(&self, driver: &Rc<Driver<P>>, worker: WorkerId) {
-        let change = self.members.borrow_mut().refused(worker, driver.micros());
+        let change = self.members.borrow_mut().connection_refused(worker, driver.micros());
         change.into_iter().for_each(|change| self.carry_out(driver, change));
     }
 
     /// Ends what has had its time; gives when there is more to do.
     pub fn lapse<P: Platform>(&self, driver: &Rc<Driver<P>>) -> Option<Micros> {
-        let change = self.members.borrow_mut().lapse(driver.micros());
+        let change = self.members.borrow_mut().expire(driver.micros());
         change.into_iter().for_each(|change| self.carry_out(driver, change));
-        self.members.borrow().wake()
+        self.members.borrow().next_expiry()
     }
 
-    fn carry_out<P: Platform>(&self, driver: &Rc<Driver<P>>, change: Change) {
-        for Told { info, place } in &change.workers {
-            match place {
-                Some(Located { at, life }) => {
-                    driver.workers.list(info.id, *at, *life, info.availability == Availability::Ready)
+    fn carry_out<P: Platform>(&self, driver: &Rc<Driver<P>>, change: MembershipUpdate) {
+        for WorkerUpdate { info, location } in &change.workers {
+            match location {
+                Some(WorkerLocation { at, started_ms }) => {
+                    driver.workers.update(info.id, *at, *started_ms, info.availability == Availability::Ready)
                 }
-                None => driver.workers.unlist(info.id),
+                None => driver.workers.remove(info.id),
             }
         }
         if change.scope != ListScope::Delta {
-            driver.workers.keep_only(self.members.borrow().placed());
+            driver.workers.retain_workers(self.members.borrow().located());
         }
-        change.odd.iter().for_each(|what| note(&driver.platform, &self.odd, what));
+        change.warnings.iter().for_each(|what| note(&driver.platform, &self.odd, what));
         let workers: Vec<_> = change.workers.into_iter().map(|told| told.info).collect();
-        driver.list_workers(WorkerList { scope: change.scope, workers });
+        driver.update_workers(WorkerList { scope: change.scope, workers });
     }
 }
 
@@ -166,7 +166,7 @@
 }
 
 /// Closes the connection with the watch on it, however that ends.
-struct Closing<S: Stream>(Rc<Wire<S>>);
+struct Closing<S: Stream>(Rc<TrackedConnection<S>>);
 
 impl<S: Stream> Drop for Closing<S> {
     fn drop(&mut self) {
@@ -186,12 +186,13 @@
     let platform = &watcher.driver.platform;
     let stream = platform.timeout(CONNECT, platform.connect(at)).await;
     let stream = stream.map_err(|_| "no connection in time")?.map_err(|e| e.to_string())?;
-    let place = Place::take(&Rc::default(), 1).ok_or("no place")?;
-    let closing = Closing(Wire::new(stream, place));
-    let (mut sender, conn) = hyper::client::conn::http1::handshake(TokioIo::new(WireIo(closing.0.clone())))
-        .await
-        .map_err(|e| e.to_string())?;
-    closing.0.driven_by(platform.spawn(async move { drop(conn.await) }));
+    let place = ConnectionSlot::take(&Rc::default(), 1).ok_or("no place")?;
+    let closing = Closing(TrackedConnection::new(stream, place));
+    let (mut sender, conn) =
+        hyper::client::conn::http1::handshake(TokioIo::new(TrackedIo(closing.0.clone())))
+            .await
+            .map_err(|e| e.to_string())?;
+    closing.0.set_driver(platform.spawn(async move { drop(conn.await) }));
     let from = match *rev {
         Some(from) => from,
         None => {
--- a/crates/gateway/src/fleet.rs
+++ b/crates/gateway/src/fleet.rs
@@ -131,7 +131,7 @@
             self.platform.log(format_args!("fleet: view {}: {how}; absent: {absent:?}", view.number));
         }
         if last != Some(view.clone()) {
-            driver.feed(Event::Fleet(view));
+            driver.handle_event(Event::Fleet(view));
         }
     }
 
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -11,9 +11,9 @@
 use crate::subsystems::GatewaySubsystems;
 use crate::turns::Turns;
 use hingestage_dataplane::connections::Connections;
-use hingestage_dataplane::driver::{Driver, MakeDecisions};
+use hingestage_dataplane::driver::{DecisionFactory, Driver};
 use hingestage_membership::{Address, Sources};
-use hingestage_operate::Told;
+use hingestage_operate::LifecycleEvent;
 use hingestage_operator::Srv;
 use hingestage_platform::{Listener, Platform};
 use hingestage_policy::{Event, ListScope};
@@ -51,7 +51,7 @@
 pub async fn serve<P: Platform>(
     platform: P,
     config: Config,
-    decide: MakeDecisions,
+    decide: DecisionFactory,
     stop: impl Future<Output = ()> + 'static,
     mut reloads: mpsc::Receiver<Reload>,
 ) -> Result<(), String> {
@@ -78,7 +78,7 @@
 pub async fn serve_on<P: Platform>(
     platform: P,
     config: Config,
-    decide: MakeDecisions,
+    decide: DecisionFactory,
     listener: P::Listener,
     controls: mpsc::Receiver<Control>,
 ) -> Result<(), String> {
@@ -107,7 +107,7 @@
         book.apply(&driver, &config.known, ListScope::Cached);
         Watcher::start(driver.clone(), book.clone(), config.discovery, config.known.rev, {
             let server = server.clone();
-            move || server.told(Told::Ready)
+            move || server.told(LifecycleEvent::Ready)
         })
     });
     if listed && !config.known.targets.is_empty() {
@@ -115,7 +115,7 @@
         let (server, sleep) = (server.clone(), platform.sleep(KNOWN_WILL_DO));
         platform.spawn(async move {
             sleep.await;
-            server.told(Told::Ready);
+            server.told(LifecycleEvent::Ready);
         });
     }
     let (tell_stop, stop) = oneshot::channel();
@@ -139,7 +139,7 @@
         let changes = Changes::new(&driver, figures, config.settings.clone(), config.names.clone());
         subsystems.changes.get_or_init(|| changes.clone());
         // Before anything can come in.
-        driver.feed(Event::Terms(None));
+        driver.handle_event(Event::Terms(None));
         platform.spawn(changes.run());
     }
     platform.spawn(tidy(driver.clone(), connections.clone()));
@@ -148,7 +148,7 @@
         _ = stop => {}
         () = connections.accept(&listener) => {}
     }
-    let longest = driver.longest().map_or(config.longest_deadline(), |l| l.max(config.longest_deadline()));
+    let longest = driver.max_wait().map_or(config.longest_deadline(), |l| l.max(config.longest_deadline()));
     connections.stop(listener, server.stopping(longest + STOP_SPARE)).await;
     if let Some(fleet) = subsystems.fleet.get() {
         fleet.last_words().await;
@@ -188,7 +188,7 @@
         };
         let addresses: Vec<Address> = endpoints.iter().map(address).collect();
         self.book.apply_srv(&self.driver, &addresses);
-        self.server.told(Told::Ready);
+        self.server.told(LifecycleEvent::Ready);
     }
 
     fn lapse(&self) -> Option<Duration> {
@@ -207,7 +207,7 @@
     let hears = ToBook { driver: driver.clone(), server: server.clone(), book: book.clone() };
     let follower = Follower::start(driver.platform.clone(), srv.settings, seed, Box::new(hears));
     let (weak, seen, asks) = (Rc::downgrade(driver), book.clone(), Rc::downgrade(&follower));
-    driver.workers.tell_refused(move |worker| {
+    driver.workers.on_connection_refused(move |worker| {
         weak.upgrade().into_iter().for_each(|driver| seen.refused(&driver, worker));
         asks.upgrade().into_iter().for_each(|follower| follower.suspect());
     });
@@ -218,8 +218,8 @@
     loop {
         driver.platform.sleep(TIDY).await;
         driver.workers.retire_idle();
-        driver.gauge();
-        connections.close_stuck();
+        driver.report_gauges();
+        connections.close_stalled();
     }
 }
 
@@ -237,12 +237,16 @@
             Control::Reload(reload) => go_where(&driver, &sources, *reload),
             Control::Successor(serves) => {
                 driver.platform.log(format_args!("successor {}", if serves { "starts" } else { "is gone" }));
-                server.told(if serves { Told::SuccessorStarts } else { Told::SuccessorGone });
-                driver.feed(Event::Successor(serves));
+                server.told(if serves {
+                    LifecycleEvent::SuccessorStarts
+                } else {
+                    LifecycleEvent::SuccessorGone
+                });
+                driver.handle_event(Event::Successor(serves));
                 subsystems.changes.get().into_iter().for_each(|changes| changes.successor(serves));
             }
             Control::Stop => {
-                server.told(Told::Stop);
+                server.told(LifecycleEvent::Stop);
                 subsystems.fleet.get().into_iter().for_each(|fleet| fleet.goodbye());
                 subsystems.turns.get().into_iter().for_each(|turns| turns.leave());
                 drop(stop.take());
@@ -255,7 +259,7 @@
 
 /// Goes where the file sends it now.
 fn go_where<P: Platform>(driver: &Rc<Driver<P>>, sources: &Followed<P>, reload: Reload) {
-    driver.figures.borrow_mut().reloaded(reload.is_ok());
+    driver.metrics.borrow_mut().record_reload(reload.is_ok());
     match reload {
         Ok(config) => {
             driver.platform.log(format_args!("configuration read again"));
--- a/crates/gateway/src/relay_dialect.rs
+++ b/crates/gateway/src/relay_dialect.rs
@@ -1,7 +1,7 @@
 //! The headers of the relay platform: `Request-Id`, `Request-Timeout`, `Not-Started`, `X-Cost-Units`.
 
 use crate::decimal;
-use hingestage_dataplane::dialect::{Dialect, Judgement, Parts};
+use hingestage_dataplane::protocol::{Classification, RequestParts, WorkerProtocol};
 use hingestage_policy::{Outcome, WorkerId};
 use hyper::header::{HeaderMap, HeaderValue, CONTENT_TYPE, HOST};
 use hyper::StatusCode;
@@ -21,8 +21,8 @@
 /// The dialect of the relay platform.
 pub struct RelayDialect;
 
-impl Dialect for RelayDialect {
-    fn write_head(&self, parts: &Parts, _worker: WorkerId, left: Duration, headers: &mut HeaderMap) {
+impl WorkerProtocol for RelayDialect {
+    fn write_head(&self, parts: &RequestParts, _worker: WorkerId, left: Duration, headers: &mut HeaderMap) {
         let passed = std::mem::take(headers);
         headers.insert(HOST, HeaderValue::from_static(SERVICE));
         headers.insert(REQUEST_ID, parts.id.clone());
@@ -32,7 +32,7 @@
         headers.extend(passed);
     }
 
-    fn judge(&self, _parts: &Parts, status: StatusCode, headers: &HeaderMap) -> Judgement {
+    fn classify(&self, _parts: &RequestParts, status: StatusCode, headers: &HeaderMap) -> Classification {
         let not_started = headers.get(NOT_STARTED).is_some_and(|value| value == "1");
         let outcome = match status {
             StatusCode::OK => Outcome::Ok,
@@ -42,10 +42,10 @@
         };
         let told = headers.get(COST_UNITS).filter(|_| outcome == Outcome::Ok);
         let true_units = told.and_then(|value| decimal(value.to_str().ok()?));
-        Judgement { outcome, true_units }
+        Classification { outcome, true_units }
     }
 
-    fn passed_on(&self, headers: &HeaderMap) -> HeaderMap {
+    fn client_headers(&self, headers: &HeaderMap) -> HeaderMap {
         content_type(headers)
     }
 }
--- a/crates/gateway/src/server.rs
+++ b/crates/gateway/src/server.rs
@@ -5,14 +5,14 @@
 use crate::relay_dialect::{content_type, REQUEST_ID, REQUEST_TIMEOUT};
 use bytes::Bytes;
 use hingestage_dataplane::body::{BodyLimits, RequestBody};
-use hingestage_dataplane::client::{Client, ClientTimes};
+use hingestage_dataplane::client::{Client, ClientTimeouts};
 use hingestage_dataplane::collect::{CollectError, CollectSettings, Collector};
-use hingestage_dataplane::connections::{Answers, ConnectionSettings, Stopping};
-use hingestage_dataplane::dialect::Parts;
-use hingestage_dataplane::driver::{Answer, Driver, Taken, Ticket, ANSWER_MARGIN};
-use hingestage_dataplane::passing::Written;
-use hingestage_dataplane::workers::Served;
-use hingestage_operate::{Life, Told};
+use hingestage_dataplane::connections::{ConnectionSettings, RequestHandler, Shutdown};
+use hingestage_dataplane::driver::{Answer, Driver, IncomingRequest, Ticket, ANSWER_MARGIN};
+use hingestage_dataplane::protocol::RequestParts;
+use hingestage_dataplane::response_body::ResponseBody;
+use hingestage_dataplane::workers::WorkerResponse;
+use hingestage_operate::{Lifecycle, LifecycleEvent};
 use hingestage_platform::Platform;
 use hingestage_policy::settings::Names;
 use hingestage_policy::{ClassId, CustomerId, Effect, PlanId};
@@ -32,14 +32,14 @@
 /// How long a request's body may be, and how slowly it may come.
 const BODY_LIMITS: BodyLimits = BodyLimits {
     // What is said to be longer is nonsense.
-    longest: 40 << 20,
+    max_bytes: 40 << 20,
     // More than the 2 s that a slow one may take.
-    piece_timeout: Duration::from_millis(2_200),
+    chunk_timeout: Duration::from_millis(2_200),
     // Half of what the slowest sends.
-    slowest: 32_000.0,
+    min_bytes_per_s: 32_000.0,
 };
 /// How long clients may take over what.
-const CLIENT_TIMES: ClientTimes = ClientTimes {
+const CLIENT_TIMES: ClientTimeouts = ClientTimeouts {
     first_head_timeout: Duration::from_millis(2_600),
     // Less than the 3 s in which one that never asks properly is owed an end, more than the 2 s of a slow one.
     header_timeout: Duration::from_millis(2_200),
@@ -58,10 +58,10 @@
 /// The bounds of clients' connections.
 pub fn connection_settings(config: &Config) -> ConnectionSettings {
     ConnectionSettings {
-        clients_max: config.clients_max,
-        idle_max: config.sockets / IDLE_SHARE,
-        times: CLIENT_TIMES,
-        largest_head: HEAD_MAX,
+        max_connections: config.clients_max,
+        max_idle: config.sockets / IDLE_SHARE,
+        timeouts: CLIENT_TIMES,
+        max_head_bytes: HEAD_MAX,
     }
 }
 
@@ -75,7 +75,7 @@
     most_units: f64,
     patience_max: Duration,
     collector: Collector<P>,
-    life: RefCell<Life>,
+    life: RefCell<Lifecycle>,
 }
 
 impl<P: Platform> Server<P> {
@@ -83,8 +83,8 @@
     pub fn new(driver: Rc<Driver<P>>, config: &Config) -> Rc<Self> {
         let collect = CollectSettings {
             limits: BODY_LIMITS,
-            each_max: COLLECTED,
-            together_max: (config.memory / COLLECT_SHARE) as usize,
+            body_max_bytes: COLLECTED,
+            total_max_bytes: (config.memory / COLLECT_SHARE) as usize,
         };
         Rc::new(Server {
             collector: Collector::new(driver.platform.clone(), collect),
@@ -100,39 +100,39 @@
     }
 
     /// Takes in what this gateway is told of its own life.
-    pub fn told(&self, what: Told) {
-        self.life.borrow_mut().told(self.platform.now(), what);
+    pub fn told(&self, what: LifecycleEvent) {
+        self.life.borrow_mut().apply(self.platform.now(), what);
     }
 
     /// Whether clients are to be sent here.
     pub fn wants_clients(&self) -> bool {
-        self.life.borrow().wants_clients() && self.driver.may_begin()
+        self.life.borrow().accepts_clients() && self.driver.may_start_requests()
     }
 
     /// How the connections end. Nothing is waited for once `longest` is over.
-    pub fn stopping(&self, longest: Duration) -> Stopping {
+    pub fn stopping(&self, longest: Duration) -> Shutdown {
         let (life, now) = (self.life.borrow(), self.platform.now());
-        Stopping {
-            accepts_until: life.accepts_until().unwrap_or(now),
-            closes_idle: life.closes_idle(),
-            until: now + longest,
+        Shutdown {
+            accept_until: life.accept_until().unwrap_or(now),
+            close_idle: life.close_idle(),
+            deadline: now + longest,
         }
     }
 
     /// The longest that a client may wait.
     fn patience_max(&self) -> Duration {
-        self.driver.longest().map_or(self.patience_max, |longest| longest * PATIENCE_MAX)
+        self.driver.max_wait().map_or(self.patience_max, |longest| longest * PATIENCE_MAX)
     }
 
     /// Reads a request whole. Nothing that is malformed goes any further.
-    async fn read(&self, request: Request<Incoming>, client: &Client) -> Result<Taken, Bad> {
+    async fn read(&self, request: Request<Incoming>, client: &Client) -> Result<IncomingRequest, Bad> {
         let (head, body) = request.into_parts();
         let id = head.headers.get(REQUEST_ID);
         // The library hides a `Content-Length` beside it, so that the two can't be told to agree: a second
         // request may be hidden in the body.
         if head.headers.contains_key(TRANSFER_ENCODING) {
-            let kept = client.kept.head.borrow();
-            let known = id.is_some_and(|id| kept.names_no_length(REQUEST_ID, id.as_bytes()));
+            let kept = client.transport.head.borrow();
+            let known = id.is_some_and(|id| kept.lacks_content_length(REQUEST_ID, id.as_bytes()));
             if !known {
                 return Err((StatusCode::LENGTH_REQUIRED, "a body needs one length and nothing else"));
             }
@@ -165,23 +165,23 @@
         let uri = head.uri.path_and_query().and_then(|path| path.as_str().parse().ok());
         let patience = patience.min(self.patience_max());
         let body = self.collector.read(body, patience.saturating_sub(ANSWER_MARGIN)).await.map_err(unread)?;
-        if safe && !(body.over() && body.passed() == 0) {
+        if safe && !(body.is_complete() && body.forwarded() == 0) {
             return Err(bad("a body where none belongs"));
         }
         let upload = match &body {
-            RequestBody::Whole(_) => Duration::ZERO,
-            RequestBody::Flow(flow) => flow.longest(),
+            RequestBody::Buffered(_) => Duration::ZERO,
+            RequestBody::Streamed(flow) => flow.max_duration(),
         };
-        Ok(Taken {
+        Ok(IncomingRequest {
             customer,
             class: ClassId(class),
             plan: PlanId(plan),
             units,
-            gateways,
-            first,
+            gateway_count: gateways,
+            first_gateway: first,
             // The request's last byte has just been read, or will be after so long.
-            until: self.platform.now() + upload + patience,
-            parts: Parts {
+            deadline: self.platform.now() + upload + patience,
+            parts: RequestParts {
                 method: head.method,
                 uri: uri.ok_or(bad("bad path"))?,
                 id,
@@ -197,9 +197,11 @@
         class: ClassId,
         ticket: Ticket<P>,
         client: &Rc<Client>,
-    ) -> Response<Written<P>> {
-        let Answer::Served(Served { status, headers, body }) = answer else { return turned_away(answer) };
-        let body = Written::served(self.driver.clone(), client.clone(), class, ticket, body);
+    ) -> Response<ResponseBody<P>> {
+        let Answer::Served(WorkerResponse { status, headers, body }) = answer else {
+            return turned_away(answer);
+        };
+        let body = ResponseBody::served(self.driver.clone(), client.clone(), class, ticket, body);
         let mut response = Response::new(body);
         *response.status_mut() = status;
         *response.headers_mut() = headers;
@@ -207,14 +209,14 @@
     }
 }
 
-impl<P: Platform> Answers for Server<P> {
-    type Body = Written<P>;
+impl<P: Platform> RequestHandler for Server<P> {
+    type Body = ResponseBody<P>;
 
-    async fn answer(
+    async fn handle(
         self: &Rc<Self>,
         request: Request<Incoming>,
         client: &Rc<Client>,
-    ) -> Response<Written<P>> {
+    ) -> Response<ResponseBody<P>> {
         if request.uri().path() == "/up" && request.method() == Method::GET {
             let up = if self.wants_clients() { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE };
             return plain(up, "");
@@ -224,18 +226,18 @@
             Err(bad) => return refuse(bad),
         };
         let flow = match &taken.parts.body {
-            RequestBody::Flow(flow) => Some(flow.clone()),
-            RequestBody::Whole(_) => None,
+            RequestBody::Streamed(flow) => Some(flow.clone()),
+            RequestBody::Buffered(_) => None,
         };
         client.busy.set(true);
         let class = taken.class;
         // The ticket ends with this call: dropped early it says that the client has left.
-        let Some((ticket, answer)) = self.driver.take(taken) else {
+        let Some((ticket, answer)) = self.driver.admit(taken) else {
             return refuse((StatusCode::CONFLICT, "a request with this Request-Id is open"));
         };
         let answer = answer.await;
         if let Some(flow) = flow {
-            client.waste_rest(&self.platform, flow);
+            client.discard_rest(&self.platform, flow);
         }
         match answer {
             Ok(answer) => self.respond(answer, class, ticket, client),
@@ -312,20 +314,20 @@
     text.parse().ok().filter(|n| digits && within.contains(n))
 }
 
-fn refuse<P: Platform>((status, what): Bad) -> Response<Written<P>> {
+fn refuse<P: Platform>((status, what): Bad) -> Response<ResponseBody<P>> {
     let mut answer = plain(status, what);
     // What is left of it on the connection can't be told from a next request.
     answer.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
     answer
 }
 
-fn plain<P: Platform>(status: StatusCode, what: &'static str) -> Response<Written<P>> {
-    let mut response = Response::new(Written::Whole(Full::new(Bytes::from_static(what.as_bytes()))));
+fn plain<P: Platform>(status: StatusCode, what: &'static str) -> Response<ResponseBody<P>> {
+    let mut response = Response::new(ResponseBody::Buffered(Full::new(Bytes::from_static(what.as_bytes()))));
     *response.status_mut() = status;
     response
 }
 
-fn turned_away<P: Platform>(answer: Answer<P::Stream>) -> Response<Written<P>> {
+fn turned_away<P: Platform>(answer: Answer<P::Stream>) -> Response<ResponseBody<P>> {
     match answer {
         Answer::Refused(wait) => {
             let mut response = plain(StatusCode::TOO_MANY_REQUESTS, "refused: trying again is harmless");
@@ -335,7 +337,7 @@
             }
             response
         }
-        Answer::Failed { late: true } => plain(StatusCode::GATEWAY_TIMEOUT, "no answer in time"),
-        Answer::Failed { late: false } | Answer::Served(_) => plain(StatusCode::BAD_GATEWAY, "failed"),
+        Answer::Failed { timed_out: true } => plain(StatusCode::GATEWAY_TIMEOUT, "no answer in time"),
+        Answer::Failed { timed_out: false } | Answer::Served(_) => plain(StatusCode::BAD_GATEWAY, "failed"),
     }
 }
--- a/crates/gateway/src/sites.rs
+++ b/crates/gateway/src/sites.rs
@@ -171,7 +171,7 @@
     fn look(self: &Rc<Self>, driver: &Rc<Driver<P>>) {
         let now = driver.micros();
         self.looked.set(now);
-        let short = driver.short();
+        let short = driver.unplaced_requests();
         let mut order = self.order.borrow_mut();
         order.short(short.saturating_sub(self.short.replace(short)));
         order.look(now, self.belief.borrow().troubled());
@@ -192,7 +192,7 @@
         self.say(now);
         self.plan_again(now);
         if let Some(view) = view {
-            driver.feed(Event::Sites(view));
+            driver.handle_event(Event::Sites(view));
         }
     }
 
--- a/crates/gateway/src/srv.rs
+++ b/crates/gateway/src/srv.rs
@@ -1,6 +1,6 @@
 //! The sockets of a name that is followed: carries the questions of a [`Service`] out and the answers in.
 
-use hingestage_operate::SrvFigures;
+use hingestage_operate::SrvMetrics;
 use hingestage_platform::{Datagrams, Platform, Task};
 use hingestage_srv::resolver::{Ask, STREAM_MAX};
 use hingestage_srv::service::Action;
@@ -87,10 +87,10 @@
     }
 
     /// The figures that operators read beside the others.
-    pub fn figures(&self) -> SrvFigures {
+    pub fn figures(&self) -> SrvMetrics {
         let service = self.service.borrow();
         let counts = service.counts();
-        SrvFigures {
+        SrvMetrics {
             standing: service.standing().word(),
             believed: service.believed().len(),
             asked: counts.asked,
--- a/crates/gateway/src/subsystems.rs
+++ b/crates/gateway/src/subsystems.rs
@@ -6,7 +6,7 @@
 use crate::sites::Sites;
 use crate::turns::Turns;
 use hingestage_dataplane::driver::Driver;
-use hingestage_dataplane::hooks::{Beginning, Subsystems};
+use hingestage_dataplane::hooks::{DriverHooks, StartingRequest};
 use hingestage_platform::Platform;
 use hingestage_policy::{
     ClassId, CounterName, CounterOutcome, Effect, Event, ListScope, Micros, Outcome, PlanId, WorkerId,
@@ -56,16 +56,16 @@
     fn counted(&self, asker: Asker, name: &CounterName, outcome: CounterOutcome) {
         let Some(driver) = self.driver.get().and_then(Weak::upgrade) else { return };
         match asker {
-            Asker::Decisions => driver.feed(Event::Counter { name: name.clone(), outcome }),
+            Asker::Decisions => driver.handle_event(Event::Counter { name: name.clone(), outcome }),
             Asker::Roll => self.fleet.get().into_iter().for_each(|fleet| fleet.counted(name, outcome)),
             Asker::Turns => self.turns.get().into_iter().for_each(|turns| turns.counted(name, outcome)),
         }
     }
 }
 
-impl<P: Platform> Subsystems for GatewaySubsystems<P> {
+impl<P: Platform> DriverHooks for GatewaySubsystems<P> {
     /// What is in force at this very instant is looked at first.
-    fn begins(&self, now: Micros, request: Beginning) -> Option<PlanId> {
+    fn on_request_start(&self, now: Micros, request: StartingRequest) -> Option<PlanId> {
         let plan = match self.changes.get() {
             None => Some(request.plan),
             Some(changes) => {
@@ -74,31 +74,34 @@
             }
         };
         self.sites.get().into_iter().for_each(|sites| sites.asks(plan, request.class));
-        self.fleet.get().into_iter().for_each(|fleet| fleet.clients_come(request.first, request.gateways));
+        self.fleet
+            .get()
+            .into_iter()
+            .for_each(|fleet| fleet.clients_come(request.first_gateway, request.gateway_count));
         plan
     }
 
-    fn sent(&self, now: Micros, worker: WorkerId) {
+    fn on_attempt_start(&self, now: Micros, worker: WorkerId) {
         self.sites.get().into_iter().for_each(|sites| sites.sent(now, worker));
     }
 
-    fn ended(&self, now: Micros, worker: WorkerId, outcome: Outcome, took: Duration) {
+    fn on_attempt_end(&self, now: Micros, worker: WorkerId, outcome: Outcome, took: Duration) {
         self.sites.get().into_iter().for_each(|sites| sites.ended(now, worker, outcome, took));
     }
 
-    fn listed(&self, workers: &[WorkerInfo], scope: ListScope) {
+    fn on_workers_update(&self, workers: &[WorkerInfo], scope: ListScope) {
         self.sites.get().into_iter().for_each(|sites| sites.listed(workers, scope));
     }
 
     /// Counts by the looker of the name, or at the counter itself.
-    fn count(&self, name: &CounterName, amount: f64, keep: Micros) -> Option<CounterOutcome> {
+    fn add_to_counter(&self, name: &CounterName, amount: f64, keep: Micros) -> Option<CounterOutcome> {
         if !self.turns.get().is_some_and(|turns| turns.count(name, amount, keep)) {
             self.counter.call(Asker::Decisions, name.clone(), amount, keep);
         }
         None
     }
 
-    fn may_begin(&self) -> bool {
+    fn may_start_requests(&self) -> bool {
         self.changes.get().is_none_or(|changes| changes.serves())
     }
 
@@ -106,7 +109,7 @@
         self.changes.get().and_then(|changes| changes.effect(class))
     }
 
-    fn longest(&self) -> Option<Duration> {
+    fn max_wait(&self) -> Option<Duration> {
         self.changes.get().and_then(|changes| changes.longest()).map(Duration::from_micros)
     }
 }
--- a/crates/gateway/src/turns.rs
+++ b/crates/gateway/src/turns.rs
@@ -102,7 +102,7 @@
 
     fn own(&self, name: CounterName, outcome: CounterOutcome) {
         self.driver.upgrade().into_iter().for_each(|driver| {
-            driver.feed(Event::Counter { name: name.clone(), outcome });
+            driver.handle_event(Event::Counter { name: name.clone(), outcome });
         });
     }
 
--- a/crates/handover/src/lib.rs
+++ b/crates/handover/src/lib.rs
@@ -31,13 +31,13 @@
 
 /// Path of the Unix socket in `folder` for a process that listens at `listen`. `None` for port 0, which a
 /// successor could not identify.
-pub fn place(folder: &Path, listen: SocketAddr) -> Option<PathBuf> {
+pub fn socket_path(folder: &Path, listen: SocketAddr) -> Option<PathBuf> {
     let name = format!("hingestage-{}.sock", listen.to_string().replace([':', '[', ']'], "-"));
     (listen.port() != 0).then(|| folder.join(name))
 }
 
 /// A listening socket received from a predecessor.
-pub struct Taken {
+pub struct TakenOver {
     /// The listening socket.
     pub listener: TcpListener,
     /// The process that passed it on.
@@ -54,9 +54,9 @@
 /// # Errors
 ///
 /// The predecessor does not answer in time, uses another version or listens at another address.
-pub fn take(place: &Path, listen: SocketAddr) -> io::Result<Option<Taken>> {
+pub fn take_over(path: &Path, listen: SocketAddr) -> io::Result<Option<TakenOver>> {
     // No socket file, or one left behind by a killed process.
-    let Ok(stream) = UnixStream::connect(place) else { return Ok(None) };
+    let Ok(stream) = UnixStream::connect(path) else { return Ok(None) };
     stream.set_read_timeout(Some(GREETING_TIMEOUT))?;
     let mut greeting = [0; GREETING.len()];
     let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(1))];
@@ -80,29 +80,29 @@
         return Err(io::Error::other("the received socket listens at another address"));
     }
     listener.set_nonblocking(true)?;
-    Ok(Some(Taken { listener, predecessor: Predecessor { _watch: stream } }))
+    Ok(Some(TakenOver { listener, predecessor: Predecessor { _watch: stream } }))
 }
 
 /// Offers a listening socket to a successor.
-pub struct Offer {
+pub struct SocketOffer {
     socket: UnixListener,
     listener: TcpListener,
 }
 
-impl Offer {
+impl SocketOffer {
     /// Offers a socket at `path`, replacing a predecessor's offer. Only processes of this user can connect.
     ///
     /// # Errors
     ///
     /// The socket can't be bound: the folder does not exist, or the path exceeds 108 bytes.
-    pub fn new(place: &Path, listener: TcpListener) -> io::Result<Offer> {
-        match std::fs::remove_file(place) {
+    pub fn new(path: &Path, listener: TcpListener) -> io::Result<SocketOffer> {
+        match std::fs::remove_file(path) {
             Err(e) if e.kind() != io::ErrorKind::NotFound => return Err(e),
             _ => {}
         }
-        let socket = UnixListener::bind(place)?;
-        std::fs::set_permissions(place, std::fs::Permissions::from_mode(0o600))?;
-        Ok(Offer { socket, listener })
+        let socket = UnixListener::bind(path)?;
+        std::fs::set_permissions(path, std::fs::Permissions::from_mode(0o600))?;
+        Ok(SocketOffer { socket, listener })
     }
 
     /// Passes the socket on forever, to one successor at a time. Calls `successor` with true before a
@@ -146,19 +146,19 @@
     }
 
     /// The result of taking over from a peer that sends `says` and closes.
-    fn take_over_from(name: &str, says: &'static [u8]) -> io::Result<Option<Taken>> {
-        let place = test_path(name);
-        let socket = std::os::unix::net::UnixListener::bind(&place)?;
+    fn take_over_from(name: &str, says: &'static [u8]) -> io::Result<Option<TakenOver>> {
+        let path = test_path(name);
+        let socket = std::os::unix::net::UnixListener::bind(&path)?;
         let peer = std::thread::spawn(move || socket.accept().and_then(|(mut to, _)| to.write_all(says)));
-        let taken = take(&place, SocketAddr::from(([127, 0, 0, 1], 9)));
-        std::fs::remove_file(&place)?;
+        let taken_over = take_over(&path, SocketAddr::from(([127, 0, 0, 1], 9)));
+        std::fs::remove_file(&path)?;
         peer.join().expect("the peer does not panic")?;
-        taken
+        taken_over
     }
 
     #[test]
     fn only_sockets_with_the_current_greeting_are_taken_over() {
-        assert!(matches!(take(&test_path("nobody"), SocketAddr::from(([127, 0, 0, 1], 9))), Ok(None)));
+        assert!(matches!(take_over(&test_path("nobody"), SocketAddr::from(([127, 0, 0, 1], 9))), Ok(None)));
         assert!(matches!(take_over_from("ending", b""), Ok(None)));
         for (name, says) in [("other", &b"hingestage 2\n"[..]), ("bare", GREETING)] {
             assert!(take_over_from(name, says).is_err(), "{name}");
@@ -169,23 +169,23 @@
     #[tokio::test]
     async fn a_socket_is_passed_on_and_the_successors_end_is_noticed() -> io::Result<()> {
         let listener = TcpListener::bind("127.0.0.1:0")?;
-        let (at, place) = (listener.local_addr()?, test_path("accepted"));
-        let offer = Offer::new(&place, listener)?;
+        let (at, path) = (listener.local_addr()?, test_path("accepted"));
+        let offer = SocketOffer::new(&path, listener)?;
         let (events, mut received) = tokio::sync::mpsc::unbounded_channel();
         let serving = tokio::spawn(offer.serve(move |serves| {
             let _ = events.send(serves);
         }));
         for (wanted, accepted) in [(at, true), (SocketAddr::from(([127, 0, 0, 1], 9)), false)] {
-            let from = place.clone();
-            let taken = tokio::task::spawn_blocking(move || take(&from, wanted)).await?;
+            let from = path.clone();
+            let taken_over = tokio::task::spawn_blocking(move || take_over(&from, wanted)).await?;
             assert_eq!(received.recv().await, Some(true));
-            assert_eq!(taken.is_ok(), accepted);
-            if let Ok(Some(taken)) = taken {
-                assert_eq!(taken.listener.local_addr()?, at);
+            assert_eq!(taken_over.is_ok(), accepted);
+            if let Ok(Some(taken_over)) = taken_over {
+                assert_eq!(taken_over.listener.local_addr()?, at);
             }
             assert_eq!(received.recv().await, Some(false), "the successor's end was not reported");
         }
         serving.abort();
-        std::fs::remove_file(&place)
+        std::fs::remove_file(&path)
     }
 }
--- a/crates/membership/src/hosts.rs
+++ b/crates/membership/src/hosts.rs
@@ -41,7 +41,7 @@
 
 impl Target {
     /// A worker of which nothing but the address is known.
-    pub fn nameless() -> Target {
+    pub fn anonymous() -> Target {
         Target {
             uid: String::new(),
             endpoint: String::new(),
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -8,7 +8,7 @@
 
 pub mod hosts;
 mod members;
-pub mod rule;
+pub mod resolution;
 
-pub use members::{Address, Change, Located, Membership, Sources, Told};
-pub use rule::{ListWord, SrvWord, Verdict};
+pub use members::{Address, Membership, MembershipUpdate, Sources, WorkerLocation, WorkerUpdate};
+pub use resolution::{DnsStatus, ListStatus, WorkerState};
--- a/crates/membership/src/members.rs
+++ b/crates/membership/src/members.rs
@@ -1,7 +1,7 @@
 //! Tracks the reports of each source and derives worker updates from them.
 
 use crate::hosts::{HostList, Target};
-use crate::rule::{judge, ListWord, SrvWord, Verdict};
+use crate::resolution::{resolve, DnsStatus, ListStatus, WorkerState};
 use hingestage_policy::{fnv, Availability, ListScope, Micros, WorkerId, WorkerInfo, Zone};
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::net::SocketAddr;
@@ -29,31 +29,31 @@
 
 /// Where to connect to a worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Located {
+pub struct WorkerLocation {
     /// Socket address.
     pub at: SocketAddr,
     /// Start time reported by the source, ms; distinguishes successive processes at one address.
-    pub life: u64,
+    pub started_ms: u64,
 }
 
 /// The new state of a worker.
 #[derive(Clone, Debug)]
-pub struct Told {
+pub struct WorkerUpdate {
     /// The worker as passed to the decision logic.
     pub info: WorkerInfo,
     /// Where to connect; `None` if it is gone or has no address.
-    pub place: Option<Located>,
+    pub location: Option<WorkerLocation>,
 }
 
 /// The result of a source's report.
 #[derive(Clone, Debug)]
-pub struct Change {
+pub struct MembershipUpdate {
     /// Which workers the update covers.
     pub scope: ListScope,
     /// The updated workers.
-    pub workers: Vec<Told>,
+    pub workers: Vec<WorkerUpdate>,
     /// Problems to log.
-    pub odd: Vec<String>,
+    pub warnings: Vec<String>,
 }
 
 /// The configured sources.
@@ -75,14 +75,14 @@
 struct ListedWorker {
     target: Target,
     at: Option<SocketAddr>,
-    status: ListWord,
+    status: ListStatus,
 }
 
 /// An address from DNS with its status.
 #[derive(Clone, Debug)]
 struct DnsAddress {
     address: Address,
-    status: SrvWord,
+    status: DnsStatus,
 }
 
 /// Assigns worker ids and tracks what each source reports.
@@ -92,7 +92,7 @@
     ids: HashMap<String, WorkerId>,
     next: u64,
     /// Workers with a location.
-    placed: HashSet<WorkerId>,
+    located: HashSet<WorkerId>,
     /// By `uid`; unused without DNS.
     listed: BTreeMap<String, ListedWorker>,
     /// By address; unused without DNS.
@@ -108,7 +108,7 @@
             sources,
             ids: HashMap::new(),
             next: 0,
-            placed: HashSet::new(),
+            located: HashSet::new(),
             listed: BTreeMap::new(),
             dns: BTreeMap::new(),
             answered: false,
@@ -116,49 +116,49 @@
     }
 
     /// Changes the parameters of the DNS source; which sources are configured does not change.
-    pub fn go_by(&mut self, sources: Sources) {
+    pub fn reconfigure(&mut self, sources: Sources) {
         if matches!((self.sources, sources), (Sources::Srv { .. }, Sources::Srv { .. })) {
             self.sources = sources;
         }
     }
 
     /// Applies a list from discovery that covers `scope`.
-    pub fn list(&mut self, list: &HostList, scope: ListScope, now: Micros) -> Change {
+    pub fn apply_list(&mut self, list: &HostList, scope: ListScope, now: Micros) -> MembershipUpdate {
         match self.sources {
             Sources::List => self.apply_list_only(list, scope),
             Sources::Srv { grace, .. } => {
                 // Expired entries must have no effect even if nothing was processed since.
                 self.drop_expired(now, grace);
-                let odd = self.record_list(list, scope);
-                Change { odd, ..self.merge(scope, now, grace) }
+                let warnings = self.record_list(list, scope);
+                MembershipUpdate { warnings, ..self.merge(scope, now, grace) }
             }
         }
     }
 
     /// Applies the full set of addresses from DNS.
-    pub fn srv(&mut self, addresses: &[Address], now: Micros) -> Change {
+    pub fn apply_dns(&mut self, addresses: &[Address], now: Micros) -> MembershipUpdate {
         let Sources::Srv { grace, cold_at_start } = self.sources else {
-            return Change { scope: ListScope::Delta, workers: Vec::new(), odd: Vec::new() };
+            return MembershipUpdate { scope: ListScope::Delta, workers: Vec::new(), warnings: Vec::new() };
         };
         self.drop_expired(now, grace);
         let first = !std::mem::replace(&mut self.answered, true);
         let seen = (!first || cold_at_start).then_some(now);
-        let there: HashSet<SocketAddr> = addresses.iter().map(|a| a.at).collect();
-        for (_, named) in self.dns.iter_mut().filter(|(at, _)| !there.contains(at)) {
-            if let SrvWord::Present(_) = named.status {
-                named.status = SrvWord::Vanished(now);
+        let present: HashSet<SocketAddr> = addresses.iter().map(|a| a.at).collect();
+        for (_, named) in self.dns.iter_mut().filter(|(at, _)| !present.contains(at)) {
+            if let DnsStatus::Present(_) = named.status {
+                named.status = DnsStatus::Vanished(now);
             }
         }
         for address in addresses {
             let status = match self.dns.get(&address.at) {
                 // None of its former names is left: another worker has taken over the address.
                 Some(former) if !former.address.names.iter().any(|name| address.names.contains(name)) => {
-                    SrvWord::Present(Some(now))
+                    DnsStatus::Present(Some(now))
                 }
-                Some(DnsAddress { status: SrvWord::Present(since), .. }) => SrvWord::Present(*since),
+                Some(DnsAddress { status: DnsStatus::Present(since), .. }) => DnsStatus::Present(*since),
                 // Reappeared: assume a new process.
-                Some(_) => SrvWord::Present(Some(now)),
-                None => SrvWord::Present(seen),
+                Some(_) => DnsStatus::Present(Some(now)),
+                None => DnsStatus::Present(seen),
             };
             self.dns.insert(address.at, DnsAddress { address: address.clone(), status });
         }
@@ -167,12 +167,12 @@
 
     /// Records that a worker's address refuses connections. If no source reports start times, whichever
     /// process listens there next counts as just started.
-    pub fn refused(&mut self, id: WorkerId, now: Micros) -> Option<Change> {
+    pub fn connection_refused(&mut self, id: WorkerId, now: Micros) -> Option<MembershipUpdate> {
         let Sources::Srv { grace, .. } = self.sources else { return None };
         let (name, _) = self.ids.iter().find(|(_, known)| **known == id)?;
         // Any other name comes from discovery, which reports start times.
         let at: SocketAddr = name.strip_prefix(SRV_PREFIX)?.parse().ok()?;
-        let SrvWord::Present(since) = &mut self.dns.get_mut(&at)?.status else { return None };
+        let DnsStatus::Present(since) = &mut self.dns.get_mut(&at)?.status else { return None };
         // Refusals come in bursts.
         if since.is_some_and(|at| now < at + REFUSAL_INTERVAL) {
             return None;
@@ -182,24 +182,24 @@
     }
 
     /// When [`Membership::expire`] is next due.
-    pub fn wake(&self) -> Option<Micros> {
+    pub fn next_expiry(&self) -> Option<Micros> {
         let Sources::Srv { grace, .. } = self.sources else { return None };
         let ends = self.dns.values().filter_map(|named| match named.status {
-            SrvWord::Vanished(since) if self.is_located(&named.address.at) => Some(since + grace),
+            DnsStatus::Vanished(since) if self.is_located(&named.address.at) => Some(since + grace),
             _ => None,
         });
         ends.min()
     }
 
     /// Removes workers whose grace period has ended.
-    pub fn lapse(&mut self, now: Micros) -> Option<Change> {
+    pub fn expire(&mut self, now: Micros) -> Option<MembershipUpdate> {
         let Sources::Srv { grace, .. } = self.sources else { return None };
-        self.wake().is_some_and(|at| at <= now).then(|| self.merge(ListScope::Full, now, grace))
+        self.next_expiry().is_some_and(|at| at <= now).then(|| self.merge(ListScope::Full, now, grace))
     }
 
     /// Workers with a location.
-    pub fn placed(&self) -> &HashSet<WorkerId> {
-        &self.placed
+    pub fn located(&self) -> &HashSet<WorkerId> {
+        &self.located
     }
 
     /// Number of tracked addresses, listed workers and ids.
@@ -219,72 +219,72 @@
     /// Ids of removed workers are kept in case they return, up to a limit.
     fn drop_old_ids(&mut self) {
         if self.ids.len() > REMEMBERED_IDS_MAX {
-            self.ids.retain(|_, id| self.placed.contains(id));
+            self.ids.retain(|_, id| self.located.contains(id));
         }
     }
 
     // ---- discovery only ----
 
-    fn apply_list_only(&mut self, list: &HostList, scope: ListScope) -> Change {
-        let mut odd = Vec::new();
-        let workers: Vec<Told> =
-            list.targets.iter().map(|target| self.convert_target(target, &mut odd)).collect();
+    fn apply_list_only(&mut self, list: &HostList, scope: ListScope) -> MembershipUpdate {
+        let mut warnings = Vec::new();
+        let workers: Vec<WorkerUpdate> =
+            list.targets.iter().map(|target| self.convert_target(target, &mut warnings)).collect();
         if scope != ListScope::Delta {
             let named: HashSet<WorkerId> = workers.iter().map(|w| w.info.id).collect();
-            self.placed.retain(|id| named.contains(id));
+            self.located.retain(|id| named.contains(id));
         }
         self.drop_old_ids();
-        Change { scope, workers, odd }
+        MembershipUpdate { scope, workers, warnings }
     }
 
-    fn convert_target(&mut self, target: &Target, odd: &mut Vec<String>) -> Told {
+    fn convert_target(&mut self, target: &Target, warnings: &mut Vec<String>) -> WorkerUpdate {
         let id = self.id(&target.uid);
         let mut availability = availability(target);
-        let at = address(target, odd);
-        let place = at.filter(|_| availability != Availability::Gone);
-        match place {
-            Some(_) => drop(self.placed.insert(id)),
+        let at = address(target, warnings);
+        let location = at.filter(|_| availability != Availability::Gone);
+        match location {
+            Some(_) => drop(self.located.insert(id)),
             None => {
                 availability = Availability::Gone;
-                self.placed.remove(&id);
+                self.located.remove(&id);
             }
         }
-        let place = place.map(|at| Located { at, life: target.boot_ms });
+        let location = location.map(|at| WorkerLocation { at, started_ms: target.boot_ms });
         let started = started(target);
-        Told { info: info(id, target, availability, started), place }
+        WorkerUpdate { info: info(id, target, availability, started), location }
     }
 
     // ---- discovery and DNS ----
 
     fn record_list(&mut self, list: &HostList, scope: ListScope) -> Vec<String> {
-        let mut odd = Vec::new();
+        let mut warnings = Vec::new();
         if scope != ListScope::Delta {
-            let there: HashSet<&str> = list.targets.iter().map(|t| t.uid.as_str()).collect();
-            for (_, listed) in self.listed.iter_mut().filter(|(uid, _)| !there.contains(uid.as_str())) {
-                listed.status = ListWord::Removed;
+            let present: HashSet<&str> = list.targets.iter().map(|t| t.uid.as_str()).collect();
+            for (_, listed) in self.listed.iter_mut().filter(|(uid, _)| !present.contains(uid.as_str())) {
+                listed.status = ListStatus::Removed;
             }
         }
         for target in &list.targets {
-            let at = address(target, &mut odd);
+            let at = address(target, &mut warnings);
             let former = self.listed.get(&target.uid).and_then(|listed| listed.at);
             let status = match availability(target) {
-                Availability::Ready => ListWord::Up(started(target)),
-                Availability::Draining => ListWord::Draining(started(target)),
-                Availability::Gone => ListWord::Removed,
+                Availability::Ready => ListStatus::Up(started(target)),
+                Availability::Draining => ListStatus::Draining(started(target)),
+                Availability::Gone => ListStatus::Removed,
             };
             // A removal may omit the address.
-            let at = at.or(if status == ListWord::Removed { former } else { None });
+            let at = at.or(if status == ListStatus::Removed { former } else { None });
             self.listed.insert(target.uid.clone(), ListedWorker { target: target.clone(), at, status });
         }
-        odd
+        warnings
     }
 
     /// Addresses whose listed workers have all been removed.
     fn removed_addresses(&self) -> HashSet<SocketAddr> {
-        let removed = self.listed.values().filter(|l| l.status == ListWord::Removed);
+        let removed = self.listed.values().filter(|l| l.status == ListStatus::Removed);
         let mut at: HashSet<SocketAddr> = removed.filter_map(|l| l.at).collect();
-        let there = self.listed.values().filter(|l| l.status != ListWord::Removed);
-        for lives in there.filter_map(|l| l.at) {
+        let present = self.listed.values().filter(|l| l.status != ListStatus::Removed);
+        for lives in present.filter_map(|l| l.at) {
             at.remove(&lives);
         }
         at
@@ -293,47 +293,47 @@
     fn is_located(&self, at: &SocketAddr) -> bool {
         let of_list = self.listed.values().filter(|l| l.at == Some(*at));
         let names = of_list.map(|l| l.target.uid.clone()).chain([srv_name(at)]);
-        names.filter_map(|name| self.ids.get(&name)).any(|id| self.placed.contains(id))
+        names.filter_map(|name| self.ids.get(&name)).any(|id| self.located.contains(id))
     }
 
     /// All workers, merged from both sources.
-    fn merge(&mut self, scope: ListScope, now: Micros, grace: Micros) -> Change {
+    fn merge(&mut self, scope: ListScope, now: Micros, grace: Micros) -> MembershipUpdate {
         let scope = if scope == ListScope::Delta { ListScope::Full } else { scope };
         let mut workers = Vec::new();
         let mut of_list: HashSet<SocketAddr> = HashSet::new();
         let listed: Vec<ListedWorker> = self.listed.values().cloned().collect();
         for listed in &listed {
             let Some(at) = listed.at else { continue };
-            if listed.status != ListWord::Removed {
+            if listed.status != ListStatus::Removed {
                 of_list.insert(at);
             }
             self.adopt_id(&listed.target.uid, &at);
             let srv = self.dns.get(&at);
-            let verdict = judge(listed.status, srv.map_or(SrvWord::Silent, |n| n.status), now, grace);
+            let state = resolve(listed.status, srv.map_or(DnsStatus::Unknown, |n| n.status), now, grace);
             let tier = srv.map_or(0, |n| n.address.tier);
-            let mut told = self.update(&listed.target.uid, &listed.target, at, verdict);
-            told.info.tier = tier;
+            let mut update = self.update(&listed.target.uid, &listed.target, at, state);
+            update.info.tier = tier;
             // The mark must not depend on which source a gateway sees first.
-            told.info.mark = fnv(srv_name(&at).as_bytes());
-            workers.push(told);
+            update.info.mark = fnv(srv_name(&at).as_bytes());
+            workers.push(update);
         }
         let removed = self.removed_addresses();
         let named: Vec<DnsAddress> =
             self.dns.values().filter(|n| !of_list.contains(&n.address.at)).cloned().collect();
         for DnsAddress { address, status } in named {
-            let list = if removed.contains(&address.at) { ListWord::Removed } else { ListWord::Silent };
+            let list = if removed.contains(&address.at) { ListStatus::Removed } else { ListStatus::Unknown };
             let name = srv_name(&address.at);
             let target =
-                Target { uid: name.clone(), capacity_hint: Some(address.size), ..Target::nameless() };
-            let mut told = self.update(&name, &target, address.at, judge(list, status, now, grace));
-            told.info.tier = address.tier;
-            workers.push(told);
+                Target { uid: name.clone(), capacity_hint: Some(address.size), ..Target::anonymous() };
+            let mut update = self.update(&name, &target, address.at, resolve(list, status, now, grace));
+            update.info.tier = address.tier;
+            workers.push(update);
         }
         self.drop_expired(now, grace);
         let named: HashSet<WorkerId> = workers.iter().map(|w| w.info.id).collect();
-        self.placed.retain(|id| named.contains(id));
+        self.located.retain(|id| named.contains(id));
         self.drop_old_ids();
-        Change { scope, workers, odd: Vec::new() }
+        MembershipUpdate { scope, workers, warnings: Vec::new() }
     }
 
     /// Keeps the id of a worker that DNS reported before discovery did.
@@ -345,34 +345,34 @@
         }
     }
 
-    fn update(&mut self, name: &str, target: &Target, at: SocketAddr, verdict: Verdict) -> Told {
+    fn update(&mut self, name: &str, target: &Target, at: SocketAddr, state: WorkerState) -> WorkerUpdate {
         let id = self.id(name);
-        let (availability, started) = match verdict {
-            Verdict::Ready(started) => (Availability::Ready, started),
-            Verdict::Draining(started) => (Availability::Draining, started),
-            Verdict::Gone => (Availability::Gone, None),
+        let (availability, started) = match state {
+            WorkerState::Ready(started) => (Availability::Ready, started),
+            WorkerState::Draining(started) => (Availability::Draining, started),
+            WorkerState::Gone => (Availability::Gone, None),
         };
-        let place = (availability != Availability::Gone)
-            .then_some(Located { at, life: started.map_or(0, |started| started / 1_000) });
-        match place {
-            Some(_) => drop(self.placed.insert(id)),
-            None => drop(self.placed.remove(&id)),
+        let location = (availability != Availability::Gone)
+            .then_some(WorkerLocation { at, started_ms: started.map_or(0, |started| started / 1_000) });
+        match location {
+            Some(_) => drop(self.located.insert(id)),
+            None => drop(self.located.remove(&id)),
         }
-        Told { info: info(id, target, availability, started), place }
+        WorkerUpdate { info: info(id, target, availability, started), location }
     }
 
     /// Drops expired entries.
     fn drop_expired(&mut self, now: Micros, grace: Micros) {
-        let there = self.listed.values().filter(|l| l.status != ListWord::Removed);
-        let listed: HashSet<SocketAddr> = there.filter_map(|l| l.at).collect();
-        let over = |status: SrvWord| matches!(status, SrvWord::Vanished(since) if now >= since + grace);
+        let present = self.listed.values().filter(|l| l.status != ListStatus::Removed);
+        let listed: HashSet<SocketAddr> = present.filter_map(|l| l.at).collect();
+        let over = |status: DnsStatus| matches!(status, DnsStatus::Vanished(since) if now >= since + grace);
         self.dns.retain(|at, named| !over(named.status) || listed.contains(at));
         let named = &self.dns;
         let binds = |l: &ListedWorker| l.at.is_some_and(|at| named.contains_key(&at));
-        self.listed.retain(|_, l| l.status != ListWord::Removed || binds(l));
-        let removed = self.listed.values().filter(|l| l.status == ListWord::Removed).count();
+        self.listed.retain(|_, l| l.status != ListStatus::Removed || binds(l));
+        let removed = self.listed.values().filter(|l| l.status == ListStatus::Removed).count();
         if removed > REMEMBERED_REMOVALS_MAX {
-            self.listed.retain(|_, l| l.status != ListWord::Removed);
+            self.listed.retain(|_, l| l.status != ListStatus::Removed);
         }
     }
 }
@@ -394,10 +394,10 @@
     }
 }
 
-fn address(target: &Target, odd: &mut Vec<String>) -> Option<SocketAddr> {
+fn address(target: &Target, warnings: &mut Vec<String>) -> Option<SocketAddr> {
     let parsed = target.endpoint.parse();
     if parsed.is_err() && target.state != "removed" {
-        odd.push(format!("discovery: worker {:?} has no valid address", target.uid));
+        warnings.push(format!("discovery: worker {:?} has no valid address", target.uid));
     }
     parsed.ok()
 }
--- a/crates/membership/tests/sources.rs
+++ b/crates/membership/tests/sources.rs
@@ -2,7 +2,7 @@
 //! worker.
 
 use hingestage_membership::hosts::{HostList, Target};
-use hingestage_membership::{Address, Change, Membership, Sources, Told};
+use hingestage_membership::{Address, Membership, MembershipUpdate, Sources, WorkerUpdate};
 use hingestage_policy::{Availability, ListScope, Micros};
 use std::collections::HashSet;
 use std::net::SocketAddr;
@@ -23,7 +23,7 @@
         endpoint: at(port).to_string(),
         state: state.into(),
         boot_ms,
-        ..Target::nameless()
+        ..Target::anonymous()
     }
 }
 
@@ -35,12 +35,12 @@
     Address { at: at(port), tier: 0, size: 1.0, names: vec![name.into()] }
 }
 
-fn of(change: &Change, port: u16) -> Vec<&Told> {
-    change.workers.iter().filter(|w| w.place.is_some_and(|p| p.at == at(port))).collect()
+fn of(change: &MembershipUpdate, port: u16) -> Vec<&WorkerUpdate> {
+    change.workers.iter().filter(|w| w.location.is_some_and(|p| p.at == at(port))).collect()
 }
 
 /// Availability and start of the only worker at a port.
-fn one(change: &Change, port: u16) -> Option<(Availability, Option<Micros>)> {
+fn one(change: &MembershipUpdate, port: u16) -> Option<(Availability, Option<Micros>)> {
     let there = of(change, port);
     assert!(there.len() <= 1, "{there:?}");
     there.first().map(|w| (w.info.availability, w.info.started))
@@ -51,25 +51,25 @@
 #[test]
 fn a_dns_record_does_not_undo_a_drain_from_discovery() {
     let mut members = members_with_both_sources();
-    members.list(&list(vec![target("w", 1, "up", 5)]), ListScope::Full, 10);
-    members.srv(&[named("w", 1)], 10);
-    let update = members.list(&list(vec![target("w", 1, "draining", 5)]), ListScope::Delta, 20);
+    members.apply_list(&list(vec![target("w", 1, "up", 5)]), ListScope::Full, 10);
+    members.apply_dns(&[named("w", 1)], 10);
+    let update = members.apply_list(&list(vec![target("w", 1, "draining", 5)]), ListScope::Delta, 20);
     assert_eq!(one(&update, 1), Some((Draining, Some(5_000))));
-    let update = members.srv(&[], 25);
+    let update = members.apply_dns(&[], 25);
     assert_eq!(one(&update, 1), Some((Draining, Some(5_000))));
-    let update = members.srv(&[named("w", 1)], 30);
+    let update = members.apply_dns(&[named("w", 1)], 30);
     assert_eq!(one(&update, 1), Some((Draining, Some(5_000))), "DNS does not undo the list's drain");
-    let update = members.list(&list(vec![target("w", 1, "up", 5)]), ListScope::Delta, 40);
-    assert_eq!(one(&update, 1), Some((Ready, Some(5_000))), "who update it takes it back");
+    let update = members.apply_list(&list(vec![target("w", 1, "up", 5)]), ListScope::Delta, 40);
+    assert_eq!(one(&update, 1), Some((Ready, Some(5_000))), "discovery revokes its own drain");
 }
 
 #[test]
 fn a_new_dns_address_starts_when_first_seen() {
     let mut members = members_with_both_sources();
-    members.srv(&[named("a", 1)], 10);
-    let update = members.srv(&[named("a", 1), named("b", 2)], 50);
+    members.apply_dns(&[named("a", 1)], 10);
+    let update = members.apply_dns(&[named("a", 1), named("b", 2)], 50);
     assert_eq!(one(&update, 2), Some((Ready, Some(50))));
-    let update = members.srv(&[named("a", 1), named("b", 2)], 90);
+    let update = members.apply_dns(&[named("a", 1), named("b", 2)], 90);
     assert_eq!(one(&update, 2), Some((Ready, Some(50))), "repeated records keep the start time");
 }
 
@@ -77,9 +77,9 @@
 fn cold_at_start_decides_on_the_addresses_of_the_first_answer() {
     for (cold_at_start, started) in [(true, Some(10)), (false, None)] {
         let mut members = Membership::new(Sources::Srv { grace: GRACE, cold_at_start });
-        let update = members.srv(&[named("a", 1)], 10);
+        let update = members.apply_dns(&[named("a", 1)], 10);
         assert_eq!(one(&update, 1), Some((Ready, started)));
-        let update = members.srv(&[named("a", 1), named("b", 2)], 20);
+        let update = members.apply_dns(&[named("a", 1), named("b", 2)], 20);
         assert_eq!(one(&update, 2), Some((Ready, Some(20))), "only the first answer");
     }
 }
@@ -87,60 +87,60 @@
 #[test]
 fn a_vanished_address_drains_expires_and_returns_as_a_new_worker() {
     let mut members = members_with_both_sources();
-    members.srv(&[named("a", 1), named("b", 2)], 10);
-    let update = members.srv(&[named("b", 2)], 50);
+    members.apply_dns(&[named("a", 1), named("b", 2)], 10);
+    let update = members.apply_dns(&[named("b", 2)], 50);
     assert_eq!(one(&update, 1), Some((Draining, None)));
-    assert_eq!(members.wake(), Some(50 + GRACE));
-    assert!(members.lapse(50 + GRACE - 1).is_none());
-    let update = members.lapse(50 + GRACE).unwrap();
+    assert_eq!(members.next_expiry(), Some(50 + GRACE));
+    assert!(members.expire(50 + GRACE - 1).is_none());
+    let update = members.expire(50 + GRACE).unwrap();
     assert_eq!(one(&update, 1), None);
-    assert_eq!(members.wake(), None);
-    let update = members.srv(&[named("a", 1), named("b", 2)], 100);
+    assert_eq!(members.next_expiry(), None);
+    let update = members.apply_dns(&[named("a", 1), named("b", 2)], 100);
     assert_eq!(one(&update, 1), Some((Ready, Some(100))));
 }
 
 #[test]
 fn an_address_that_returns_within_the_grace_period_counts_as_restarted() {
     let mut members = members_with_both_sources();
-    members.srv(&[named("a", 1), named("b", 2)], 10);
-    members.srv(&[named("b", 2)], 50);
-    let update = members.srv(&[named("a", 1), named("b", 2)], 55);
+    members.apply_dns(&[named("a", 1), named("b", 2)], 10);
+    members.apply_dns(&[named("b", 2)], 50);
+    let update = members.apply_dns(&[named("a", 1), named("b", 2)], 55);
     assert_eq!(one(&update, 1), Some((Ready, Some(55))), "assumed to be another process");
 }
 
 #[test]
 fn another_name_at_the_same_address_counts_as_restarted() {
     let mut members = members_with_both_sources();
-    members.srv(&[named("a", 1)], 10);
-    let update = members.srv(&[named("a2", 1)], 50);
+    members.apply_dns(&[named("a", 1)], 10);
+    let update = members.apply_dns(&[named("a2", 1)], 50);
     assert_eq!(one(&update, 1), Some((Ready, Some(50))));
     let two = Address { names: vec!["a2".into(), "a3".into()], ..named("", 1) };
-    let update = members.srv(&[two], 60);
+    let update = members.apply_dns(&[two], 60);
     assert_eq!(one(&update, 1), Some((Ready, Some(50))), "an additional name keeps the worker");
 }
 
 #[test]
 fn a_refused_connection_resets_the_start_time() {
     let mut members = members_with_both_sources();
-    let update = members.srv(&[named("a", 1)], 10);
+    let update = members.apply_dns(&[named("a", 1)], 10);
     let id = of(&update, 1)[0].info.id;
-    let update = members.refused(id, 5_000_000).unwrap();
+    let update = members.connection_refused(id, 5_000_000).unwrap();
     assert_eq!(one(&update, 1), Some((Ready, Some(5_000_000))));
-    assert!(members.refused(id, 5_500_000).is_none(), "refusals within the interval count once");
-    assert!(members.refused(id, 6_000_000).is_some());
+    assert!(members.connection_refused(id, 5_500_000).is_none(), "refusals within the interval count once");
+    assert!(members.connection_refused(id, 6_000_000).is_some());
     // Discovery reports start times itself.
     let mut members = members_with_both_sources();
-    let update = members.list(&list(vec![target("w", 1, "up", 5)]), ListScope::Full, 10);
+    let update = members.apply_list(&list(vec![target("w", 1, "up", 5)]), ListScope::Full, 10);
     let id = of(&update, 1)[0].info.id;
-    assert!(members.refused(id, 5_000_000).is_none());
+    assert!(members.connection_refused(id, 5_000_000).is_none());
 }
 
 #[test]
 fn workers_known_to_one_source_only_are_merged() {
     let mut members = members_with_both_sources();
-    members.list(&list(vec![target("w1", 1, "up", 5), target("w2", 2, "up", 6)]), ListScope::Full, 10);
-    let update = members.srv(&[named("c", 3), named("d", 4)], 20);
-    assert_eq!(update.workers.iter().filter(|w| w.place.is_some()).count(), 4);
+    members.apply_list(&list(vec![target("w1", 1, "up", 5), target("w2", 2, "up", 6)]), ListScope::Full, 10);
+    let update = members.apply_dns(&[named("c", 3), named("d", 4)], 20);
+    assert_eq!(update.workers.iter().filter(|w| w.location.is_some()).count(), 4);
     assert_eq!(one(&update, 1), Some((Ready, Some(5_000))));
     assert_eq!(one(&update, 3), Some((Ready, Some(20))));
 }
@@ -148,8 +148,8 @@
 #[test]
 fn a_worker_keeps_its_id_when_discovery_reports_it_after_dns() {
     let mut members = members_with_both_sources();
-    let before = members.srv(&[named("a", 1)], 10);
-    let update = members.list(&list(vec![target("w", 1, "up", 5)]), ListScope::Full, 20);
+    let before = members.apply_dns(&[named("a", 1)], 10);
+    let update = members.apply_list(&list(vec![target("w", 1, "up", 5)]), ListScope::Full, 20);
     assert_eq!(of(&before, 1)[0].info.id, of(&update, 1)[0].info.id);
     assert_eq!(
         of(&before, 1)[0].info.mark,
@@ -157,7 +157,7 @@
         "the mark does not depend on the source"
     );
     // A successor at the same address is another worker.
-    let update = members.list(&list(vec![target("w2", 1, "up", 50)]), ListScope::Full, 60);
+    let update = members.apply_list(&list(vec![target("w2", 1, "up", 50)]), ListScope::Full, 60);
     assert_ne!(of(&before, 1)[0].info.id, of(&update, 1)[0].info.id);
     assert_eq!(one(&update, 1), Some((Ready, Some(50_000))));
 }
@@ -165,19 +165,19 @@
 #[test]
 fn a_removal_by_discovery_holds_while_dns_still_has_the_address() {
     let mut members = members_with_both_sources();
-    members.list(&list(vec![target("w", 1, "up", 5)]), ListScope::Full, 10);
-    members.srv(&[named("w", 1)], 10);
-    let update = members.list(&list(vec![]), ListScope::Full, 20);
+    members.apply_list(&list(vec![target("w", 1, "up", 5)]), ListScope::Full, 10);
+    members.apply_dns(&[named("w", 1)], 10);
+    let update = members.apply_list(&list(vec![]), ListScope::Full, 20);
     assert_eq!(one(&update, 1), None);
-    let update = members.srv(&[named("w", 1)], 5_000_000);
+    let update = members.apply_dns(&[named("w", 1)], 5_000_000);
     assert_eq!(one(&update, 1), None, "removals do not expire while DNS has the address");
-    let update = members.list(&list(vec![target("w2", 1, "up", 70)]), ListScope::Delta, 5_000_001);
+    let update = members.apply_list(&list(vec![target("w2", 1, "up", 70)]), ListScope::Delta, 5_000_001);
     assert_eq!(one(&update, 1), Some((Ready, Some(70_000))), "discovery lists a successor");
     // Once DNS has dropped the address too, the removal is forgotten.
-    members.list(&list(vec![]), ListScope::Full, 5_000_002);
-    members.srv(&[], 5_000_003);
-    members.lapse(5_000_003 + GRACE);
-    let update = members.srv(&[named("w", 1)], 6_000_000);
+    members.apply_list(&list(vec![]), ListScope::Full, 5_000_002);
+    members.apply_dns(&[], 5_000_003);
+    members.expire(5_000_003 + GRACE);
+    let update = members.apply_dns(&[named("w", 1)], 6_000_000);
     assert_eq!(one(&update, 1), Some((Ready, Some(6_000_000))));
 }
 
@@ -187,13 +187,13 @@
     for round in 0..50u64 {
         let addresses: Vec<Address> =
             (0..200).map(|n| named(&format!("r{round}n{n}"), (round * 200 + n) as u16 + 1)).collect();
-        members.srv(&addresses, round * 100);
-        members.list(
+        members.apply_dns(&addresses, round * 100);
+        members.apply_list(
             &list((0..200).map(|n| target(&format!("r{round}u{n}"), 20_000 + n, "up", 1)).collect()),
             ListScope::Full,
             round * 100,
         );
-        members.lapse(round * 100 + GRACE);
+        members.expire(round * 100 + GRACE);
     }
     let (named, listed, ids) = members.sizes();
     assert!(named <= 400 && listed <= 400 && ids <= 1_400, "{named} {listed} {ids}");
@@ -295,26 +295,26 @@
         expected.record(*report, now);
         let boot = expected.list.map_or(1, |(_, boot)| boot);
         let delta = |members: &mut Membership, state: &str| {
-            members.list(&list(vec![target("w", 1, state, boot)]), ListScope::Delta, now)
+            members.apply_list(&list(vec![target("w", 1, state, boot)]), ListScope::Delta, now)
         };
         let change = match report {
             Report::ListUp | Report::ListRestart => Some(delta(&mut members, "up")),
             Report::ListDrain => Some(delta(&mut members, "draining")),
             Report::ListRemove => Some(delta(&mut members, "removed")),
-            Report::ListAbsent => Some(members.list(&list(vec![]), ListScope::Full, now)),
-            Report::Srv => Some(members.srv(&[named("a", 1)], now)),
-            Report::SrvOtherName => Some(members.srv(&[named("b", 1)], now)),
-            Report::SrvAbsent => Some(members.srv(&[], now)),
+            Report::ListAbsent => Some(members.apply_list(&list(vec![]), ListScope::Full, now)),
+            Report::Srv => Some(members.apply_dns(&[named("a", 1)], now)),
+            Report::SrvOtherName => Some(members.apply_dns(&[named("b", 1)], now)),
+            Report::SrvAbsent => Some(members.apply_dns(&[], now)),
             Report::Wait => {
                 now += GRACE;
-                members.lapse(now)
+                members.expire(now)
             }
         };
         if let Some(change) = change {
-            let placed: HashSet<_> =
-                change.workers.iter().filter(|w| w.place.is_some()).map(|w| w.info.id).collect();
+            let located: HashSet<_> =
+                change.workers.iter().filter(|w| w.location.is_some()).map(|w| w.info.id).collect();
             let (update, wanted) = (one(&change, 1), expected.expected_state(now));
-            if update != wanted || placed != *members.placed() {
+            if update != wanted || located != *members.located() {
                 return Err(format!("{:?}: update {update:?}, wanted {wanted:?}", &reports[..=n]));
             }
         }
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -7,7 +7,7 @@
 mod settings_file;
 mod signals;
 
-pub use program::{incarnation, run, time_of_day, Program};
+pub use program::{incarnation, run, unix_millis, Program};
 pub use settings::Settings;
 pub use settings_file::SettingsFile;
 pub use signals::Signals;
--- a/crates/node/src/program.rs
+++ b/crates/node/src/program.rs
@@ -18,7 +18,7 @@
 }
 
 /// Unix time in ms by the system clock; may jump.
-pub fn time_of_day() -> u64 {
+pub fn unix_millis() -> u64 {
     SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as u64
 }
 
--- a/crates/node/src/settings.rs
+++ b/crates/node/src/settings.rs
@@ -225,7 +225,7 @@
 
 /// Ports of internal services, as offsets into the port range; the same on every host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum InnerPort {
+pub enum InternalPort {
     /// Registry, on core nodes.
     Registry = 0,
     /// Configuration store, on core nodes.
@@ -272,17 +272,17 @@
     }
 
     /// Whether a zone is known to be in another region than this host.
-    pub fn is_far(&self, zone: &str) -> bool {
+    pub fn is_remote_region(&self, zone: &str) -> bool {
         self.region_of(zone).is_some_and(|region| region != self.region)
     }
 
     /// Address of an internal service on this host.
-    pub fn inner(&self, port: InnerPort) -> SocketAddr {
-        self.inner_at(self.ip, port)
+    pub fn internal_addr(&self, port: InternalPort) -> SocketAddr {
+        self.internal_addr_at(self.ip, port)
     }
 
     /// Address of an internal service on another host.
-    pub fn inner_at(&self, ip: IpAddr, port: InnerPort) -> SocketAddr {
+    pub fn internal_addr_at(&self, ip: IpAddr, port: InternalPort) -> SocketAddr {
         SocketAddr::new(ip, self.port_range.0 + port as u16)
     }
 }
@@ -292,7 +292,7 @@
 }
 
 fn validate_port_range(range: &(u16, u16), _: &()) -> garde::Result {
-    let needed = InnerPort::Proxy as u16;
+    let needed = InternalPort::Proxy as u16;
     match range.1.checked_sub(range.0) {
         Some(more) if more >= needed => Ok(()),
         _ => Err(garde::Error::new("has too few ports")),
--- a/crates/node/tests/settings.rs
+++ b/crates/node/tests/settings.rs
@@ -1,6 +1,6 @@
 //! The settings file: the example parses, and errors name the field in one line.
 
-use hingestage_node::settings::{parse_duration, InnerPort, Settings};
+use hingestage_node::settings::{parse_duration, InternalPort, Settings};
 use std::time::Duration;
 
 const EXAMPLE: &str = include_str!("node.yaml");
@@ -19,7 +19,7 @@
     assert_eq!(settings.bounds.drain, Duration::from_secs(3));
     assert_eq!(settings.bounds.apply, Duration::from_secs(3));
     assert!(settings.bounds.revoke_strict);
-    assert_eq!(settings.inner(InnerPort::Proxy).to_string(), "10.1.0.31:7602");
+    assert_eq!(settings.internal_addr(InternalPort::Proxy).to_string(), "10.1.0.31:7602");
     let cloud = settings.cloud_api.expect("the platform's list");
     assert_eq!((cloud.rate_per_s, cloud.lag), (47.0, Duration::from_millis(800)));
 }
--- a/crates/operate/src/lib.rs
+++ b/crates/operate/src/lib.rs
@@ -5,8 +5,8 @@
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
-mod figures;
-mod life;
+mod lifecycle;
+mod metrics;
 
-pub use figures::{Ending, Figures, Gauges, SrvFigures};
-pub use life::{Life, Told};
+pub use lifecycle::{Lifecycle, LifecycleEvent};
+pub use metrics::{Gauges, Metrics, RequestResult, SrvMetrics};
--- a/crates/operate/src/figures.rs
+++ b/crates/operate/src/metrics.rs
@@ -5,7 +5,7 @@
 
 /// Result of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ending {
+pub enum RequestResult {
     /// Answered by a worker.
     Served,
     /// Refused without side effects; safe to retry.
@@ -16,7 +16,7 @@
 
 /// Counters since the start of the process. Requests whose client disconnected early are not counted.
 #[derive(Clone, Debug, Default)]
-pub struct Figures {
+pub struct Metrics {
     classes: Vec<String>,
     /// By class: served, refused, failed.
     ended: Vec<[u64; 3]>,
@@ -30,18 +30,18 @@
     /// Open requests.
     pub inflight: usize,
     /// Attempts in progress whose request was fully sent.
-    pub attempts_out: usize,
+    pub attempts_in_flight: usize,
     /// Workers known from discovery.
     pub hosts_listed: usize,
     /// Known workers that are currently avoided.
     pub hosts_down: usize,
     /// Metrics of the DNS source, if configured.
-    pub srv: Option<SrvFigures>,
+    pub srv: Option<SrvMetrics>,
 }
 
 /// Metrics of a DNS source.
 #[derive(Clone, Copy, Debug, Serialize)]
-pub struct SrvFigures {
+pub struct SrvMetrics {
     /// State of the records, as one word.
     pub standing: &'static str,
     /// Addresses currently in use.
@@ -70,44 +70,44 @@
     reconfig_ok: u64,
     reconfig_failed: u64,
     #[serde(skip_serializing_if = "Option::is_none")]
-    srv: Option<SrvFigures>,
+    srv: Option<SrvMetrics>,
 }
 
-impl Figures {
+impl Metrics {
     /// All counters at 0, for classes with these names.
     pub fn new(classes: &[String]) -> Self {
-        Figures { classes: classes.to_vec(), ended: vec![[0; 3]; classes.len()], ..Figures::default() }
+        Metrics { classes: classes.to_vec(), ended: vec![[0; 3]; classes.len()], ..Metrics::default() }
     }
 
     /// Counts a finished request of a class; ignores classes out of range.
-    pub fn ended(&mut self, class: usize, result: Ending) {
+    pub fn record_request(&mut self, class: usize, result: RequestResult) {
         if let Some(counts) = self.ended.get_mut(class) {
             counts[result as usize] += 1;
         }
     }
 
     /// Counts a finished attempt.
-    pub fn attempted(&mut self) {
+    pub fn record_attempt(&mut self) {
         self.attempts += 1;
     }
 
     /// Counts a configuration reload and whether it succeeded.
-    pub fn reloaded(&mut self, good: bool) {
+    pub fn record_reload(&mut self, good: bool) {
         let (ok, failed) = &mut self.reloads;
         *(if good { ok } else { failed }) += 1;
     }
 
     /// All metrics as a JSON object.
     pub fn json(&self, now: Gauges) -> String {
-        let by_class = |result: Ending| {
+        let by_class = |result: RequestResult| {
             let counts = self.ended.iter().map(|counts| counts[result as usize]);
             self.classes.iter().map(String::as_str).zip(counts).collect()
         };
         let report = Report {
-            success: by_class(Ending::Served),
-            busy: by_class(Ending::Refused),
-            failure: by_class(Ending::Failed),
-            backend_calls: self.attempts + now.attempts_out as u64,
+            success: by_class(RequestResult::Served),
+            busy: by_class(RequestResult::Refused),
+            failure: by_class(RequestResult::Failed),
+            backend_calls: self.attempts + now.attempts_in_flight as u64,
             inflight: now.inflight,
             hosts_listed: now.hosts_listed,
             hosts_down: now.hosts_down,
@@ -126,21 +126,26 @@
 
     #[test]
     fn requests_are_counted_by_class_and_result() {
-        let mut figures = Figures::new(&["pull".into(), "push".into()]);
+        let mut metrics = Metrics::new(&["pull".into(), "push".into()]);
         for (class, result) in [
-            (0, Ending::Served),
-            (0, Ending::Served),
-            (1, Ending::Refused),
-            (1, Ending::Failed),
-            (2, Ending::Served),
+            (0, RequestResult::Served),
+            (0, RequestResult::Served),
+            (1, RequestResult::Refused),
+            (1, RequestResult::Failed),
+            (2, RequestResult::Served),
         ] {
-            figures.ended(class, result);
+            metrics.record_request(class, result);
         }
-        figures.attempted();
-        figures.reloaded(true);
-        figures.reloaded(false);
-        let report =
-            figures.json(Gauges { inflight: 4, attempts_out: 2, hosts_listed: 9, hosts_down: 1, srv: None });
+        metrics.record_attempt();
+        metrics.record_reload(true);
+        metrics.record_reload(false);
+        let report = metrics.json(Gauges {
+            inflight: 4,
+            attempts_in_flight: 2,
+            hosts_listed: 9,
+            hosts_down: 1,
+            srv: None,
+        });
         assert_eq!(
             report,
             r#"{"success":{"pull":2,"push":0},"busy":{"pull":0,"push":1},"failure":{"pull":0,"push":1},"backend_calls":3,"inflight":4,"hosts_listed":9,"hosts_down":1,"reconfig_ok":1,"reconfig_failed":1}"#
--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -9,9 +9,9 @@
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
-mod real;
+mod tokio_platform;
 
-pub use real::{Tokio, CLOCK_AHEAD};
+pub use tokio_platform::{Tokio, CLOCK_OFFSET_VARIABLE};
 
 use std::fmt;
 use std::future::Future;
--- a/crates/platform/src/real.rs
+++ b/crates/platform/src/tokio_platform.rs
@@ -13,7 +13,7 @@
 use tokio::task::AbortHandle;
 
 /// Environment variable that shifts the system clock by this many seconds, for tests with clock skew.
-pub const CLOCK_AHEAD: &str = "HINGESTAGE_CLOCK_AHEAD";
+pub const CLOCK_OFFSET_VARIABLE: &str = "HINGESTAGE_CLOCK_AHEAD";
 /// Maximum clock shift, seconds; larger or invalid values are ignored.
 const CLOCK_OFFSET_MAX_S: f64 = 3_600.0;
 
@@ -35,11 +35,11 @@
 
     fn unix_time(&self) -> Duration {
         let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        let offset_s = std::env::var(CLOCK_AHEAD).ok().and_then(|seconds| seconds.parse().ok());
+        let offset_s = std::env::var(CLOCK_OFFSET_VARIABLE).ok().and_then(|seconds| seconds.parse().ok());
         let Some(offset_s) = offset_s.filter(|offset_s: &f64| offset_s.abs() <= CLOCK_OFFSET_MAX_S) else {
             return now;
         };
-        self.log(format_args!("{CLOCK_AHEAD}: the system clock is shifted by {offset_s} s"));
+        self.log(format_args!("{CLOCK_OFFSET_VARIABLE}: the system clock is shifted by {offset_s} s"));
         let offset = Duration::from_secs_f64(offset_s.abs());
         if offset_s > 0.0 {
             now + offset
--- a/crates/proxy/src/attempts.rs
+++ b/crates/proxy/src/attempts.rs
@@ -3,7 +3,7 @@
 use crate::dialect::WorkerDialect;
 use crate::request_log::RequestLog;
 use compact_str::CompactString;
-use hingestage_dataplane::hooks::Subsystems;
+use hingestage_dataplane::hooks::DriverHooks;
 use hingestage_policy::{Outcome, WorkerId};
 use hingestage_rpc::status::{AttemptOutcome, AttemptRecord};
 use hyper::header::HeaderValue;
@@ -68,8 +68,8 @@
     }
 }
 
-impl Subsystems for AttemptObserver {
-    fn attempt_ended(&self, id: &HeaderValue, worker: WorkerId, outcome: Outcome) {
+impl DriverHooks for AttemptObserver {
+    fn on_attempt_outcome(&self, id: &HeaderValue, worker: WorkerId, outcome: Outcome) {
         let worker = self.worker_name(worker);
         self.log.attempt_ended(id, AttemptRecord { worker, outcome: attempt_outcome(outcome) });
     }
--- a/crates/proxy/src/control.rs
+++ b/crates/proxy/src/control.rs
@@ -2,7 +2,7 @@
 
 use crate::server::Proxy;
 use hingestage_discovery::Home;
-use hingestage_node::settings::InnerPort;
+use hingestage_node::settings::InternalPort;
 use hingestage_node::SettingsFile;
 use hingestage_replication::Micros;
 use hingestage_rpc::messages::{ConfigVersion, Have, RegistryAnswer, RegistryRequest, Watched};
@@ -52,7 +52,8 @@
     let file = SettingsFile::new(proxy.settings.clone());
     loop {
         let settings = file.current();
-        let seeds = settings.seeds.iter().map(|seed| settings.inner_at(seed.ip(), InnerPort::Registry));
+        let seeds =
+            settings.seeds.iter().map(|seed| settings.internal_addr_at(seed.ip(), InternalPort::Registry));
         let known: Vec<SocketAddr> =
             seeds.chain(proxy.registries.borrow().iter().map(|registry| registry.addr)).collect();
         for addr in known {
--- a/crates/proxy/src/dialect.rs
+++ b/crates/proxy/src/dialect.rs
@@ -1,7 +1,7 @@
 //! HTTP headers exchanged with workers, and how worker responses are classified.
 
 use compact_str::CompactString;
-use hingestage_dataplane::dialect::{Dialect, Judgement, Parts};
+use hingestage_dataplane::protocol::{Classification, RequestParts, WorkerProtocol};
 use hingestage_policy::{Outcome, WorkerId};
 use hyper::header::{
     HeaderMap, HeaderName, HeaderValue, CONNECTION, CONTENT_ENCODING, CONTENT_LENGTH, TRANSFER_ENCODING,
@@ -84,8 +84,8 @@
     }
 }
 
-impl Dialect for WorkerDialect {
-    fn write_head(&self, parts: &Parts, worker: WorkerId, left: Duration, headers: &mut HeaderMap) {
+impl WorkerProtocol for WorkerDialect {
+    fn write_head(&self, parts: &RequestParts, worker: WorkerId, left: Duration, headers: &mut HeaderMap) {
         headers.insert(ATTEMPT_ID, parts.id.clone());
         headers.insert(DEADLINE, HeaderValue::from(left.as_millis() as u64));
         if let Some(id) = self.ids.borrow().get(&worker) {
@@ -93,7 +93,7 @@
         }
     }
 
-    fn judge(&self, parts: &Parts, status: StatusCode, headers: &HeaderMap) -> Judgement {
+    fn classify(&self, parts: &RequestParts, status: StatusCode, headers: &HeaderMap) -> Classification {
         // The connection may still hold a surplus response to an earlier request.
         let same_id = headers.get(ATTEMPT_ID).is_none_or(|id| *id == parts.id);
         let outcome = if !same_id {
@@ -110,10 +110,10 @@
         } else {
             Outcome::Error
         };
-        Judgement { outcome, true_units: None }
+        Classification { outcome, true_units: None }
     }
 
-    fn passed_on(&self, headers: &HeaderMap) -> HeaderMap {
+    fn client_headers(&self, headers: &HeaderMap) -> HeaderMap {
         let mut passed = headers.clone();
         drop_hop_by_hop(&mut passed);
         for name in [CONTENT_LENGTH, TRANSFER_ENCODING, LOAD, TARGET_WORKER] {
--- a/crates/proxy/src/peers.rs
+++ b/crates/proxy/src/peers.rs
@@ -7,7 +7,7 @@
 use compact_str::CompactString;
 use eyre::{Context, Result};
 use hingestage_discovery::neighbors;
-use hingestage_node::settings::InnerPort;
+use hingestage_node::settings::InternalPort;
 use hingestage_quota::{owner, Adds, GatewayId, OwnerSettings, OwnerTable, Totals};
 use hingestage_replication::digest;
 use hingestage_rpc::messages::ProxyStatus;
@@ -63,7 +63,7 @@
 /// # Errors
 /// The address can't be bound.
 pub(crate) async fn start(proxy: &Rc<Proxy>) -> Result<()> {
-    let at = proxy.settings.inner(InnerPort::Proxy);
+    let at = proxy.settings.internal_addr(InternalPort::Proxy);
     let socket = Rc::new(UdpSocket::bind(at).await.wrap_err_with(|| format!("{at}"))?);
     *proxy.peer_socket.borrow_mut() = Some(socket.clone());
     spawn_local(push_counts(proxy.clone(), socket.clone()));
--- a/crates/proxy/src/requests.rs
+++ b/crates/proxy/src/requests.rs
@@ -13,10 +13,10 @@
 use hingestage_dataplane::body::RequestBody;
 use hingestage_dataplane::client::Client;
 use hingestage_dataplane::collect::CollectError;
-use hingestage_dataplane::connections::Answers;
-use hingestage_dataplane::dialect::Parts;
-use hingestage_dataplane::driver::{Answer, Taken};
-use hingestage_dataplane::passing::Written;
+use hingestage_dataplane::connections::RequestHandler;
+use hingestage_dataplane::driver::{Answer, IncomingRequest};
+use hingestage_dataplane::protocol::RequestParts;
+use hingestage_dataplane::response_body::ResponseBody;
 use hingestage_platform::Platform;
 use hingestage_platform::Tokio;
 use hingestage_policy::{CustomerId, PlanId};
@@ -39,7 +39,7 @@
 /// Minimum remaining time to start a request.
 const MIN_TIME_LEFT: Duration = Duration::from_millis(5);
 
-type Reply = Response<Written<Tokio>>;
+type Reply = Response<ResponseBody<Tokio>>;
 
 /// An error response of the proxy itself.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -86,10 +86,10 @@
     }
 }
 
-impl Answers for Proxy {
-    type Body = Written<Tokio>;
+impl RequestHandler for Proxy {
+    type Body = ResponseBody<Tokio>;
 
-    async fn answer(self: &Rc<Self>, request: Request<Incoming>, client: &Rc<Client>) -> Reply {
+    async fn handle(self: &Rc<Self>, request: Request<Incoming>, client: &Rc<Client>) -> Reply {
         let id = single_header(request.headers(), &ATTEMPT_ID);
         let mut tracked = self.requests.begin(self.now(), id);
         match self.serve_request(request, client, &mut tracked).await {
@@ -163,18 +163,18 @@
         let uri = head.uri.path_and_query().and_then(|path| path.as_str().parse().ok());
         let uri = uri.ok_or(Refusal::new(StatusCode::BAD_REQUEST, "bad path", RequestOutcome::BadRequest))?;
         let flow = match &body {
-            RequestBody::Flow(flow) => Some(flow.clone()),
-            RequestBody::Whole(_) => None,
+            RequestBody::Streamed(flow) => Some(flow.clone()),
+            RequestBody::Buffered(_) => None,
         };
-        let taken = Taken {
+        let taken = IncomingRequest {
             customer: CustomerId(tenant.to_string()),
             class,
             plan: PlanId(0),
             units: 1.0,
-            gateways: 1,
-            first: 0,
-            until,
-            parts: Parts {
+            gateway_count: 1,
+            first_gateway: 0,
+            deadline: until,
+            parts: RequestParts {
                 method: head.method,
                 uri,
                 id,
@@ -184,7 +184,7 @@
         };
         client.busy.set(true);
         tracked.start_attempts(&taken.parts.id);
-        let Some((ticket, answer)) = service.driver.take(taken) else {
+        let Some((ticket, answer)) = service.driver.admit(taken) else {
             return Err(Refusal::new(
                 StatusCode::CONFLICT,
                 "a request with this id is open",
@@ -194,7 +194,7 @@
         admitted.ran = true;
         let answer = answer.await;
         if let Some(flow) = flow {
-            client.waste_rest(&self.platform, flow);
+            client.discard_rest(&self.platform, flow);
         }
         self.finish(answer.ok(), admitted, &service.driver, class, ticket, client)
     }
@@ -211,7 +211,7 @@
     ) -> Result<Reply, Refusal> {
         match answer {
             Some(Answer::Served(served)) => {
-                let body = Written::served(driver.clone(), client.clone(), class, ticket, served.body);
+                let body = ResponseBody::served(driver.clone(), client.clone(), class, ticket, served.body);
                 let mut reply = Response::new(body);
                 *reply.status_mut() = served.status;
                 *reply.headers_mut() = served.headers;
@@ -226,7 +226,7 @@
                 );
                 Err(refusal.retry_after(Duration::from_micros(wait)))
             }
-            Some(Answer::Failed { late: true }) => {
+            Some(Answer::Failed { timed_out: true }) => {
                 Err(Refusal::new(StatusCode::GATEWAY_TIMEOUT, "no answer in time", RequestOutcome::TimedOut))
             }
             _ => Err(Refusal::new(StatusCode::BAD_GATEWAY, "failed", RequestOutcome::Failed)),
@@ -335,7 +335,7 @@
 
 fn respond(refusal: Refusal) -> Reply {
     let body = Full::new(Bytes::from_static(refusal.message.as_bytes()));
-    let mut response = Response::new(Written::Whole(body));
+    let mut response = Response::new(ResponseBody::Buffered(body));
     *response.status_mut() = refusal.status;
     if let Some(wait) = refusal.retry_after {
         let seconds = HeaderValue::from_str(&format!("{:.3}", wait.as_secs_f64()));
