--- a/crates/proxy/src/server.rs
+++ b/crates/proxy/src/server.rs
@@ -10,10 +10,10 @@
 use crate::{control, peers, readiness};
 use eyre::{eyre, Context, Result};
 use hingestage_dataplane::body::BodyLimits;
-use hingestage_dataplane::client::ClientTimes;
+use hingestage_dataplane::client::ClientTimeouts;
 use hingestage_dataplane::collect::{CollectSettings, Collector};
-use hingestage_dataplane::connections::{ConnectionSettings, Connections, Stopping};
-use hingestage_node::settings::InnerPort;
+use hingestage_dataplane::connections::{ConnectionSettings, Connections, Shutdown};
+use hingestage_node::settings::InternalPort;
 use hingestage_node::{incarnation, Settings, Signals};
 use hingestage_platform::Platform;
 use hingestage_platform::Tokio;
@@ -146,7 +146,7 @@
         spawn_local(readiness::serve(listener, proxy.clone()));
     }
     peers::start(&proxy).await?;
-    let inner = settings.inner(InnerPort::Proxy);
+    let inner = settings.internal_addr(InternalPort::Proxy);
     let calls = TcpListener::bind(inner).await.wrap_err_with(|| format!("{inner}"))?;
     spawn_local(serve_calls(calls, proxy.clone()));
     spawn_local(control::run(proxy.clone()));
@@ -157,39 +157,41 @@
         _ = signals.terminate.recv() => {}
         () = connections.accept(&listener) => {}
     }
-    log::info!("told to end: {} connections", connections.open());
+    log::info!("told to end: {} connections", connections.open_count());
     proxy.stopping.set(true);
     let now = proxy.platform.now();
     let until = now + settings.bounds.grace.saturating_sub(GRACE_MARGIN);
     let accepts_until = now + settings.bounds.grace / 2;
-    connections.stop(listener, Stopping { accepts_until, closes_idle: false, until }).await;
-    log::info!("ended with {} connections", connections.open());
+    connections
+        .stop(listener, Shutdown { accept_until: accepts_until, close_idle: false, deadline: until })
+        .await;
+    log::info!("ended with {} connections", connections.open_count());
     Ok(())
 }
 
 fn connection_settings(settings: &Settings) -> ConnectionSettings {
     ConnectionSettings {
-        clients_max: settings.limits.max_fds / CLIENT_FD_DIVISOR,
-        idle_max: settings.limits.max_fds / IDLE_FD_DIVISOR,
-        times: ClientTimes {
+        max_connections: settings.limits.max_fds / CLIENT_FD_DIVISOR,
+        max_idle: settings.limits.max_fds / IDLE_FD_DIVISOR,
+        timeouts: ClientTimeouts {
             first_head_timeout: IDLE_TIMEOUT,
             header_timeout: HEADER_TIMEOUT,
             idle_timeout: IDLE_TIMEOUT,
             write_timeout: WRITE_TIMEOUT,
         },
-        largest_head: MAX_HEAD_BYTES,
+        max_head_bytes: MAX_HEAD_BYTES,
     }
 }
 
 fn collect_settings(settings: &Settings) -> CollectSettings {
     CollectSettings {
         limits: BodyLimits {
-            longest: MAX_BODY_BYTES,
-            piece_timeout: BODY_CHUNK_TIMEOUT,
-            slowest: MIN_BODY_RATE,
+            max_bytes: MAX_BODY_BYTES,
+            chunk_timeout: BODY_CHUNK_TIMEOUT,
+            min_bytes_per_s: MIN_BODY_RATE,
         },
-        each_max: MAX_BUFFERED_BODY_BYTES,
-        together_max: (settings.limits.mem_mb as usize * (1 << 20)) / BUFFER_MEMORY_DIVISOR,
+        body_max_bytes: MAX_BUFFERED_BODY_BYTES,
+        total_max_bytes: (settings.limits.mem_mb as usize * (1 << 20)) / BUFFER_MEMORY_DIVISOR,
     }
 }
 
@@ -263,7 +265,7 @@
             zone: self.settings.zone.as_str().into(),
             region: self.settings.region.as_str().into(),
             http: self.http,
-            peer: self.settings.inner(InnerPort::Proxy),
+            peer: self.settings.internal_addr(InternalPort::Proxy),
             ready: self.is_ready(),
         }
     }
@@ -286,7 +288,7 @@
             return true;
         }
         let mut nearby: Vec<&RegistryAddress> =
-            registries.iter().filter(|registry| !self.settings.is_far(&registry.zone)).collect();
+            registries.iter().filter(|registry| !self.settings.is_remote_region(&registry.zone)).collect();
         if nearby.is_empty() {
             let number = |registry: &&RegistryAddress| hash_bytes(registry.addr.to_string().as_bytes());
             nearby = choose(
--- a/crates/proxy/src/services.rs
+++ b/crates/proxy/src/services.rs
@@ -7,8 +7,8 @@
 use crate::request_log::RequestLog;
 use crate::view::{Usability, View};
 use compact_str::CompactString;
-use hingestage_dataplane::dialect::Dialect;
 use hingestage_dataplane::driver::{gatekeeper, Driver, DriverSettings};
+use hingestage_dataplane::protocol::WorkerProtocol;
 use hingestage_node::Settings;
 use hingestage_platform::Tokio;
 use hingestage_policy::{
@@ -97,7 +97,7 @@
         if changed {
             let classes = self.classes.borrow().all();
             let terms = hingestage_policy::Terms { classes, plans: vec![Plan::default()] };
-            self.driver.feed(Event::Terms(Some(terms)));
+            self.driver.handle_event(Event::Terms(Some(terms)));
         }
         class
     }
@@ -171,10 +171,10 @@
             policy: self.policy_settings(),
             seed: fastrand::u64(..),
             class_names: (0..crate::classes::CLASS_COUNT).map(|class| format!("class-{class}")).collect(),
-            workers_max: self.settings.limits.max_fds / WORKER_FD_DIVISOR,
+            max_worker_connections: self.settings.limits.max_fds / WORKER_FD_DIVISOR,
             connect_timeout: CONNECT_TIMEOUT,
-            worker_idle: WORKER_IDLE_TIMEOUT,
-            dialect: dialect.clone() as Rc<dyn Dialect>,
+            worker_idle_timeout: WORKER_IDLE_TIMEOUT,
+            protocol: dialect.clone() as Rc<dyn WorkerProtocol>,
         };
         let observer = Rc::new(AttemptObserver::new(self.requests.clone(), dialect.clone()));
         let driver = Driver::new(self.platform, settings, observer, gatekeeper);
@@ -288,13 +288,13 @@
             let cold = self.cold_start(service, id, usability, worker, view);
             let ready = usability == Usability::Ready || cold.is_some();
             service.dialect.insert(id, &worker.id);
-            service.driver.workers.list(id, worker.addr, id.0, ready);
+            service.driver.workers.update(id, worker.addr, id.0, ready);
             listed.insert(id);
             infos.push(self.worker_info(id, worker, ready, cold));
         }
-        service.driver.workers.keep_only(&listed);
+        service.driver.workers.retain_workers(&listed);
         service.dialect.retain(|worker| listed.contains(&worker));
-        service.driver.list_workers(WorkerList { scope: ListScope::Full, workers: infos });
+        service.driver.update_workers(WorkerList { scope: ListScope::Full, workers: infos });
     }
 
     /// Returns the rate limit for a cold worker, or `None` if the worker must not get requests as a cold one. Every
--- a/crates/proxy/tests/dialect.rs
+++ b/crates/proxy/tests/dialect.rs
@@ -2,7 +2,7 @@
 
 use bytes::Bytes;
 use hingestage_dataplane::body::RequestBody;
-use hingestage_dataplane::dialect::{Dialect, Parts};
+use hingestage_dataplane::protocol::{RequestParts, WorkerProtocol};
 use hingestage_policy::{Outcome, WorkerId};
 use hingestage_proxy::dialect::{drop_hop_by_hop, WorkerDialect};
 use hyper::header::{HeaderMap, HeaderName, HeaderValue};
@@ -26,19 +26,19 @@
     headers
 }
 
-fn parts() -> Parts {
-    Parts {
+fn parts() -> RequestParts {
+    RequestParts {
         method: Method::POST,
         uri: "/a/b?c=d".parse().expect("a path"),
         id: HeaderValue::from_static(ID.1),
         headers: HeaderMap::new(),
-        body: RequestBody::Whole(Bytes::new()),
+        body: RequestBody::Buffered(Bytes::new()),
     }
 }
 
 fn outcome(status: u16, answer: &[(&str, &str)]) -> Outcome {
     let status = StatusCode::from_u16(status).expect("a status");
-    WorkerDialect::default().judge(&parts(), status, &headers(answer)).outcome
+    WorkerDialect::default().classify(&parts(), status, &headers(answer)).outcome
 }
 
 fn names(headers: &HeaderMap) -> Vec<&str> {
@@ -129,6 +129,6 @@
         ("connection", "close"),
         ("content-type", "text/plain"),
     ];
-    let passed = WorkerDialect::default().passed_on(&headers(&answer));
+    let passed = WorkerDialect::default().client_headers(&headers(&answer));
     assert_eq!(names(&passed), ["content-type", ID.0, SEAL.0]);
 }
--- a/crates/proxy/tests/operator_calls.rs
+++ b/crates/proxy/tests/operator_calls.rs
@@ -1,7 +1,7 @@
 //! Operator calls to a running proxy, on loopback with a fake registry.
 
 use hingestage_fixtures::{own_network, run, worker, workers_version, PLENTY};
-use hingestage_node::settings::InnerPort;
+use hingestage_node::settings::InternalPort;
 use hingestage_node::Settings;
 use hingestage_proxy::server;
 use hingestage_rpc::messages::{
@@ -102,13 +102,14 @@
              listen: {{http: '{ip}:8200'}}, port_range: [7600, 7615], seeds: ['{ip}:8202']}}"
         );
         let settings = Rc::new(Settings::parse(&text).expect("settings"));
-        let registry = TcpListener::bind(settings.inner(InnerPort::Registry)).await.expect("a port");
+        let registry =
+            TcpListener::bind(settings.internal_addr(InternalPort::Registry)).await.expect("a port");
         // Connections to the worker are refused.
         let worker = SocketAddr::new(settings.ip, 9);
         spawn_local(serve(registry, Rc::new(Registry { fresh, worker })));
         let proxy = TestProxy {
             http: settings.listen.http.expect("an address"),
-            calls: Client::new(settings.inner(InnerPort::Proxy)),
+            calls: Client::new(settings.internal_addr(InternalPort::Proxy)),
         };
         spawn_local(async move { server::serve(settings).await.expect("the proxy runs") });
         while proxy.try_state().await.is_none_or(|state| state.config.is_none()) {
--- a/crates/proxy/tests/relay.rs
+++ b/crates/proxy/tests/relay.rs
@@ -3,7 +3,7 @@
 use compact_str::{format_compact, CompactString};
 use hingestage_discovery::{Home, Homes, PeerProxy};
 use hingestage_fixtures::{own_network, proxy_status, run, worker, workers_version, PLENTY};
-use hingestage_node::settings::InnerPort;
+use hingestage_node::settings::InternalPort;
 use hingestage_node::Settings;
 use hingestage_proxy::server;
 use hingestage_rpc::messages::{
@@ -139,7 +139,7 @@
             .collect();
         let proxies = settings.iter().map(|settings| ProxyStatus {
             http: SocketAddr::new(settings.ip, 8200),
-            ..proxy_status(&settings.node, "north-1", "north", settings.inner(InnerPort::Proxy))
+            ..proxy_status(&settings.node, "north-1", "north", settings.internal_addr(InternalPort::Proxy))
         });
         let registry = Rc::new(Registry {
             number: Cell::new(1),
@@ -148,17 +148,18 @@
             fetched: RefCell::default(),
             configs_fetched: Cell::new(0),
         });
-        let seed = settings[0].inner_at(seed.parse().expect("an address"), InnerPort::Registry);
+        let seed = settings[0].internal_addr_at(seed.parse().expect("an address"), InternalPort::Registry);
         let listener = TcpListener::bind(seed).await.expect("a port");
         spawn_local(serve(listener, registry.clone()));
         let (running, silent) = settings.split_at(usize::from(running));
         for settings in silent {
-            let listener = TcpListener::bind(settings.inner(InnerPort::Proxy)).await.expect("a port");
+            let listener =
+                TcpListener::bind(settings.internal_addr(InternalPort::Proxy)).await.expect("a port");
             spawn_local(serve(listener, Rc::new(Silent)));
         }
         let start = |settings: &Rc<Settings>| {
             let settings = settings.clone();
-            let calls = Client::new(settings.inner(InnerPort::Proxy));
+            let calls = Client::new(settings.internal_addr(InternalPort::Proxy));
             let running = async move { server::serve(settings).await.expect("the proxy runs") };
             (spawn_local(running), calls)
         };
--- a/crates/registry/src/server.rs
+++ b/crates/registry/src/server.rs
@@ -8,7 +8,7 @@
 use crate::watch::InForce;
 use eyre::{eyre, Context, Result};
 use hingestage_discovery::Follower;
-use hingestage_node::settings::InnerPort;
+use hingestage_node::settings::InternalPort;
 use hingestage_node::{incarnation, Settings, SettingsFile, Signals};
 use hingestage_replication::Micros;
 use hingestage_rpc::messages::{
@@ -73,11 +73,11 @@
 /// An address can't be had.
 pub async fn serve(settings: Rc<Settings>) -> Result<()> {
     let mut signals = Signals::listen()?;
-    let addr = settings.inner(InnerPort::Registry);
+    let addr = settings.internal_addr(InternalPort::Registry);
     let id = ProcessId { node: settings.node.as_str().into(), incarnation: incarnation() };
     let me = RegistryMember { id: id.clone(), zone: settings.zone.as_str().into(), addr, reads_list: true };
     let registry = Rc::new(Registry {
-        store: StoreClient::new(settings.inner(InnerPort::ConfigStore)),
+        store: StoreClient::new(settings.internal_addr(InternalPort::ConfigStore)),
         directory: RefCell::new(Directory::new(directory::Figures::default())),
         in_force: RefCell::new(InForce::new(id.incarnation)),
         workers: RefCell::default(),
@@ -199,11 +199,14 @@
 
     /// Addresses of other registries: those that are known, and those at the seeds of the present settings.
     fn others(&self) -> Vec<SocketAddr> {
-        let me = self.settings.inner(InnerPort::Registry);
+        let me = self.settings.internal_addr(InternalPort::Registry);
         let known = self.duty.borrow().members(self.now()).into_iter().map(|member| member.addr);
         // Between two states of the file what was read at the start holds.
         let current = self.file.current();
-        let seeds = current.seeds.iter().map(|seed| self.settings.inner_at(seed.ip(), InnerPort::Registry));
+        let seeds = current
+            .seeds
+            .iter()
+            .map(|seed| self.settings.internal_addr_at(seed.ip(), InternalPort::Registry));
         known.chain(seeds).filter(|addr| *addr != me).collect()
     }
 
@@ -229,7 +232,7 @@
     fn meet_period(&self, addr: SocketAddr) -> Duration {
         let members = self.duty.borrow().members(self.now());
         let member = members.iter().find(|member| member.addr == addr);
-        if member.is_some_and(|member| self.settings.is_far(&member.zone)) {
+        if member.is_some_and(|member| self.settings.is_remote_region(&member.zone)) {
             MEET_PERIOD_FAR
         } else {
             MEET_PERIOD
--- a/crates/registry/src/state.rs
+++ b/crates/registry/src/state.rs
@@ -3,7 +3,7 @@
 use crate::server::Registry;
 use compact_str::CompactString;
 use hingestage_discovery::Listed;
-use hingestage_node::settings::InnerPort;
+use hingestage_node::settings::InternalPort;
 use hingestage_replication::Micros;
 use hingestage_rpc::messages::ZoneDrains;
 use hingestage_rpc::status::{RegistryStatus, WorkerGroup};
@@ -30,7 +30,7 @@
             workers: group(now, self.workers.borrow().catalog().workers(), &have.drains),
             drained: drained.map(|(zone, _)| zone.clone()).collect(),
             members: in_force.proxies.len() as u32,
-            store: self.settings.inner(InnerPort::ConfigStore),
+            store: self.settings.internal_addr(InternalPort::ConfigStore),
             registries: duty.members(now),
             proxies: self.directory.borrow().living(now).cloned().collect(),
         }
--- a/crates/registry/src/trial_calls.rs
+++ b/crates/registry/src/trial_calls.rs
@@ -6,7 +6,7 @@
 use bytes::Bytes;
 use eyre::{eyre, WrapErr};
 use hingestage_configuration::Configuration;
-use hingestage_node::time_of_day;
+use hingestage_node::unix_millis;
 use hingestage_replication::digest;
 use hingestage_rpc::messages::{Change, Proposed, StoreAnswer, StoreRequest};
 use hingestage_rpc::trials::{TrialPosition, TrialRecord, TERMS_BYTES_MAX};
@@ -142,7 +142,7 @@
         let in_force = self.in_force.borrow();
         let document = in_force.configs.newest()?;
         let configuration = Configuration::parse(&document.json).ok()?;
-        Some(first.records(&configuration, time_of_day()))
+        Some(first.records(&configuration, unix_millis()))
     }
 
     /// Announces steps that are due, while this registry has the duty of reading the platform's list.
@@ -152,7 +152,7 @@
             if self.duty.borrow().fence().is_none() || self.in_force.borrow().trials.is_empty() {
                 continue;
             }
-            let steps = self.in_force.borrow().trials.steps_due(self.now(), time_of_day());
+            let steps = self.in_force.borrow().trials.steps_due(self.now(), unix_millis());
             if steps.is_empty() {
                 continue;
             }
--- a/crates/rehearse/src/process.rs
+++ b/crates/rehearse/src/process.rs
@@ -47,7 +47,7 @@
     if ahead == 0.0 {
         return Vec::new();
     }
-    vec![(hingestage_platform::CLOCK_AHEAD, ahead.to_string())]
+    vec![(hingestage_platform::CLOCK_OFFSET_VARIABLE, ahead.to_string())]
 }
 
 /// A running process.
--- a/crates/sim/tests/planted.rs
+++ b/crates/sim/tests/planted.rs
@@ -5,7 +5,7 @@
 //! `docs/simulation.md`.
 
 use hingestage_gateway::config::Config;
-use hingestage_gateway::driver::{gatekeeper, MakeDecisions};
+use hingestage_gateway::driver::{gatekeeper, DecisionFactory};
 use hingestage_gateway::gateway::{serve, Reload};
 use hingestage_platform::{Listener, Platform, Stream};
 use hingestage_policy::*;
@@ -81,7 +81,7 @@
 }
 
 fn with(
-    decide: MakeDecisions,
+    decide: DecisionFactory,
 ) -> impl Fn(Sim, Config, oneshot::Receiver<()>, mpsc::Receiver<Reload>) -> Life {
     move |sim, config, stop, reloads| {
         let stop = async move { drop(stop.await) };
--- a/src/main.rs
+++ b/src/main.rs
@@ -11,7 +11,7 @@
 use hingestage_gateway::config::Config;
 use hingestage_gateway::driver::gatekeeper;
 use hingestage_gateway::gateway::{serve_on, Control};
-use hingestage_handover::{Offer, Predecessor, Taken};
+use hingestage_handover::{Predecessor, SocketOffer, TakenOver};
 use hingestage_operator::Operator;
 use hingestage_platform::Tokio;
 use hingestage_print::say;
@@ -214,7 +214,7 @@
 
 /// Where processes of this gateway pass their listening socket on: in the folder that they share.
 fn handover_place(config: &Config) -> Option<PathBuf> {
-    hingestage_handover::place(&PathBuf::from(std::env::var_os("TMPDIR")?), config.listen)
+    hingestage_handover::socket_path(&PathBuf::from(std::env::var_os("TMPDIR")?), config.listen)
 }
 
 /// The listening socket: that of the process in service, where there is one, else a new one.
@@ -223,8 +223,8 @@
     place: Option<&std::path::Path>,
 ) -> Result<(TcpListener, Option<Predecessor>), String> {
     let at = config.listen;
-    let taken = place.map(|place| hingestage_handover::take(place, at)).transpose();
-    if let Some(Taken { listener, predecessor }) =
+    let taken = place.map(|place| hingestage_handover::take_over(place, at)).transpose();
+    if let Some(TakenOver { listener, predecessor }) =
         taken.map_err(|e| format!("the process in service: {e}"))?.flatten()
     {
         eprintln!("hingestage: takes over from the process in service");
@@ -247,7 +247,7 @@
     listener: &TcpListener,
     tell: mpsc::Sender<Control>,
 ) -> Option<AbortHandle> {
-    let offer = listener.try_clone().and_then(|listener| Offer::new(place, listener));
+    let offer = listener.try_clone().and_then(|listener| SocketOffer::new(place, listener));
     match offer {
         Ok(offer) => {
             let serve = offer.serve(move |serves| {
