--- a/crates/dataplane/src/client.rs
+++ b/crates/dataplane/src/client.rs
@@ -86,7 +86,7 @@
     /// Whether at least one request has been answered and no byte of the next one has arrived.
     pub fn awaits_next_request(&self) -> bool {
         let head = self.transport.head.borrow();
-        self.served.get() && head.reading_since().is_none() && !head.is_whole()
+        self.served.get() && head.reading_since().is_none() && !head.is_complete()
     }
 
     /// Time of the last activity in either direction.
@@ -104,7 +104,8 @@
         if let Some(blocked_since) = self.transport.blocked_since.get() {
             return Some(blocked_since + self.timeouts.write_timeout);
         }
-        let has_request = self.busy.get() || self.streaming.get() || self.discarding.get() || head.is_whole();
+        let has_request =
+            self.busy.get() || self.streaming.get() || self.discarding.get() || head.is_complete();
         let last_activity = self.last_activity.get();
         let due = match self.served.get() {
             true => match head.reading_since() {
--- a/crates/dataplane/src/connections.rs
+++ b/crates/dataplane/src/connections.rs
@@ -1,8 +1,8 @@
 //! Accepts client connections, limits their number and closes idle or stalled ones.
 
 use crate::client::{Client, ClientTimeouts};
+use crate::log_sparsely;
 use crate::monitored_stream::MonitoredStream;
-use crate::note;
 use bytes::Bytes;
 use hingestage_platform::{Listener, Platform};
 use hyper::body::{Body, Incoming};
@@ -112,14 +112,16 @@
         loop {
             self.wait_for_slot().await;
             match listener.accept().await {
-                Ok(_) if self.is_full() => {
-                    note(&self.platform, &self.problem_count, "connection limit reached: connection closed")
-                }
+                Ok(_) if self.is_full() => log_sparsely(
+                    &self.platform,
+                    &self.problem_count,
+                    "connection limit reached: connection closed",
+                ),
                 Ok(stream) => self.spawn_connection(stream),
                 // Descriptors are exhausted, or the client has already disconnected: neither may stop the
                 // gateway.
                 Err(e) => {
-                    note(&self.platform, &self.problem_count, format_args!("accept: {e}"));
+                    log_sparsely(&self.platform, &self.problem_count, format_args!("accept: {e}"));
                     self.evict_idle();
                     self.platform.sleep(ACCEPT_RETRY_DELAY).await;
                 }
--- a/crates/dataplane/src/driver.rs
+++ b/crates/dataplane/src/driver.rs
@@ -115,7 +115,7 @@
     open: RefCell<BTreeMap<RequestId, OpenRequest<P>>>,
     /// Client-side ids of all open requests.
     ids: RefCell<HashSet<HeaderValue>>,
-    next: Cell<u64>,
+    next_id: Cell<u64>,
     /// Admitted requests whose answers have not been written.
     inflight: Cell<usize>,
     max_units: f64,
@@ -148,7 +148,7 @@
             platform,
             open: RefCell::default(),
             ids: RefCell::default(),
-            next: Cell::new(0),
+            next_id: Cell::new(0),
             metrics: RefCell::new(Metrics::new(&settings.class_names)),
             inflight: Cell::new(0),
             max_units,
@@ -257,8 +257,8 @@
                 gateway_count: incoming.gateway_count,
             },
         );
-        self.next.set(self.next.get() + 1);
-        let id = RequestId(self.next.get().to_string());
+        self.next_id.set(self.next_id.get() + 1);
+        let id = RequestId(self.next_id.get().to_string());
         let (reply, answer) = oneshot::channel();
         let open = OpenRequest {
             parts: Rc::new(incoming.parts),
@@ -307,7 +307,7 @@
     fn send(self: &Rc<Self>, id: RequestId, worker: WorkerId, timeout: Micros, begin_within: Micros) {
         let mut requests = self.open.borrow_mut();
         let Some(open) = requests.get_mut(&id) else { return };
-        let (parts, n) = (open.parts.clone(), open.attempts.len());
+        let (parts, attempt) = (open.parts.clone(), open.attempts.len());
         let progress = Rc::new(AttemptProgress::default());
         let sent = self.platform.now();
         let (driver, attempt_progress, request) = (self.clone(), progress.clone(), id.clone());
@@ -322,9 +322,9 @@
                 begin_by: sent + Duration::from_micros(begin_within),
                 deadline: sent + Duration::from_micros(timeout),
             };
-            let mut attempted = driver.workers.attempt(worker, &parts, times, &attempt_progress).await;
-            driver.finish_attempt(&request, n, &mut attempted);
-            driver.workers.release(worker, attempted).await;
+            let mut result = driver.workers.attempt(worker, &parts, times, &attempt_progress).await;
+            driver.finish_attempt(&request, attempt, &mut result);
+            driver.workers.release(worker, result).await;
         });
         open.attempts.push(Some(RunningAttempt { worker, progress, task, sent }));
     }
@@ -341,31 +341,36 @@
         });
     }
 
-    fn finish_attempt(self: &Rc<Self>, id: &RequestId, n: usize, attempted: &mut AttemptResult<P::Stream>) {
+    fn finish_attempt(
+        self: &Rc<Self>,
+        id: &RequestId,
+        attempt: usize,
+        result: &mut AttemptResult<P::Stream>,
+    ) {
         let ended = self.open.borrow_mut().get_mut(id).and_then(|open| {
-            open.timed_out |= attempted.outcome == Outcome::Timeout;
-            let running = open.attempts.get_mut(n).and_then(Option::take)?;
+            open.timed_out |= result.outcome == Outcome::Timeout;
+            let running = open.attempts.get_mut(attempt).and_then(Option::take)?;
             Some((running, open.parts.clone()))
         });
         let Some((running, parts)) = ended else { return };
-        if let Some(served) = attempted.served.take() {
+        if let Some(served) = result.served.take() {
             self.answer(id, |_| Answer::Served(served));
         }
         // Ignore reports above the maximum cost of a request.
-        let true_units = attempted.true_units.filter(|n| self.max_units <= 0.0 || *n <= self.max_units);
+        let true_units = result.true_units.filter(|n| self.max_units <= 0.0 || *n <= self.max_units);
         // Latency counts to the first byte of the response, without the time to transfer it.
-        let until = attempted.first_byte_at.unwrap_or_else(|| self.platform.now());
+        let until = result.first_byte_at.unwrap_or_else(|| self.platform.now());
         let took = until.saturating_duration_since(running.sent);
-        self.hooks.on_attempt_end(self.micros(), running.worker, attempted.outcome, took);
-        self.hooks.on_attempt_outcome(&parts.id, running.worker, attempted.outcome);
-        self.report_attempt_end(id, n, attempted.outcome, took, true_units);
+        self.hooks.on_attempt_end(self.micros(), running.worker, result.outcome, took);
+        self.hooks.on_attempt_outcome(&parts.id, running.worker, result.outcome);
+        self.report_attempt_end(id, attempt, result.outcome, took, true_units);
     }
 
     /// Cancels an attempt. Its connection is closed before the decision logic is notified, so that no further
     /// attempt overlaps with it.
-    fn cancel(self: &Rc<Self>, id: &RequestId, n: usize) {
+    fn cancel(self: &Rc<Self>, id: &RequestId, attempt: usize) {
         let slot = self.open.borrow_mut().get_mut(id).and_then(|open| {
-            let running = open.attempts.get_mut(n)?.take()?;
+            let running = open.attempts.get_mut(attempt)?.take()?;
             Some((running, open.parts.clone()))
         });
         let Some((running, parts)) = slot else { return };
@@ -374,7 +379,7 @@
         let took = self.platform.since(running.sent);
         self.hooks.on_attempt_end(self.micros(), running.worker, outcome, took);
         self.hooks.on_attempt_outcome(&parts.id, running.worker, outcome);
-        self.report_attempt_end(id, n, outcome, took, None);
+        self.report_attempt_end(id, attempt, outcome, took, None);
     }
 
     /// Cancels attempts that still wait for a connection to a worker that no longer accepts work, such as a
@@ -382,16 +387,16 @@
     fn cancel_unsent(self: &Rc<Self>) {
         let mut cancelled = Vec::new();
         for (id, open) in self.open.borrow().iter() {
-            for (n, running) in open.attempts.iter().enumerate() {
+            for (attempt, running) in open.attempts.iter().enumerate() {
                 if running
                     .as_ref()
-                    .is_some_and(|r| r.progress.awaits_connection() && !self.workers.takes_work(r.worker))
+                    .is_some_and(|r| r.progress.awaits_connection() && !self.workers.accepts_work(r.worker))
                 {
-                    cancelled.push((id.clone(), n));
+                    cancelled.push((id.clone(), attempt));
                 }
             }
         }
-        cancelled.iter().for_each(|(id, n)| self.cancel(id, *n));
+        cancelled.iter().for_each(|(id, attempt)| self.cancel(id, *attempt));
     }
 
     fn report_attempt_end(
--- a/crates/dataplane/src/lib.rs
+++ b/crates/dataplane/src/lib.rs
@@ -22,7 +22,7 @@
 use hingestage_platform::Platform;
 
 /// Logs a recurring problem, at occurrences that are powers of two only.
-pub fn note(platform: &impl Platform, count: &std::cell::Cell<u64>, what: impl std::fmt::Display) {
+pub fn log_sparsely(platform: &impl Platform, count: &std::cell::Cell<u64>, what: impl std::fmt::Display) {
     count.set(count.get() + 1);
     if count.get().is_power_of_two() {
         platform.log(format_args!("{what} (time {})", count.get()));
--- a/crates/dataplane/src/monitored_stream.rs
+++ b/crates/dataplane/src/monitored_stream.rs
@@ -58,7 +58,7 @@
     }
 
     /// Whether the head is complete.
-    pub fn is_whole(&self) -> bool {
+    pub fn is_complete(&self) -> bool {
         self.complete
     }
 
--- a/crates/dataplane/src/workers.rs
+++ b/crates/dataplane/src/workers.rs
@@ -1,7 +1,7 @@
 //! Pooled connections to workers and the attempts made over them.
 
 use crate::body::{BodySource, ChunkBuffer, OutgoingBody, RequestBody, BUFFERED_MAX};
-use crate::note;
+use crate::log_sparsely;
 use crate::protocol::{Classification, RequestParts, WorkerProtocol};
 use crate::tracked_connection::{ConnectionSlot, TrackedConnection, TrackedIo};
 use bytes::Bytes;
@@ -287,7 +287,7 @@
     }
 
     /// Whether this worker accepts new requests.
-    pub fn takes_work(&self, id: WorkerId) -> bool {
+    pub fn accepts_work(&self, id: WorkerId) -> bool {
         self.pools.borrow().get(&id).is_some_and(|pool| pool.ready)
     }
 
@@ -313,7 +313,7 @@
                 Err(outcome) => return outcome.into(),
             };
             // Connecting may have taken a while; check the worker's current state.
-            if !self.takes_work(worker) || self.platform.now() > times.begin_by {
+            if !self.accepts_work(worker) || self.platform.now() > times.begin_by {
                 return Outcome::NotSent.into();
             }
             let Some(body) = parts.body.outgoing() else { return Outcome::NotSent.into() };
@@ -339,7 +339,11 @@
                 Ok(Err(_)) if used && !may_be_received => continue,
                 _ if !may_be_received => return Outcome::ConnectFailed.into(),
                 Ok(Err(ExchangeError::Unusable(what))) => {
-                    note(&self.platform, &self.problem_count, format_args!("worker {}: {what}", worker.0));
+                    log_sparsely(
+                        &self.platform,
+                        &self.problem_count,
+                        format_args!("worker {}: {what}", worker.0),
+                    );
                     return Outcome::Spoilt.into();
                 }
                 Ok(_) => return Outcome::Reset.into(),
--- a/crates/dataplane/tests/workers.rs
+++ b/crates/dataplane/tests/workers.rs
@@ -58,7 +58,7 @@
 struct Worker {
     answer: &'static str,
     connections: Cell<usize>,
-    heads: RefCell<Vec<String>>,
+    head_texts: RefCell<Vec<String>>,
 }
 
 impl Worker {
@@ -75,7 +75,7 @@
         while let Ok(byte) = stream.read_u8().await {
             head.push(byte);
             if head.ends_with(b"\r\n\r\n") {
-                self.heads.borrow_mut().push(String::from_utf8_lossy(&head).into_owned());
+                self.head_texts.borrow_mut().push(String::from_utf8_lossy(&head).into_owned());
                 head.clear();
                 let _ = stream.write_all(self.answer.as_bytes()).await;
             }
@@ -89,7 +89,7 @@
     served: Option<WorkerResponse<TcpStream>>,
     /// Connections that the two requests used.
     connections: usize,
-    heads: Vec<String>,
+    head_texts: Vec<String>,
     headers_observed: usize,
 }
 
@@ -101,7 +101,7 @@
 async fn request_twice(method: Method, answer: &'static str) -> Exchanges {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let at = listener.local_addr().unwrap();
-    let worker = Rc::new(Worker { answer, connections: Cell::new(0), heads: RefCell::default() });
+    let worker = Rc::new(Worker { answer, connections: Cell::new(0), head_texts: RefCell::default() });
     tokio::task::spawn_local(worker.clone().serve(listener));
     let protocol = Rc::new(TestProtocol::default());
     let workers = Workers::new(Tokio, 8, TIMEOUT, WORKER_IDLE, protocol.clone());
@@ -112,7 +112,7 @@
         outcome: first.0,
         served: first.1,
         connections: worker.connections.get(),
-        heads: worker.heads.take(),
+        head_texts: worker.head_texts.take(),
         headers_observed: protocol.headers_observed.get(),
     }
 }
@@ -151,7 +151,7 @@
     for line in
         ["GET /path?query HTTP/1.1", "host: worker.local", "call-id: id-1", "content-type: text/plain"]
     {
-        assert!(exchanges.heads[0].contains(line), "{line} is missing: {}", exchanges.heads[0]);
+        assert!(exchanges.head_texts[0].contains(line), "{line} is missing: {}", exchanges.head_texts[0]);
     }
     let served = exchanges.served.unwrap();
     assert_eq!(served.status, StatusCode::NOT_FOUND);
--- a/crates/gateway/src/admin.rs
+++ b/crates/gateway/src/admin.rs
@@ -7,7 +7,7 @@
 use crate::subsystems::GatewaySubsystems;
 use bytes::Bytes;
 use hingestage_dataplane::driver::Driver;
-use hingestage_dataplane::note;
+use hingestage_dataplane::log_sparsely;
 use hingestage_fleet::table::{GATEWAYS_MAX, MESSAGE_MAX};
 use hingestage_operate::LifecycleEvent;
 use hingestage_platform::{Listener, Platform};
@@ -76,7 +76,7 @@
             match listener.accept().await {
                 Ok(stream) => self.admit(stream),
                 Err(e) => {
-                    note(&platform, &self.odd, format_args!("admin: accept: {e}"));
+                    log_sparsely(&platform, &self.odd, format_args!("admin: accept: {e}"));
                     platform.sleep(ACCEPT_PAUSE).await;
                 }
             }
--- a/crates/gateway/src/counter.rs
+++ b/crates/gateway/src/counter.rs
@@ -2,7 +2,7 @@
 
 use crate::Backoff;
 use bytes::BytesMut;
-use hingestage_dataplane::note;
+use hingestage_dataplane::log_sparsely;
 use hingestage_platform::{Platform, Stream};
 use hingestage_policy::{CounterName, CounterOutcome, Micros};
 use redis_protocol::resp2::decode::decode_bytes_mut;
@@ -286,7 +286,7 @@
 async fn listen<P: Platform>(counter: Rc<Counter<P>>, line: Rc<Line<P>>) -> bool {
     let mut any = false;
     if let Err(what) = counter.read(&line, &mut any).await {
-        note(&counter.platform, &counter.odd, format_args!("counter: {what}"));
+        log_sparsely(&counter.platform, &counter.odd, format_args!("counter: {what}"));
     }
     counter.hang_up(&line);
     any
--- a/crates/gateway/src/discovery.rs
+++ b/crates/gateway/src/discovery.rs
@@ -3,7 +3,7 @@
 use crate::Backoff;
 use bytes::{Bytes, BytesMut};
 use hingestage_dataplane::driver::Driver;
-use hingestage_dataplane::note;
+use hingestage_dataplane::log_sparsely;
 use hingestage_dataplane::tracked_connection::{ConnectionSlot, TrackedConnection, TrackedIo};
 use hingestage_membership::hosts::HostList;
 use hingestage_membership::{Address, Membership, MembershipUpdate, Sources, WorkerLocation, WorkerUpdate};
@@ -80,7 +80,7 @@
         if change.scope != ListScope::Delta {
             driver.workers.retain_workers(self.members.borrow().located());
         }
-        change.warnings.iter().for_each(|what| note(&driver.platform, &self.odd, what));
+        change.warnings.iter().for_each(|what| log_sparsely(&driver.platform, &self.odd, what));
         let workers: Vec<_> = change.workers.into_iter().map(|told| told.info).collect();
         driver.update_workers(WorkerList { scope: change.scope, workers });
     }
@@ -156,7 +156,9 @@
         let before = rev;
         match watch(&watcher, at, &mut rev).await {
             Ok(()) => {}
-            Err(what) => note(&watcher.driver.platform, &watcher.book.odd, format_args!("discovery: {what}")),
+            Err(what) => {
+                log_sparsely(&watcher.driver.platform, &watcher.book.odd, format_args!("discovery: {what}"))
+            }
         }
         if rev != before {
             backoff = Backoff::new();
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -166,8 +166,8 @@
 
 fn sources(srv: Option<&Srv>) -> Sources {
     match srv {
-        None => Sources::List,
-        Some(srv) => Sources::Srv { grace: srv.settings.grace, cold_at_start: srv.cold_at_start },
+        None => Sources::Discovery,
+        Some(srv) => Sources::Dns { grace: srv.settings.grace, cold_at_start: srv.cold_at_start },
     }
 }
 
--- a/crates/membership/src/members.rs
+++ b/crates/membership/src/members.rs
@@ -60,9 +60,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Sources {
     /// Discovery only.
-    List,
+    Discovery,
     /// DNS, alone or together with discovery.
-    Srv {
+    Dns {
         /// How long a worker drains after its record has disappeared, µs.
         grace: Micros,
         /// Whether workers of the first answer are treated as just started.
@@ -117,7 +117,7 @@
 
     /// Changes the parameters of the DNS source; which sources are configured does not change.
     pub fn reconfigure(&mut self, sources: Sources) {
-        if matches!((self.sources, sources), (Sources::Srv { .. }, Sources::Srv { .. })) {
+        if matches!((self.sources, sources), (Sources::Dns { .. }, Sources::Dns { .. })) {
             self.sources = sources;
         }
     }
@@ -125,8 +125,8 @@
     /// Applies a list from discovery that covers `scope`.
     pub fn apply_list(&mut self, list: &HostList, scope: ListScope, now: Micros) -> MembershipUpdate {
         match self.sources {
-            Sources::List => self.apply_list_only(list, scope),
-            Sources::Srv { grace, .. } => {
+            Sources::Discovery => self.apply_list_only(list, scope),
+            Sources::Dns { grace, .. } => {
                 // Expired entries must have no effect even if nothing was processed since.
                 self.drop_expired(now, grace);
                 let warnings = self.record_list(list, scope);
@@ -137,7 +137,7 @@
 
     /// Applies the full set of addresses from DNS.
     pub fn apply_dns(&mut self, addresses: &[Address], now: Micros) -> MembershipUpdate {
-        let Sources::Srv { grace, cold_at_start } = self.sources else {
+        let Sources::Dns { grace, cold_at_start } = self.sources else {
             return MembershipUpdate { scope: ListScope::Delta, workers: Vec::new(), warnings: Vec::new() };
         };
         self.drop_expired(now, grace);
@@ -168,7 +168,7 @@
     /// Records that a worker's address refuses connections. If no source reports start times, whichever
     /// process listens there next counts as just started.
     pub fn connection_refused(&mut self, id: WorkerId, now: Micros) -> Option<MembershipUpdate> {
-        let Sources::Srv { grace, .. } = self.sources else { return None };
+        let Sources::Dns { grace, .. } = self.sources else { return None };
         let (name, _) = self.ids.iter().find(|(_, known)| **known == id)?;
         // Any other name comes from discovery, which reports start times.
         let at: SocketAddr = name.strip_prefix(SRV_PREFIX)?.parse().ok()?;
@@ -183,7 +183,7 @@
 
     /// When [`Membership::expire`] is next due.
     pub fn next_expiry(&self) -> Option<Micros> {
-        let Sources::Srv { grace, .. } = self.sources else { return None };
+        let Sources::Dns { grace, .. } = self.sources else { return None };
         let ends = self.dns.values().filter_map(|named| match named.status {
             DnsStatus::Vanished(since) if self.is_located(&named.address.at) => Some(since + grace),
             _ => None,
@@ -193,7 +193,7 @@
 
     /// Removes workers whose grace period has ended.
     pub fn expire(&mut self, now: Micros) -> Option<MembershipUpdate> {
-        let Sources::Srv { grace, .. } = self.sources else { return None };
+        let Sources::Dns { grace, .. } = self.sources else { return None };
         self.next_expiry().is_some_and(|at| at <= now).then(|| self.merge(ListScope::Full, now, grace))
     }
 
--- a/crates/membership/tests/sources.rs
+++ b/crates/membership/tests/sources.rs
@@ -14,7 +14,7 @@
 }
 
 fn members_with_both_sources() -> Membership {
-    Membership::new(Sources::Srv { grace: GRACE, cold_at_start: true })
+    Membership::new(Sources::Dns { grace: GRACE, cold_at_start: true })
 }
 
 fn target(uid: &str, port: u16, state: &str, boot_ms: u64) -> Target {
@@ -76,7 +76,7 @@
 #[test]
 fn cold_at_start_decides_on_the_addresses_of_the_first_answer() {
     for (cold_at_start, started) in [(true, Some(10)), (false, None)] {
-        let mut members = Membership::new(Sources::Srv { grace: GRACE, cold_at_start });
+        let mut members = Membership::new(Sources::Dns { grace: GRACE, cold_at_start });
         let update = members.apply_dns(&[named("a", 1)], 10);
         assert_eq!(one(&update, 1), Some((Ready, started)));
         let update = members.apply_dns(&[named("a", 1), named("b", 2)], 20);
