--- a/crates/proxy/src/lending.rs
+++ b/crates/proxy/src/lending.rs
@@ -34,7 +34,7 @@
 impl TokenBorrowing {
     /// Records tokens that another proxy lent.
     pub fn receive(&self, from: SocketAddr, number: u64, lent: f64) {
-        if self.pending.borrow_mut().take(&from, number, lent) {
+        if self.pending.borrow_mut().record_answer(&from, number, lent) {
             self.answered.notify_waiters();
         }
     }
@@ -43,7 +43,7 @@
     async fn wait(&self, number: u64) {
         loop {
             let answered = self.answered.notified();
-            if self.pending.borrow().is_over(number) {
+            if self.pending.borrow().is_complete(number) {
                 return;
             }
             answered.await;
@@ -67,7 +67,7 @@
     /// Borrows what a tenant's bucket lacks of a token from other proxies of the region. Returns the borrowed amount.
     pub(crate) async fn borrow_tokens(&self, tenant: &CompactString) -> f64 {
         let now = self.now();
-        let lacking = self.tenants.borrow().lacks(now, tenant);
+        let lacking = self.tenants.borrow().missing_tokens(now, tenant);
         let Some(number) =
             lacking.and_then(|lacking| self.borrowing.pending.borrow_mut().begin(now, tenant, lacking))
         else {
