--- a/crates/dataplane/src/collect.rs
+++ b/crates/dataplane/src/collect.rs
@@ -97,7 +97,7 @@
 }
 
 impl<P: Platform> Reservation<'_, P> {
-    /// Extends the reservation for a body of which `so_far` bytes have arrived. Returns false if the body is
+    /// Extends the reservation for a body of which `received` bytes have arrived. Returns false if the body is
     /// too long or the budget is exhausted.
     fn grow(&mut self, received: usize, length: Option<u64>) -> bool {
         let CollectSettings { body_max_bytes, total_max_bytes, .. } = self.collector.settings;
--- a/crates/dataplane/src/tracked_connection.rs
+++ b/crates/dataplane/src/tracked_connection.rs
@@ -1,4 +1,4 @@
-//! A worker connection that counts its bytes, can be closed from outside, and refuses to write after
+//! A connection that counts its bytes, can be closed from outside, and refuses to write after
 //! unsolicited input.
 
 use hingestage_platform::{Stream, Task};
@@ -121,7 +121,7 @@
     }
 }
 
-/// The I/O side of a [`WorkerConnection`], used by the HTTP library.
+/// The I/O side of a [`TrackedConnection`], used by the HTTP library.
 pub struct TrackedIo<S: Stream>(pub Rc<TrackedConnection<S>>);
 
 impl<S: Stream> Drop for TrackedIo<S> {
