--- a/crates/dataplane/src/driver.rs
+++ b/crates/dataplane/src/driver.rs
@@ -133,7 +133,7 @@
     ) -> Rc<Self> {
         let clock = Clock::new(&platform);
         let now = clock.micros(platform.now());
-        let max_units = settings.policy.most_units;
+        let max_units = settings.policy.max_units;
         Rc::new(Driver {
             workers: Workers::new(
                 platform.clone(),
@@ -285,8 +285,8 @@
     }
 
     /// Number of requests that found no worker in time, since the start.
-    pub fn unplaced_requests(&self) -> u64 {
-        self.decisions.borrow().short()
+    pub fn requests_without_worker(&self) -> u64 {
+        self.decisions.borrow().requests_without_worker()
     }
 
     /// Whether new requests may be started.
--- a/crates/dataplane/src/workers.rs
+++ b/crates/dataplane/src/workers.rs
@@ -344,7 +344,7 @@
                         &self.problem_count,
                         format_args!("worker {}: {what}", worker.0),
                     );
-                    return Outcome::Spoilt.into();
+                    return Outcome::Unusable.into();
                 }
                 Ok(_) => return Outcome::Reset.into(),
                 Err(_) => return Outcome::Timeout.into(),
--- a/crates/dataplane/tests/workers.rs
+++ b/crates/dataplane/tests/workers.rs
@@ -178,7 +178,7 @@
 #[test]
 fn a_response_without_framing_is_unusable_or_ends_its_connection() {
     let good = exchange_twice(Method::GET, "HTTP/1.1 200 OK\r\n\r\nhi");
-    assert_eq!((good.outcome, good.connections), (Outcome::Spoilt, 2));
+    assert_eq!((good.outcome, good.connections), (Outcome::Unusable, 2));
     let bad = exchange_twice(Method::GET, "HTTP/1.1 500 Internal Server Error\r\n\r\nno");
     assert_eq!((bad.outcome, bad.connections), (Outcome::Error, 2));
 }
--- a/crates/membership/src/members.rs
+++ b/crates/membership/src/members.rs
@@ -313,8 +313,8 @@
             let tier = srv.map_or(0, |n| n.address.tier);
             let mut update = self.update(&listed.target.uid, &listed.target, at, state);
             update.info.tier = tier;
-            // The mark must not depend on which source a gateway sees first.
-            update.info.mark = fnv(srv_name(&at).as_bytes());
+            // The hash must not depend on which source a gateway sees first.
+            update.info.hash = fnv(srv_name(&at).as_bytes());
             workers.push(update);
         }
         let removed = self.removed_addresses();
@@ -413,7 +413,7 @@
         availability,
         zone: Zone(target.az.clone()),
         cell: target.pod_group,
-        mark: fnv(target.uid.as_bytes()),
+        hash: fnv(target.uid.as_bytes()),
         size: target.capacity_hint.filter(|n| n.is_finite() && *n > 0.0).unwrap_or(1.0),
         started,
         tier: 0,
--- a/crates/membership/tests/sources.rs
+++ b/crates/membership/tests/sources.rs
@@ -152,9 +152,9 @@
     let update = members.apply_list(&list(vec![target("w", 1, "up", 5)]), ListScope::Full, 20);
     assert_eq!(of(&before, 1)[0].info.id, of(&update, 1)[0].info.id);
     assert_eq!(
-        of(&before, 1)[0].info.mark,
-        of(&update, 1)[0].info.mark,
-        "the mark does not depend on the source"
+        of(&before, 1)[0].info.hash,
+        of(&update, 1)[0].info.hash,
+        "the hash does not depend on the source"
     );
     // A successor at the same address is another worker.
     let update = members.apply_list(&list(vec![target("w2", 1, "up", 50)]), ListScope::Full, 60);
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -1,8 +1,7 @@
-//! The decisions of a gateway that keeps each customer of a shared back end to its plan.
+//! Decision logic of a gateway that enforces customer plans in front of a shared worker fleet.
 //!
-//! [`Gatekeeper`] is a state machine without input or output of its own: time, the random seed and every
-//! event come in, actions go out. One instance runs in each gateway process; instances share nothing but
-//! the counter service that the actions address. `docs/design.md` explains the mechanism.
+//! [`Gatekeeper`] is a state machine without I/O: it takes the time, a random seed and events, and returns
+//! actions. Each gateway process runs one; they share only the counter service. See `docs/design.md`.
 //!
 //! ```
 //! use hingestage_policy::*;
@@ -11,7 +10,7 @@
 //!     instances: 2,
 //!     limits: Limits { max_attempts: 3, ..Limits::default() },
 //!     classes: vec![Class { aim: 500_000, deadline: 2_000_000, ..Class::default() }],
-//!     plans: vec![Plan { rate: 5.0, burst: 10.0, over_cost: 1.0, ..Plan::default() }],
+//!     plans: vec![Plan { rate: 5.0, burst: 10.0, over_quota_cost: 1.0, ..Plan::default() }],
 //!     ..Settings::default()
 //! };
 //! let now = 1_000_000;
@@ -51,26 +50,26 @@
 
 pub use api::*;
 pub use rules::Gatekeeper;
-pub use state::{draw, fnv};
+pub use state::{fnv, rendezvous_weight};
 
-/// What takes events and gives actions: the one [`Gatekeeper`], or something round it in tests.
+/// A decision state machine: the [`Gatekeeper`], or a wrapper of it in tests.
 pub trait Decide {
-    /// Takes in one event at an instant, and appends what is to be done about it.
-    fn handle(&mut self, now: Micros, event: Event, out: &mut Vec<Action>);
+    /// Handles one event and appends the resulting actions.
+    fn handle(&mut self, now: Micros, event: Event, actions: &mut Vec<Action>);
 
-    /// Requests, calls and timers that are not over: none at rest.
+    /// Number of unfinished requests, calls and timers; 0 when idle.
     fn pending(&self) -> usize;
 
-    /// Listed workers that get nothing for what they did.
+    /// Number of listed workers avoided after failures.
     fn avoided(&self) -> usize;
 
-    /// Requests that found no worker in time, since the start.
-    fn short(&self) -> u64;
+    /// Number of requests that found no worker in time since the start.
+    fn requests_without_worker(&self) -> u64;
 }
 
 impl Decide for Gatekeeper {
-    fn handle(&mut self, now: Micros, event: Event, out: &mut Vec<Action>) {
-        Gatekeeper::handle(self, now, event, out);
+    fn handle(&mut self, now: Micros, event: Event, actions: &mut Vec<Action>) {
+        Gatekeeper::handle(self, now, event, actions);
     }
 
     fn pending(&self) -> usize {
@@ -81,7 +80,7 @@
         Gatekeeper::avoided(self)
     }
 
-    fn short(&self) -> u64 {
-        Gatekeeper::short(self)
+    fn requests_without_worker(&self) -> u64 {
+        Gatekeeper::requests_without_worker(self)
     }
 }
--- a/crates/proxy/tests/relay.rs
+++ b/crates/proxy/tests/relay.rs
@@ -195,7 +195,7 @@
         let peers = self.registry.proxies.iter();
         let peers = peers.map(|proxy| PeerProxy { name: proxy.id.node.clone(), addr: proxy.peer });
         let mut homes = Homes::new(&edge(1));
-        homes.take(peers);
+        homes.set_live_proxies(peers);
         let Home::Peer(peer) = homes.home(0, service) else { return 0 };
         let index = self.registry.proxies.iter().position(|proxy| proxy.id.node == peer.name);
         index.expect("a proxy of the zone")
