--- a/crates/config-store/src/server.rs
+++ b/crates/config-store/src/server.rs
@@ -4,7 +4,7 @@
 use crate::data_dir::{DataDir, Loaded};
 use compact_str::CompactString;
 use eyre::{eyre, Context, Result};
-use hingestage_node::settings::InnerPort;
+use hingestage_node::settings::InternalPort;
 use hingestage_node::{incarnation, Settings, SettingsFile, Signals};
 use hingestage_replication::{
     digest, Micros, OutgoingRequest, Record, Replica, ReplicaConfig, TrialSet, VoterPolicy,
@@ -105,7 +105,7 @@
 
 /// Loads the replica from disk, or creates a new one.
 fn load(settings: &Settings, data_dir: &mut DataDir) -> Result<Replica> {
-    let addr = settings.inner(InnerPort::ConfigStore);
+    let addr = settings.internal_addr(InternalPort::ConfigStore);
     let loaded = data_dir.load(&settings.node)?;
     let (me, founder, record) = match loaded {
         Loaded::Intact { me, founder, record } => {
@@ -141,7 +141,7 @@
 
 /// Initializes the data directory for a new store.
 fn initialize(settings: &Settings, data_dir: &mut DataDir, founder: bool) -> Result<StoreMember> {
-    let addr = settings.inner(InnerPort::ConfigStore);
+    let addr = settings.internal_addr(InternalPort::ConfigStore);
     let disk = incarnation() ^ digest(settings.node.as_bytes());
     let (name, zone) = (settings.node.as_str().into(), settings.zone.as_str().into());
     let me = StoreMember { name, zone, addr, disk };
@@ -152,7 +152,7 @@
 /// Addresses of the stores on the seed machines.
 fn seed_stores(settings: &Settings) -> Vec<SocketAddr> {
     let machines: BTreeSet<_> = settings.seeds.iter().map(SocketAddr::ip).collect();
-    machines.into_iter().map(|ip| settings.inner_at(ip, InnerPort::ConfigStore)).collect()
+    machines.into_iter().map(|ip| settings.internal_addr_at(ip, InternalPort::ConfigStore)).collect()
 }
 
 /// Periodically asks seeds that are not known as replicas yet. Rereads the settings file, since seeds may change.
@@ -161,7 +161,7 @@
     loop {
         let current = file.current();
         for seed in &current.seeds {
-            let addr = current.inner_at(seed.ip(), InnerPort::ConfigStore);
+            let addr = current.internal_addr_at(seed.ip(), InternalPort::ConfigStore);
             let known = store.replica.borrow().members().iter().any(|member| member.addr == addr);
             if !known {
                 let (store, peer) = (store.clone(), Peer::new(addr));
@@ -215,7 +215,7 @@
     }
 
     fn exchange_period(&self, member: &StoreMember) -> Duration {
-        if self.settings.is_far(&member.zone) {
+        if self.settings.is_remote_region(&member.zone) {
             FAR_EXCHANGE_PERIOD
         } else {
             EXCHANGE_PERIOD
--- a/crates/gateway/src/sites.rs
+++ b/crates/gateway/src/sites.rs
@@ -192,7 +192,7 @@
         self.say(now);
         self.plan_again(now);
         if let Some(view) = view {
-            driver.feed(Event::Sites(view));
+            driver.handle_event(Event::Sites(view));
         }
     }
 
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -1,14 +1,14 @@
-//! Who the workers are, without I/O: what each source says of them, since when, and the one rule that joins it.
+//! Merges the workers reported by discovery and by DNS into one view, without I/O.
 //!
-//! Sources are the list of discovery ([`hosts::HostList`]) and addresses from DNS ([`Address`]). [`rule`] has the
-//! rule as a pure function, [`Membership`] applies it and gives what to tell the decisions. With the list alone
-//! every word of it is passed on as it is.
+//! [`hosts::HostList`] is discovery's list, [`Address`] a DNS record. [`resolve()`] decides on the state of a
+//! worker where both report it; [`Membership`] tracks the reports and produces the updates for the decision
+//! logic. With discovery alone, its list is passed on unchanged.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
 pub mod hosts;
 mod members;
-pub mod rule;
+pub mod resolution;
 
-pub use members::{Address, Change, Located, Membership, Sources, Told};
-pub use rule::{ListWord, SrvWord, Verdict};
+pub use members::{Address, Membership, MembershipUpdate, Sources, WorkerLocation, WorkerUpdate};
+pub use resolution::{DnsStatus, ListStatus, WorkerState};
--- a/crates/registry/src/trial_handlers.rs
+++ b/crates/registry/src/trial_handlers.rs
@@ -6,7 +6,7 @@
 use bytes::Bytes;
 use eyre::{eyre, WrapErr};
 use hingestage_configuration::Configuration;
-use hingestage_node::time_of_day;
+use hingestage_node::unix_millis;
 use hingestage_replication::digest;
 use hingestage_rpc::messages::{Change, Proposed, StoreAnswer, StoreRequest};
 use hingestage_rpc::trials::{TrialPosition, TrialRecord, TERMS_BYTES_MAX};
@@ -145,7 +145,7 @@
         let committed = self.committed.borrow();
         let document = committed.configs.newest()?;
         let configuration = Configuration::parse(&document.json).ok()?;
-        Some(first.records(&configuration, time_of_day()))
+        Some(first.records(&configuration, unix_millis()))
     }
 
     /// Proposes due steps while this registry is the elected reader.
@@ -155,7 +155,7 @@
             if self.election.borrow().fence().is_none() || self.committed.borrow().trials.is_empty() {
                 continue;
             }
-            let steps = self.committed.borrow().trials.steps_due(self.now(), time_of_day());
+            let steps = self.committed.borrow().trials.steps_due(self.now(), unix_millis());
             if steps.is_empty() {
                 continue;
             }
