--- a/crates/config-store/src/audit.rs
+++ b/crates/config-store/src/audit.rs
@@ -4,7 +4,7 @@
 //! database is created with the first step.
 
 use eyre::{Result, WrapErr};
-use hingestage_node::time_of_day;
+use hingestage_node::unix_millis;
 use hingestage_rpc::trials::{AuditEntry, TrialRecord};
 use redb::{Database, ReadableTable, ReadableTableMetadata, TableDefinition};
 use std::cell::OnceCell;
@@ -54,7 +54,7 @@
             for record in records {
                 number += 1;
                 let (tenant, position) = (record.tenant.clone(), record.position);
-                let entry = AuditEntry { at: time_of_day(), tenant, position };
+                let entry = AuditEntry { at: unix_millis(), tenant, position };
                 steps.insert(number, serde_json::to_vec(&entry)?.as_slice())?;
             }
             while steps.len()? > ENTRIES_MAX {
--- a/crates/dataplane/tests/workers.rs
+++ b/crates/dataplane/tests/workers.rs
@@ -1,9 +1,11 @@
-//! Connections to workers on real sockets: which answers are whole, and which connections serve again.
+//! Worker connections on real sockets: response framing and connection reuse.
 
 use bytes::Bytes;
 use hingestage_dataplane::body::RequestBody;
-use hingestage_dataplane::dialect::{Dialect, Judgement, Parts};
-use hingestage_dataplane::workers::{Progress, Served, ServedBody, Times, Workers};
+use hingestage_dataplane::protocol::{Classification, RequestParts, WorkerProtocol};
+use hingestage_dataplane::workers::{
+    AttemptProgress, AttemptTimes, WorkerResponse, WorkerResponseBody, Workers,
+};
 use hingestage_platform::{Platform, Tokio};
 use hingestage_policy::{Outcome, WorkerId};
 use hyper::header::{HeaderMap, HeaderValue, HOST};
@@ -16,35 +18,35 @@
 use tokio::task::LocalSet;
 
 const WORKER: WorkerId = WorkerId(1);
-const PATIENCE: Duration = Duration::from_secs(5);
-/// A connection rests for a moment before it serves again.
-const REST: Duration = Duration::from_millis(20);
+const TIMEOUT: Duration = Duration::from_secs(5);
+/// Longer than the minimum idle time before reuse.
+const IDLE_BEFORE_REUSE: Duration = Duration::from_millis(20);
 const WORKER_IDLE: Duration = Duration::from_secs(60);
-const PLAIN: &str = "HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nhi";
+const OK_RESPONSE: &str = "HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nhi";
 
-/// Takes each answer below 500 for a good one.
+/// Treats each response below 500 as successful.
 #[derive(Default)]
-struct Plain {
-    heads_seen: Cell<usize>,
+struct TestProtocol {
+    headers_observed: Cell<usize>,
 }
 
-impl Dialect for Plain {
-    fn write_head(&self, parts: &Parts, _worker: WorkerId, _left: Duration, headers: &mut HeaderMap) {
+impl WorkerProtocol for TestProtocol {
+    fn write_head(&self, parts: &RequestParts, _worker: WorkerId, _left: Duration, headers: &mut HeaderMap) {
         headers.insert(HOST, HeaderValue::from_static("worker.local"));
         headers.insert("call-id", parts.id.clone());
     }
 
-    fn judge(&self, _parts: &Parts, status: StatusCode, _headers: &HeaderMap) -> Judgement {
+    fn classify(&self, _parts: &RequestParts, status: StatusCode, _headers: &HeaderMap) -> Classification {
         let outcome = if status.is_server_error() { Outcome::Error } else { Outcome::Ok };
-        Judgement { outcome, true_units: None }
+        Classification { outcome, true_units: None }
     }
 
-    fn passed_on(&self, headers: &HeaderMap) -> HeaderMap {
+    fn client_headers(&self, headers: &HeaderMap) -> HeaderMap {
         headers.clone()
     }
 
-    fn listen(&self, _worker: WorkerId, _headers: &HeaderMap) {
-        self.heads_seen.set(self.heads_seen.get() + 1);
+    fn observe_headers(&self, _worker: WorkerId, _headers: &HeaderMap) {
+        self.headers_observed.set(self.headers_observed.get() + 1);
     }
 
     fn may_reuse(&self, headers: &HeaderMap) -> bool {
@@ -52,11 +54,11 @@
     }
 }
 
-/// A worker that gives every request the same answer.
+/// A worker that answers every request alike.
 struct Worker {
     answer: &'static str,
     connections: Cell<usize>,
-    heads: RefCell<Vec<String>>,
+    head_texts: RefCell<Vec<String>>,
 }
 
 impl Worker {
@@ -67,13 +69,13 @@
         }
     }
 
-    /// Leaves the connection open whatever the answer says: closing is for the other side here.
+    /// Never closes a connection, whatever the response says.
     async fn answer_all(self: Rc<Self>, mut stream: TcpStream) {
         let mut head = Vec::new();
         while let Ok(byte) = stream.read_u8().await {
             head.push(byte);
             if head.ends_with(b"\r\n\r\n") {
-                self.heads.borrow_mut().push(String::from_utf8_lossy(&head).into_owned());
+                self.head_texts.borrow_mut().push(String::from_utf8_lossy(&head).into_owned());
                 head.clear();
                 let _ = stream.write_all(self.answer.as_bytes()).await;
             }
@@ -81,84 +83,85 @@
     }
 }
 
-/// What came of two requests, one after the other.
-struct Played {
+/// The results of two consecutive requests.
+struct Exchanges {
     outcome: Outcome,
-    served: Option<Served<TcpStream>>,
-    /// Connections that the two took.
+    served: Option<WorkerResponse<TcpStream>>,
+    /// Connections that the two requests used.
     connections: usize,
-    heads: Vec<String>,
-    heads_seen: usize,
+    head_texts: Vec<String>,
+    headers_observed: usize,
 }
 
-fn play(method: Method, answer: &'static str) -> Played {
+fn exchange_twice(method: Method, answer: &'static str) -> Exchanges {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
-    LocalSet::new().block_on(&runtime, ask_twice(method, answer))
+    LocalSet::new().block_on(&runtime, request_twice(method, answer))
 }
 
-async fn ask_twice(method: Method, answer: &'static str) -> Played {
+async fn request_twice(method: Method, answer: &'static str) -> Exchanges {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let at = listener.local_addr().unwrap();
-    let worker = Rc::new(Worker { answer, connections: Cell::new(0), heads: RefCell::default() });
+    let worker = Rc::new(Worker { answer, connections: Cell::new(0), head_texts: RefCell::default() });
     tokio::task::spawn_local(worker.clone().serve(listener));
-    let dialect = Rc::new(Plain::default());
-    let workers = Workers::new(Tokio, 8, PATIENCE, WORKER_IDLE, dialect.clone());
-    workers.list(WORKER, at, 1, true);
-    let first = ask(&workers, &method).await;
-    ask(&workers, &method).await;
-    Played {
+    let protocol = Rc::new(TestProtocol::default());
+    let workers = Workers::new(Tokio, 8, TIMEOUT, WORKER_IDLE, protocol.clone());
+    workers.update(WORKER, at, 1, true);
+    let first = request(&workers, &method).await;
+    request(&workers, &method).await;
+    Exchanges {
         outcome: first.0,
         served: first.1,
         connections: worker.connections.get(),
-        heads: worker.heads.take(),
-        heads_seen: dialect.heads_seen.get(),
+        head_texts: worker.head_texts.take(),
+        headers_observed: protocol.headers_observed.get(),
     }
 }
 
-async fn ask(workers: &Workers<Tokio>, method: &Method) -> (Outcome, Option<Served<TcpStream>>) {
+async fn request(workers: &Workers<Tokio>, method: &Method) -> (Outcome, Option<WorkerResponse<TcpStream>>) {
     let mut headers = HeaderMap::new();
     headers.insert("content-type", HeaderValue::from_static("text/plain"));
-    let parts = Rc::new(Parts {
+    let parts = Rc::new(RequestParts {
         method: method.clone(),
         uri: "/path?query".parse().unwrap(),
         id: HeaderValue::from_static("id-1"),
         headers,
-        body: RequestBody::Whole(Bytes::new()),
+        body: RequestBody::Buffered(Bytes::new()),
     });
-    let deadline = Tokio.now() + PATIENCE;
-    let times = Times { begin_by: deadline, deadline };
-    let mut attempted = workers.attempt(WORKER, &parts, times, &Progress::default()).await;
+    let deadline = Tokio.now() + TIMEOUT;
+    let times = AttemptTimes { begin_by: deadline, deadline };
+    let mut attempted = workers.attempt(WORKER, &parts, times, &AttemptProgress::default()).await;
     let ended = (attempted.outcome, attempted.served.take());
-    workers.give_back(WORKER, attempted).await;
-    Tokio.sleep(REST).await;
+    workers.release(WORKER, attempted).await;
+    Tokio.sleep(IDLE_BEFORE_REUSE).await;
     ended
 }
 
-fn body(served: Option<Served<TcpStream>>) -> Bytes {
+fn body(served: Option<WorkerResponse<TcpStream>>) -> Bytes {
     match served.map(|served| served.body) {
-        Some(ServedBody::Whole(bytes)) => bytes,
+        Some(WorkerResponseBody::Buffered(bytes)) => bytes,
         _ => panic!("no whole answer"),
     }
 }
 
 #[test]
-fn a_head_is_written_by_the_dialect_and_a_good_answer_keeps_status_and_headers() {
-    let played = play(Method::GET, "HTTP/1.1 404 Not Found\r\nkind: none\r\ncontent-length: 2\r\n\r\nno");
-    assert_eq!(played.outcome, Outcome::Ok);
+fn the_protocol_writes_the_head_and_a_response_keeps_status_and_headers() {
+    let exchanges =
+        exchange_twice(Method::GET, "HTTP/1.1 404 Not Found\r\nkind: none\r\ncontent-length: 2\r\n\r\nno");
+    assert_eq!(exchanges.outcome, Outcome::Ok);
     for line in
         ["GET /path?query HTTP/1.1", "host: worker.local", "call-id: id-1", "content-type: text/plain"]
     {
-        assert!(played.heads[0].contains(line), "{line} is missing: {}", played.heads[0]);
+        assert!(exchanges.head_texts[0].contains(line), "{line} is missing: {}", exchanges.head_texts[0]);
     }
-    let served = played.served.unwrap();
+    let served = exchanges.served.unwrap();
     assert_eq!(served.status, StatusCode::NOT_FOUND);
     assert_eq!(served.headers["kind"], "none");
     assert_eq!(body(Some(served)), "no");
-    assert_eq!((played.connections, played.heads_seen), (1, 2));
+    assert_eq!((exchanges.connections, exchanges.headers_observed), (1, 2));
 }
 
 #[test]
-fn an_answer_that_has_no_body_by_rule_is_whole_without_a_length() {
+fn a_response_that_never_has_a_body_needs_no_length() {
     for (method, answer) in [
         (Method::GET, "HTTP/1.1 204 No Content\r\n\r\n"),
         (Method::GET, "HTTP/1.1 304 Not Modified\r\n\r\n"),
@@ -166,36 +169,36 @@
         (Method::HEAD, "HTTP/1.1 200 OK\r\ncontent-length: 900000\r\n\r\n"),
         (Method::HEAD, "HTTP/1.1 200 OK\r\ncontent-length: 90000000\r\n\r\n"),
     ] {
-        let played = play(method, answer);
-        assert_eq!((played.outcome, played.connections), (Outcome::Ok, 1), "{answer:?}");
-        assert_eq!(body(played.served), "", "{answer:?}");
+        let exchanges = exchange_twice(method, answer);
+        assert_eq!((exchanges.outcome, exchanges.connections), (Outcome::Ok, 1), "{answer:?}");
+        assert_eq!(body(exchanges.served), "", "{answer:?}");
     }
 }
 
 #[test]
-fn a_good_answer_without_a_length_is_spoilt_and_a_bad_one_costs_its_connection() {
-    let good = play(Method::GET, "HTTP/1.1 200 OK\r\n\r\nhi");
+fn a_response_without_framing_is_unusable_or_ends_its_connection() {
+    let good = exchange_twice(Method::GET, "HTTP/1.1 200 OK\r\n\r\nhi");
     assert_eq!((good.outcome, good.connections), (Outcome::Unusable, 2));
-    let bad = play(Method::GET, "HTTP/1.1 500 Internal Server Error\r\n\r\nno");
+    let bad = exchange_twice(Method::GET, "HTTP/1.1 500 Internal Server Error\r\n\r\nno");
     assert_eq!((bad.outcome, bad.connections), (Outcome::Error, 2));
 }
 
 #[test]
-fn a_connection_serves_again_unless_worker_or_dialect_says_otherwise() {
+fn a_connection_is_reused_unless_the_worker_or_the_protocol_forbids_it() {
     for (answer, connections) in [
-        (PLAIN, 1),
+        (OK_RESPONSE, 1),
         ("HTTP/1.1 200 OK\r\nconnection: close\r\ncontent-length: 2\r\n\r\nhi", 2),
         ("HTTP/1.0 200 OK\r\ncontent-length: 2\r\n\r\nhi", 2),
         ("HTTP/1.1 200 OK\r\nleave: now\r\ncontent-length: 2\r\n\r\nhi", 2),
     ] {
-        let played = play(Method::GET, answer);
-        assert_eq!((played.outcome, played.connections), (Outcome::Ok, connections), "{answer:?}");
+        let exchanges = exchange_twice(Method::GET, answer);
+        assert_eq!((exchanges.outcome, exchanges.connections), (Outcome::Ok, connections), "{answer:?}");
     }
 }
 
 #[test]
-fn a_connection_idles_no_longer_than_its_worker_says_less_a_second() {
-    for (told, connections) in [
+fn keep_alive_timeouts_of_workers_limit_reuse() {
+    for (announced, connections) in [
         ("timeout=5, max=100", 1),
         ("max=100, Timeout = 60", 1),
         ("timeout=1", 2),
@@ -203,8 +206,8 @@
         ("timeout=soon", 1),
         ("max=100", 1),
     ] {
-        let answer = format!("HTTP/1.1 200 OK\r\nKeep-Alive: {told}\r\ncontent-length: 2\r\n\r\nhi");
-        let played = play(Method::GET, answer.leak());
-        assert_eq!((played.outcome, played.connections), (Outcome::Ok, connections), "{told}");
+        let answer = format!("HTTP/1.1 200 OK\r\nKeep-Alive: {announced}\r\ncontent-length: 2\r\n\r\nhi");
+        let exchanges = exchange_twice(Method::GET, answer.leak());
+        assert_eq!((exchanges.outcome, exchanges.connections), (Outcome::Ok, connections), "{announced}");
     }
 }
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -1,4 +1,4 @@
-//! What every program of the system shares: its settings file, command line, log, signals and runtime.
+//! Shared by all programs: settings file, command line, log, signals and runtime.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
@@ -7,7 +7,7 @@
 mod settings_file;
 mod signals;
 
-pub use program::{incarnation, run, time_of_day, Program};
+pub use program::{incarnation, run, unix_millis, Program};
 pub use settings::Settings;
 pub use settings_file::SettingsFile;
 pub use signals::Signals;
