--- a/crates/failover/src/belief.rs
+++ b/crates/failover/src/belief.rs
@@ -1,76 +1,83 @@
-//! What is believed of each site, by evidence over all its workers.
+//! Per-site failure detection from the evidence of all its workers.
 //!
-//! A worker *fails* when an attempt there ends without a byte of an answer, or waits for one far longer than is
-//! usual. Any answer from any worker of a site, good or bad, proves that the site can be reached, and takes back
-//! all failures before it. A site is lost to this gateway once several different workers of it have failed with no
-//! answer between: a few bad ones among good ones never come to that, because the good ones answer.
+//! A worker *fails* when an attempt ends without any byte of a response or waits far longer than usual. Any response
+//! from any worker of a site proves that the site is reachable and clears its earlier failures. A site is lost once
+//! several different workers have failed with no response in between, so a few bad workers among good ones never make
+//! a site look lost.
 //!
 //! | state | evidence | ends |
 //! | --- | --- | --- |
-//! | well | an answer | |
-//! | slow | answers, three times as late as the other sites' | with them |
-//! | cold | all its workers have started lately | when they are warm |
-//! | lost | several workers failed, no answer between; or none is listed; or an operator says so | with an answer to a probe |
-//! | cut off | lost, while other gateways hear it | the same |
-//! | returning | an answer after a loss | when all load is back, or it fails again |
+//! | healthy | a response | |
+//! | slow | responses, three times as late as the other sites' | with them |
+//! | warming up | all its workers started recently | when they are warm |
+//! | lost | several workers failed with no response in between; or none is listed; or an operator override | with a response to a probe |
+//! | cut off | lost, while other gateways still reach it | the same |
+//! | recovering | a response after a loss | when all load is back, or it fails again |
 //!
-//! Where every site looks lost the fault is this gateway's own, or nothing is left to choose: nothing is shut. Nor does
-//! one that returns let in a part only while no other site takes the rest.
+//! If every site looks lost, the fault is probably this gateway's own, and nothing is closed. The ramp of a
+//! recovering site is enforced only while another site is healthy and takes the rest.
 
 use crate::view::{Admission, Probe, Refused, Shares, View};
 use crate::Micros;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// An attempt that has waited for this many usual answers fails its worker, but not before the least time, µs.
-const QUIET: (f64, Micros) = (6.0, 100_000);
-/// One that was called off fails it after as many, and this least time.
-const GIVEN_UP: (f64, Micros) = (3.0, 30_000);
-/// Workers of a site that must have failed, or all where it has fewer, and failures in all.
-const FAILED: (usize, u32) = (3, 4);
-/// Where a site has this many workers, one more must have failed for each so many.
-const ONE_MORE: usize = 24;
-/// Most workers that must have failed: a gateway of hundreds knows few of each site.
-const FAILED_MAX: usize = 5;
-/// Weight of an answer's latency in the usual one.
-const LEARN: f64 = 0.05;
-/// Span that answers a second are counted over, µs.
-const RATE: f64 = 5e6;
-/// So many times as late as the others, a site is slow; with this many answers to go by.
-const SLOW: (f64, u32) = (3.0, 8);
-/// A step of the return goes on to the next when no more than this part of its attempts failed, ...
-const STEP_FAILS: f64 = 0.2;
-/// ... or after so many times its least time, as some workers may be bad for long; ...
-const STEP_MOST: Micros = 4;
-/// ... and back to the one before when more than this part did, of so many at the least.
-const BACK_FAILS: f64 = 0.5;
-/// See `BACK_FAILS`.
-const STEP_LEAST: u32 = 4;
-/// Most sites and workers that are kept; more are as if never listed.
-const SITES_MAX: usize = 64;
-/// See `SITES_MAX`.
-const WORKERS_MAX: usize = 4_096;
-/// Other gateways whose word on sites is kept.
-const OTHERS_MAX: usize = 256;
-
-/// Times and parts, all in µs or of 1.
+/// An attempt that waits for this many usual latencies fails its worker.
+const SILENCE_FACTOR: f64 = 6.0;
+/// Lower bound of that wait, µs.
+const MIN_SILENCE: Micros = 100_000;
+/// A cancelled attempt fails its worker after this many usual latencies.
+const CANCELLED_FACTOR: f64 = 3.0;
+/// Lower bound of that wait, µs.
+const MIN_CANCELLED_WAIT: Micros = 30_000;
+/// Distinct workers that must have failed for a loss, or all if the site has fewer.
+const MIN_FAILED_WORKERS: usize = 3;
+/// Failures in all that a loss takes.
+const MIN_FAILURES: u32 = 4;
+/// One more worker must have failed for each so many ready workers of the site.
+const READY_PER_EXTRA_FAILED: usize = 24;
+/// Upper bound of that number: in a large fleet a gateway uses only a few workers of each site.
+const MAX_FAILED_WORKERS: usize = 5;
+/// Weight of a new latency in the moving average.
+const LATENCY_WEIGHT: f64 = 0.05;
+/// Time constant of the response rate, µs.
+const RATE_WINDOW_US: f64 = 5e6;
+/// A site is slow at this multiple of the other sites' latency.
+const SLOW_FACTOR: f64 = 3.0;
+/// Responses needed to judge a site's latency.
+const MIN_LATENCY_SAMPLES: u32 = 8;
+/// A ramp step advances when at most this fraction of its attempts failed.
+const ADVANCE_MAX_FAILURES: f64 = 0.2;
+/// It advances anyway after this many step times, as some workers may stay bad for long.
+const MAX_STEP_TIMES: Micros = 4;
+/// A ramp step goes back when more than this fraction failed.
+const RETREAT_MIN_FAILURES: f64 = 0.5;
+/// Attempts needed to judge a step that has failures.
+const MIN_STEP_ATTEMPTS: u32 = 4;
+/// Maximum number of sites; more are ignored.
+const MAX_SITES: usize = 64;
+/// Maximum number of workers; more are ignored.
+const MAX_WORKERS: usize = 4_096;
+/// Maximum number of peers whose reports are kept.
+const MAX_PEERS: usize = 256;
+
+/// Settings of the failure detector. Times are in µs.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Figures {
-    /// An answer that takes this long is usual, until answers tell.
+    /// Latency assumed until responses have been measured.
     pub usual: Micros,
-    /// Between two probes of a lost site by this gateway. A fleet of many probes less often each.
+    /// Interval between two probes of a lost site by this gateway. In a large fleet each gateway probes less often.
     pub probe_gap: Micros,
-    /// The part of load that a returning site gets at first, and the least: below it, it is lost again.
+    /// Share of its load that a recovering site gets first. If the share falls below it, the site is lost again.
     pub first_share: f64,
-    /// The least time of a step of the return; the part is doubled with each, so that the return from an eighth
-    /// takes three steps at least.
+    /// Minimum duration of a ramp step. Each step doubles the share, so a ramp from an eighth takes three steps.
     pub step: Micros,
-    /// A loss that was over sooner was none: all load is back at once.
+    /// A loss shorter than this is ignored: all load returns at once.
     pub blip: Micros,
-    /// Each further loss holds a site out for twice as long, unless it was well for this time ...
+    /// The backoff after repeated losses is reset when the site was healthy for this long.
     pub forgive: Micros,
-    /// ... from the first of these to the last.
+    /// Backoff after the second loss, and its upper bound; it doubles with each further loss.
     pub hold_out: (Micros, Micros),
-    /// Workers are cold for so long after their start.
+    /// Warm-up time of a worker after its start.
     pub cold_for: Micros,
 }
 
@@ -89,53 +96,53 @@
     }
 }
 
-/// Why a site is lost.
+/// Cause of a site's loss.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Why {
-    /// Its workers failed.
+    /// Its workers stopped responding.
     Silent,
     /// None of its workers is listed as ready.
     Unlisted,
-    /// An operator said so.
+    /// An operator declared it lost.
     Declared,
 }
 
-/// What an operator says of a site.
+/// An operator's override of a site's state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Declared {
-    /// It is lost, whatever answers.
+    /// Lost, whatever responds.
     Lost,
-    /// It is well, whatever fails.
+    /// Healthy, whatever fails.
     Well,
-    /// A return goes no further than it is.
+    /// The ramp stays at its current share.
     Hold,
 }
 
-/// What a site is taken for.
+/// Status of a site.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Standing {
-    /// All may go there.
+    /// Receives all of its load.
     Well,
-    /// All may, and its answers are late.
+    /// Receives all of its load; its responses are late.
     Slow,
-    /// All may, as far as its workers, all new, can bear.
+    /// Receives all of its load; all its workers started recently.
     Cold,
-    /// Nothing may go there.
+    /// Receives no load.
     Lost(Why),
-    /// Nothing may go there from here, while other gateways hear it.
+    /// Unreachable from this gateway, while other gateways reach it.
     CutOff,
-    /// This part may.
+    /// Receives this share of its load.
     Returning(f64),
 }
 
-/// What an attempt came to, as far as a site is concerned.
+/// Result of an attempt, as evidence about its site.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Told {
-    /// Bytes of an answer came, of whatever kind, so long after it was sent.
+    /// Bytes of any response arrived, this long after the attempt was sent.
     Answered(Micros),
-    /// No connection, a connection that broke, or silence.
+    /// No connection, a broken connection or a timeout.
     Failed,
-    /// Called off or not sent for reasons of our own.
+    /// Cancelled or not sent for reasons of the gateway's own.
     Nothing,
 }
 
@@ -144,10 +151,10 @@
     site: usize,
     ready: bool,
     started: Option<Micros>,
-    /// Attempts out, and since when the worker has owed an answer.
-    out: u32,
-    owes: Option<Micros>,
-    /// It failed since the site's last answer.
+    /// Attempts in flight, and since when a response is awaited.
+    in_flight: u32,
+    awaiting_since: Option<Micros>,
+    /// It failed since the site's last response.
     failed: bool,
 }
 
@@ -155,73 +162,73 @@
 enum State {
     Well,
     Lost { since: Micros, why: Why, probe_at: Micros, probe: Option<Probe> },
-    Returning { share: f64, since: Micros, answers: u32, fails: u32 },
+    Returning { share: f64, since: Micros, responses: u32, fails: u32 },
 }
 
 #[derive(Clone, Debug)]
 struct Site {
     name: String,
     state: State,
-    /// Failures since its last answer.
+    /// Failures since its last response.
     fails: u32,
-    /// When it was last heard.
-    heard: Option<Micros>,
-    /// Mean latency of its answers, and how many are behind it.
+    /// Time of its last response.
+    last_response: Option<Micros>,
+    /// Mean latency of its responses, and their number.
     latency: f64,
-    answers: u32,
-    /// Answers a second of the last seconds, as of its last answer, and the most that it has been.
+    responses: u32,
+    /// Responses per second at the time of the last one, and its maximum.
     rate: f64,
-    most: f64,
-    /// How often it was lost with no long time of being well between, and when it last was not well.
+    peak_rate: f64,
+    /// Losses without a long healthy time in between, and when it last was not healthy.
     losses: u32,
-    troubled: Micros,
-    declared: Option<Declared>,
-    /// When each other gateway last heard it.
-    others: BTreeMap<u32, Micros>,
+    last_unhealthy: Micros,
+    operator_override: Option<Declared>,
+    /// When each peer last received a response from it.
+    peer_responses: BTreeMap<u32, Micros>,
 }
 
-/// What one gateway believes of all sites.
+/// Failure detector of one gateway for all sites.
 #[derive(Clone, Debug)]
 pub struct Belief {
     figures: Figures,
-    /// The site of each zone, where a file says so; a zone that is not named is a site of its own.
+    /// The site of each zone. If the configuration names no sites, every zone is one.
     zones: BTreeMap<String, usize>,
     named: bool,
     sites: Vec<Site>,
     workers: BTreeMap<u64, Worker>,
-    usual: f64,
+    usual_latency: f64,
     probes: u64,
-    /// Where the load goes while a set of sites is lost, made ahead.
-    ahead: BTreeMap<BTreeSet<usize>, Shares>,
-    /// What was last said, so that only news make a view.
-    said: Option<(Vec<Admission>, Refused)>,
+    /// Precomputed load shares by the set of lost sites.
+    shares_by_loss: BTreeMap<BTreeSet<usize>, Shares>,
+    /// The last view's contents, to report changes only.
+    last_view: Option<(Vec<Admission>, Refused)>,
 }
 
 impl Belief {
-    /// Of sites that a file names, each with its zones; where it names none, each zone is a site.
+    /// Creates a monitor for configured sites, each with its zones; if there are none, each zone is a site.
     pub fn new(figures: Figures, sites: &[(String, Vec<String>)]) -> Belief {
-        let usual = figures.usual as f64;
+        let usual_latency = figures.usual as f64;
         let mut belief = Belief {
             figures,
             zones: BTreeMap::new(),
             named: !sites.is_empty(),
             sites: Vec::new(),
             workers: BTreeMap::new(),
-            usual,
+            usual_latency,
             probes: 0,
-            ahead: BTreeMap::new(),
-            said: None,
+            shares_by_loss: BTreeMap::new(),
+            last_view: None,
         };
-        for (name, zones) in sites.iter().take(SITES_MAX) {
-            let place = belief.add_site(name);
-            belief.zones.extend(zones.iter().map(|zone| (zone.clone(), place)));
+        for (name, zones) in sites.iter().take(MAX_SITES) {
+            let index = belief.add_site(name);
+            belief.zones.extend(zones.iter().map(|zone| (zone.clone(), index)));
         }
         belief
     }
 
-    /// Goes by such tables of where load goes while sites are lost.
-    pub fn go_by(&mut self, ahead: BTreeMap<BTreeSet<usize>, Shares>) {
-        (self.ahead, self.said) = (ahead, None);
+    /// Replaces the precomputed load shares by the set of lost sites.
+    pub fn go_by(&mut self, shares_by_loss: BTreeMap<BTreeSet<usize>, Shares>) {
+        (self.shares_by_loss, self.last_view) = (shares_by_loss, None);
     }
 
     fn add_site(&mut self, name: &str) -> usize {
@@ -229,25 +236,25 @@
             name: name.to_owned(),
             state: State::Well,
             fails: 0,
-            heard: None,
+            last_response: None,
             latency: 0.0,
-            answers: 0,
+            responses: 0,
             rate: 0.0,
-            most: 0.0,
+            peak_rate: 0.0,
             losses: 0,
-            troubled: 0,
-            declared: None,
-            others: BTreeMap::new(),
+            last_unhealthy: 0,
+            operator_override: None,
+            peer_responses: BTreeMap::new(),
         });
         self.sites.len() - 1
     }
 
-    /// The site of a zone; a new one where the file names none.
+    /// The site of a zone; adds one if no sites are configured.
     fn site_of(&mut self, zone: &str) -> Option<usize> {
         if let Some(site) = self.zones.get(zone) {
             return Some(*site);
         }
-        if self.named || self.sites.len() >= SITES_MAX {
+        if self.named || self.sites.len() >= MAX_SITES {
             return None;
         }
         let site = self.add_site(zone);
@@ -255,229 +262,234 @@
         Some(site)
     }
 
-    /// A worker is listed: its zone, whether it takes work, and when it started.
+    /// Adds or updates a worker: its zone, whether it accepts work, and when it started.
     pub fn listed(&mut self, id: u64, zone: &str, ready: bool, started: Option<Micros>) {
         let Some(site) = self.site_of(zone) else { return };
-        let full = self.workers.len() >= WORKERS_MAX;
+        let full = self.workers.len() >= MAX_WORKERS;
         match self.workers.get_mut(&id) {
             Some(known) if known.site == site && known.started == started => known.ready = ready,
             None if full => {}
-            // Another life: what the last one owes is nobody's.
+            // A restarted worker does not inherit the attempts of its previous process.
             _ => {
-                let fresh = Worker { site, ready, started, out: 0, owes: None, failed: false };
+                let fresh =
+                    Worker { site, ready, started, in_flight: 0, awaiting_since: None, failed: false };
                 self.workers.insert(id, fresh);
             }
         }
     }
 
-    /// A worker is listed no more.
+    /// Removes a worker.
     pub fn unlisted(&mut self, id: u64) {
         self.workers.remove(&id);
     }
 
-    /// A list of all: those absent are no more.
+    /// Removes all workers that are not in a full list.
     pub fn keep_only(&mut self, listed: &BTreeSet<u64>) {
         self.workers.retain(|id, _| listed.contains(id));
     }
 
-    /// An attempt goes out, and an answer is owed from now on.
+    /// Records an attempt that was sent.
     pub fn sent(&mut self, now: Micros, id: u64) {
         let Some(worker) = self.workers.get_mut(&id) else { return };
-        worker.out += 1;
-        worker.owes.get_or_insert(now);
+        worker.in_flight += 1;
+        worker.awaiting_since.get_or_insert(now);
     }
 
-    /// An attempt ended.
+    /// Records the result of an attempt.
     pub fn ended(&mut self, now: Micros, id: u64, told: Told) {
-        let given_up = self.span(GIVEN_UP);
+        let given_up = self.usual_times(CANCELLED_FACTOR, MIN_CANCELLED_WAIT);
         let Some(worker) = self.workers.get_mut(&id) else { return };
-        worker.out = worker.out.saturating_sub(1);
+        worker.in_flight = worker.in_flight.saturating_sub(1);
         let site = worker.site;
         match told {
             Told::Answered(latency) => {
-                // Whatever else is out there is owed an answer from now on.
-                worker.owes = (worker.out > 0).then_some(now);
-                self.heard(now, site, latency);
+                // The wait for other attempts in flight starts again.
+                worker.awaiting_since = (worker.in_flight > 0).then_some(now);
+                self.record_response(now, site, latency);
             }
             Told::Failed => {
                 worker.failed = true;
-                worker.owes = (worker.out > 0).then_some(worker.owes.unwrap_or(now));
-                self.failed(now, site);
+                worker.awaiting_since =
+                    (worker.in_flight > 0).then_some(worker.awaiting_since.unwrap_or(now));
+                self.record_failure(now, site);
             }
             Told::Nothing => {
-                // Given up for its silence, though not for as long as an attempt that nobody gives up.
-                let waited = worker.owes.map_or(0, |since| now.saturating_sub(since));
-                worker.owes = worker.owes.filter(|_| worker.out > 0);
+                // Cancelled attempts count as failures only after a long wait.
+                let waited = worker.awaiting_since.map_or(0, |since| now.saturating_sub(since));
+                worker.awaiting_since = worker.awaiting_since.filter(|_| worker.in_flight > 0);
                 if waited > given_up {
                     worker.failed = true;
-                    self.failed(now, site);
+                    self.record_failure(now, site);
                 }
             }
         }
     }
 
-    fn heard(&mut self, now: Micros, site: usize, latency: Micros) {
-        // Where nothing has failed since the last answer, which is nearly always, there is nothing to take back.
+    fn record_response(&mut self, now: Micros, site: usize, latency: Micros) {
+        // Skips the scan in the usual case without failures.
         if self.sites[site].fails > 0 {
             let own = self.workers.values_mut().filter(|worker| worker.site == site);
             own.for_each(|worker| worker.failed = false);
         }
         let latency = latency as f64;
-        self.usual += (latency - self.usual) * LEARN;
-        let (figures, of_site) = (&self.figures, &self.workers);
+        self.usual_latency += (latency - self.usual_latency) * LATENCY_WEIGHT;
+        let (figures, workers) = (&self.figures, &self.workers);
         let own = &mut self.sites[site];
-        own.answers = own.answers.saturating_add(1);
-        own.latency += (latency - own.latency) * LEARN.max(1.0 / f64::from(own.answers));
-        let quiet = own.heard.map_or(f64::MAX, |at| now.saturating_sub(at) as f64);
-        own.rate = own.rate * (-quiet / RATE).exp() + 1e6 / RATE;
-        own.most = own.most.max(own.rate);
-        (own.fails, own.heard) = (0, Some(now));
+        own.responses = own.responses.saturating_add(1);
+        own.latency += (latency - own.latency) * LATENCY_WEIGHT.max(1.0 / f64::from(own.responses));
+        let idle = own.last_response.map_or(f64::MAX, |at| now.saturating_sub(at) as f64);
+        own.rate = own.rate * (-idle / RATE_WINDOW_US).exp() + 1e6 / RATE_WINDOW_US;
+        own.peak_rate = own.peak_rate.max(own.rate);
+        (own.fails, own.last_response) = (0, Some(now));
         match &mut own.state {
             State::Well => {}
-            State::Returning { answers, .. } => *answers += 1,
-            // Nothing goes there, whatever answers.
+            State::Returning { responses, .. } => *responses += 1,
+            // An operator override outranks responses.
             State::Lost { why: Why::Declared, .. } => {}
             State::Lost { since, .. } => {
                 let since = *since;
                 let new = |worker: &Worker| worker.started.is_some_and(|at| at >= since);
-                let anew = of_site.values().any(|worker| worker.site == site && new(worker));
-                let blip = now < since + figures.blip && !anew;
-                own.state = match blip {
+                let restarted = workers.values().any(|worker| worker.site == site && new(worker));
+                let brief = now < since + figures.blip && !restarted;
+                own.state = match brief {
                     true => State::Well,
                     false => {
-                        State::Returning { share: figures.first_share, since: now, answers: 1, fails: 0 }
+                        State::Returning { share: figures.first_share, since: now, responses: 1, fails: 0 }
                     }
                 };
             }
         }
     }
 
-    fn failed(&mut self, now: Micros, site: usize) {
+    fn record_failure(&mut self, now: Micros, site: usize) {
         self.sites[site].fails = self.sites[site].fails.saturating_add(1);
         if let State::Returning { fails, .. } = &mut self.sites[site].state {
             *fails += 1;
         }
-        self.judge(now, site);
+        self.check_loss(now, site);
     }
 
-    /// Whether so many workers have failed, with no answer between, that the site is lost.
-    fn judge(&mut self, now: Micros, site: usize) {
-        if self.sites[site].declared == Some(Declared::Well)
+    /// Declares the site lost if enough workers failed with no response in between.
+    fn check_loss(&mut self, now: Micros, site: usize) {
+        if self.sites[site].operator_override == Some(Declared::Well)
             || matches!(self.sites[site].state, State::Lost { .. })
         {
             return;
         }
         let (ready, failed) = self.workers_of(site);
-        let wanted = (FAILED.0 + ready / ONE_MORE).min(FAILED_MAX).min(ready);
-        if ready > 0 && failed >= wanted && self.sites[site].fails >= FAILED.1 {
+        let needed = (MIN_FAILED_WORKERS + ready / READY_PER_EXTRA_FAILED).min(MAX_FAILED_WORKERS).min(ready);
+        if ready > 0 && failed >= needed && self.sites[site].fails >= MIN_FAILURES {
             self.lose(now, site, Why::Silent);
         }
     }
 
-    /// Workers of a site that are ready, and how many of them have failed since its last answer.
+    /// Number of a site's ready workers, and of those that failed since its last response.
     fn workers_of(&self, site: usize) -> (usize, usize) {
         let own = self.workers.values().filter(|worker| worker.site == site && worker.ready);
         own.fold((0, 0), |(ready, failed), worker| (ready + 1, failed + usize::from(worker.failed)))
     }
 
-    /// So many usual answers, but not less than a span.
-    fn span(&self, (answers, least): (f64, Micros)) -> Micros {
-        ((self.usual * answers) as Micros).max(least)
+    /// A multiple of the usual latency, but at least `min`.
+    fn usual_times(&self, factor: f64, min: Micros) -> Micros {
+        ((self.usual_latency * factor) as Micros).max(min)
     }
 
     fn lose(&mut self, now: Micros, site: usize, why: Why) {
-        let (forgive, (least, most)) = (self.figures.forgive, self.figures.hold_out);
+        let (forgive, (min, max)) = (self.figures.forgive, self.figures.hold_out);
         let own = &mut self.sites[site];
-        if now > own.troubled.saturating_add(forgive) {
+        if now > own.last_unhealthy.saturating_add(forgive) {
             own.losses = 0;
         }
-        // A site that flaps is held out for twice as long with each loss.
-        let doubled = own.losses.min(16);
-        let held = if doubled == 0 { 0 } else { least.saturating_mul(1 << (doubled - 1)).min(most) };
+        // Exponential backoff for a flapping site.
+        let exponent = own.losses.min(16);
+        let backoff = if exponent == 0 { 0 } else { min.saturating_mul(1 << (exponent - 1)).min(max) };
         own.losses = own.losses.saturating_add(u32::from(why == Why::Silent));
-        own.troubled = now;
-        let probe_at = now + held.max(self.figures.probe_gap);
+        own.last_unhealthy = now;
+        let probe_at = now + backoff.max(self.figures.probe_gap);
         own.state = State::Lost { since: now, why, probe_at, probe: None };
     }
 
-    /// What another gateway says: when, by our clock, it last heard a site.
+    /// Records when, by the local clock, a peer last received a response from a site.
     pub fn told(&mut self, from: u32, site: &str, at: Micros) {
         let Some(own) = self.sites.iter_mut().find(|own| own.name == site) else { return };
-        if own.others.len() < OTHERS_MAX || own.others.contains_key(&from) {
-            let last = own.others.entry(from).or_insert(at);
+        if own.peer_responses.len() < MAX_PEERS || own.peer_responses.contains_key(&from) {
+            let last = own.peer_responses.entry(from).or_insert(at);
             *last = at.max(*last);
         }
     }
 
-    /// How long ago each site was last heard here, for others: only what is known.
+    /// Time since the last response of each site that ever responded, to report to peers.
     pub fn to_tell(&self, now: Micros) -> Vec<(&str, Micros)> {
-        let heard = |own: &Site| own.heard.map(|at| now.saturating_sub(at));
-        self.sites.iter().filter_map(|own| Some((own.name.as_str(), heard(own)?))).collect()
+        let since = |own: &Site| own.last_response.map(|at| now.saturating_sub(at));
+        self.sites.iter().filter_map(|own| Some((own.name.as_str(), since(own)?))).collect()
     }
 
-    /// What an operator says of a site; none takes it back.
+    /// Sets or, with `None`, clears an operator's override of a site.
     ///
     /// # Errors
     /// There is no such site.
-    pub fn declare(&mut self, now: Micros, site: &str, what: Option<Declared>) -> Result<(), String> {
-        let place = self.sites.iter().position(|own| own.name == site);
-        let place = place.ok_or_else(|| format!("there is no site `{site}`"))?;
-        let before = std::mem::replace(&mut self.sites[place].declared, what);
-        match what {
-            Some(Declared::Lost) => self.lose(now, place, Why::Declared),
-            Some(Declared::Well) => self.sites[place].state = State::Well,
+    pub fn declare(&mut self, now: Micros, site: &str, value: Option<Declared>) -> Result<(), String> {
+        let index = self.sites.iter().position(|own| own.name == site);
+        let index = index.ok_or_else(|| format!("there is no site `{site}`"))?;
+        let before = std::mem::replace(&mut self.sites[index].operator_override, value);
+        match value {
+            Some(Declared::Lost) => self.lose(now, index, Why::Declared),
+            Some(Declared::Well) => self.sites[index].state = State::Well,
             Some(Declared::Hold) => {}
-            None if before == Some(Declared::Lost) => self.lose(now, place, Why::Silent),
+            None if before == Some(Declared::Lost) => self.lose(now, index, Why::Silent),
             None => {}
         }
         Ok(())
     }
 
-    /// Goes on as time passes, and gives what is to be gone by where that is not what it was. Called some ten times
-    /// a second or more.
+    /// Advances time and returns the new view if it has changed. To be called at least ten times a second.
     pub fn look(&mut self, now: Micros, refused: &Refused) -> Option<View> {
-        self.overdue(now);
+        self.fail_overdue(now);
         for site in 0..self.sites.len() {
             if self.sites[site].state != State::Well {
-                self.sites[site].troubled = now;
+                self.sites[site].last_unhealthy = now;
             }
-            self.unlisted_site(now, site);
-            self.step(now, site);
-            self.probe(now, site);
+            self.check_listing(now, site);
+            self.advance_ramp(now, site);
+            self.issue_probe(now, site);
         }
         let lost = self.lost_sites();
-        let whole = self.whole();
+        let any_healthy = self.any_healthy();
         let sites: Vec<Admission> =
-            (0..self.sites.len()).map(|site| self.admission(site, &lost, whole)).collect();
-        if self.said.as_ref().is_some_and(|(said, who)| *said == sites && who == refused) {
+            (0..self.sites.len()).map(|site| self.admission(site, &lost, any_healthy)).collect();
+        if self
+            .last_view
+            .as_ref()
+            .is_some_and(|(last, last_refused)| *last == sites && last_refused == refused)
+        {
             return None;
         }
-        self.said = Some((sites.clone(), refused.clone()));
-        let shares = self.ahead.get(&lost).cloned().unwrap_or_default();
+        self.last_view = Some((sites.clone(), refused.clone()));
+        let shares = self.shares_by_loss.get(&lost).cloned().unwrap_or_default();
         Some(View::new(self.zones.clone(), sites, shares, refused.clone()))
     }
 
-    /// Workers that have owed an answer for too long have failed.
-    fn overdue(&mut self, now: Micros) {
-        let quiet = self.span(QUIET);
-        let late = |worker: &Worker| worker.owes.is_some_and(|since| now > since + quiet);
+    /// Fails workers whose response is overdue.
+    fn fail_overdue(&mut self, now: Micros) {
+        let limit = self.usual_times(SILENCE_FACTOR, MIN_SILENCE);
+        let overdue = |worker: &Worker| worker.awaiting_since.is_some_and(|since| now > since + limit);
         let mut failed = Vec::new();
-        for worker in self.workers.values_mut().filter(|worker| late(worker)) {
-            // Again only after as long once more: one that stays silent is one failure, not one a look.
-            (worker.failed, worker.owes) = (true, Some(now));
+        for worker in self.workers.values_mut().filter(|worker| overdue(worker)) {
+            // Restarts the wait, so that a silent worker fails once per wait and not once per poll.
+            (worker.failed, worker.awaiting_since) = (true, Some(now));
             failed.push(worker.site);
         }
-        failed.into_iter().for_each(|site| self.failed(now, site));
+        failed.into_iter().for_each(|site| self.record_failure(now, site));
     }
 
-    fn unlisted_site(&mut self, now: Micros, site: usize) {
+    fn check_listing(&mut self, now: Micros, site: usize) {
         let mut own = self.workers.values().filter(|worker| worker.site == site);
         let ready = own.any(|worker| worker.ready);
         match (self.sites[site].state, ready) {
-            (State::Well | State::Returning { .. }, false) if self.sites[site].answers > 0 => {
+            (State::Well | State::Returning { .. }, false) if self.sites[site].responses > 0 => {
                 self.lose(now, site, Why::Unlisted);
             }
-            // Listed again: it may be asked at once.
+            // Listed again: it may be probed at once.
             (State::Lost { since, why: Why::Unlisted, .. }, true) => {
                 let why = Why::Silent;
                 self.sites[site].state = State::Lost { since, why, probe_at: now, probe: None };
@@ -486,21 +498,24 @@
         }
     }
 
-    /// A step of the return: on, back, or lost again.
-    fn step(&mut self, now: Micros, site: usize) {
+    /// Moves a recovering site to the next or previous ramp step, or declares it lost.
+    fn advance_ramp(&mut self, now: Micros, site: usize) {
         let (figures, own) = (&self.figures, &mut self.sites[site]);
-        let State::Returning { share, since, answers, fails } = own.state else { return };
-        if now < since + figures.step || answers + fails == 0 || own.declared == Some(Declared::Hold) {
+        let State::Returning { share, since, responses, fails } = own.state else { return };
+        if now < since + figures.step
+            || responses + fails == 0
+            || own.operator_override == Some(Declared::Hold)
+        {
             return;
         }
-        let part = f64::from(fails) / f64::from(answers + fails);
-        // One bad worker that was met by chance ends no return.
-        if part > STEP_FAILS && answers + fails < STEP_LEAST {
+        let failure_rate = f64::from(fails) / f64::from(responses + fails);
+        // A single bad worker does not end the ramp.
+        if failure_rate > ADVANCE_MAX_FAILURES && responses + fails < MIN_STEP_ATTEMPTS {
             return;
         }
-        let next = if part > BACK_FAILS {
+        let next = if failure_rate > RETREAT_MIN_FAILURES {
             share / 2.0
-        } else if part <= STEP_FAILS || now >= since + STEP_MOST * figures.step {
+        } else if failure_rate <= ADVANCE_MAX_FAILURES || now >= since + MAX_STEP_TIMES * figures.step {
             share * 2.0
         } else {
             return;
@@ -510,12 +525,12 @@
         } else if next < figures.first_share {
             self.lose(now, site, Why::Silent);
         } else {
-            own.state = State::Returning { share: next, since: now, answers: 0, fails: 0 };
+            own.state = State::Returning { share: next, since: now, responses: 0, fails: 0 };
         }
     }
 
-    /// A lost site may be asked by one request now and then.
-    fn probe(&mut self, now: Micros, site: usize) {
+    /// Issues a new probe of a lost site when one is due.
+    fn issue_probe(&mut self, now: Micros, site: usize) {
         let gap = self.figures.probe_gap;
         let State::Lost { why: Why::Silent, probe_at, probe, .. } = &mut self.sites[site].state else {
             return;
@@ -526,50 +541,50 @@
         }
     }
 
-    /// Sites that are lost and shut; none where there is no place to go instead.
+    /// Lost sites that are closed; none if no ready worker would remain.
     pub fn lost_sites(&self) -> BTreeSet<usize> {
         let lost = |own: &Site| matches!(own.state, State::Lost { .. });
         let all: BTreeSet<usize> = (0..self.sites.len()).filter(|site| lost(&self.sites[*site])).collect();
-        let left = self.workers.values().any(|worker| worker.ready && !all.contains(&worker.site));
-        if left {
+        let remaining = self.workers.values().any(|worker| worker.ready && !all.contains(&worker.site));
+        if remaining {
             all
         } else {
             BTreeSet::new()
         }
     }
 
-    /// Whether there is a site that all may go to: what another does not let in yet has to go somewhere.
-    fn whole(&self) -> bool {
+    /// Whether a healthy site with ready workers can take the load that a recovering one does not get.
+    fn any_healthy(&self) -> bool {
         let well = |worker: &Worker| worker.ready && self.sites[worker.site].state == State::Well;
         self.workers.values().any(well)
     }
 
-    fn admission(&self, site: usize, lost: &BTreeSet<usize>, whole: bool) -> Admission {
+    fn admission(&self, site: usize, lost: &BTreeSet<usize>, any_healthy: bool) -> Admission {
         match self.sites[site].state {
             State::Lost { probe, .. } if lost.contains(&site) => Admission { share: 0.0, probe },
-            State::Returning { share, .. } if whole => Admission { share, probe: None },
+            State::Returning { share, .. } if any_healthy => Admission { share, probe: None },
             _ => Admission::ALL,
         }
     }
 
-    /// Whether a site is lost or not back whole.
+    /// Whether any site is lost or recovering.
     pub fn troubled(&self) -> bool {
         self.sites.iter().any(|own| own.state != State::Well)
     }
 
-    /// What each site is taken for, by name, with what it is taken by.
+    /// Name, status and evidence of each site.
     pub fn explain(&self, now: Micros) -> Vec<(&str, Standing, String)> {
         (0..self.sites.len())
             .map(|site| (self.sites[site].name.as_str(), self.standing(now, site), self.evidence(now, site)))
             .collect()
     }
 
-    /// What a site is taken for.
+    /// Status of a site.
     fn standing(&self, now: Micros, site: usize) -> Standing {
         let own = &self.sites[site];
         match own.state {
             State::Lost { since, why: Why::Silent, .. }
-                if own.others.values().any(|at| *at > since + QUIET.1) =>
+                if own.peer_responses.values().any(|at| *at > since + MIN_SILENCE) =>
             {
                 Standing::CutOff
             }
@@ -589,21 +604,25 @@
 
     fn slow(&self, site: usize) -> bool {
         let own = &self.sites[site];
-        let others = self.sites.iter().enumerate().filter(|(n, other)| *n != site && other.answers >= SLOW.1);
-        let least = others.map(|(_, other)| other.latency).fold(f64::MAX, f64::min);
-        own.answers >= SLOW.1 && least < f64::MAX && own.latency > SLOW.0 * least
+        let others = self
+            .sites
+            .iter()
+            .enumerate()
+            .filter(|(n, other)| *n != site && other.responses >= MIN_LATENCY_SAMPLES);
+        let fastest = others.map(|(_, other)| other.latency).fold(f64::MAX, f64::min);
+        own.responses >= MIN_LATENCY_SAMPLES && fastest < f64::MAX && own.latency > SLOW_FACTOR * fastest
     }
 
     fn evidence(&self, now: Micros, site: usize) -> String {
         let own = &self.sites[site];
         let (ready, failed) = self.workers_of(site);
-        let heard = match own.heard {
+        let seen = match own.last_response {
             Some(at) => format!("heard {:.1} s ago", now.saturating_sub(at) as f64 / 1e6),
             None => "never heard".into(),
         };
         let mut text = format!(
-            "{heard}, {:.1} answers a second then, {:.1} at the most, {failed} of {ready} workers failed since",
-            own.rate, own.most
+            "{seen}, {:.1} answers a second then, {:.1} at the most, {failed} of {ready} workers failed since",
+            own.rate, own.peak_rate
         );
         if let State::Lost { since, probe_at, .. } = own.state {
             let of = |at: Micros| at.saturating_sub(now) as f64 / 1e6;
@@ -616,8 +635,8 @@
         if own.losses > 1 && own.state != State::Well {
             text += &format!(", lost {} times of late", own.losses);
         }
-        if let Some(declared) = own.declared {
-            text += match declared {
+        if let Some(operator_override) = own.operator_override {
+            text += match operator_override {
                 Declared::Lost => ", declared lost",
                 Declared::Well => ", declared well",
                 Declared::Hold => ", its return is held",
--- a/crates/failover/src/lib.rs
+++ b/crates/failover/src/lib.rs
@@ -1,9 +1,9 @@
-//! What a gateway believes of whole sites: lost, cut off, slow, cold, returning; how load comes back to one that
-//! returns; and who is refused first while the rest is too small.
+//! Detects failures of whole sites, ramps load back up when a site recovers, and decides which requests to shed while
+//! the remaining capacity is too small.
 //!
-//! [`Belief`] takes in what attempts, lists, other gateways and operators tell of sites and makes a [`View`] of
-//! it, which the decisions go by. [`Order`] decides who is refused. `docs/sites.md` explains both. Nothing here
-//! reads a clock or a socket.
+//! [`SiteMonitor`] turns evidence from attempts, worker lists, other gateways and operators into a [`View`] that the
+//! policy applies. [`Shedder`] decides what is refused. `docs/sites.md` explains both. Nothing here does I/O or reads
+//! a clock.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
@@ -19,10 +19,10 @@
 pub use view::{Admission, Probe, Refused, Shares, View};
 pub use word::Word;
 
-/// A point in time or a span, in microseconds, on one clock that never goes back.
+/// A point in time or a duration, in microseconds of one monotonic clock.
 pub type Micros = u64;
 
-/// A number from 0 to 1 made of some bits, the same wherever it is made (the finalizer of `splitmix64`).
+/// Maps bits to a number in [0, 1), identically on every gateway (the finalizer of `splitmix64`).
 pub(crate) fn unit(bits: u64) -> f64 {
     let mut x = bits.wrapping_add(0x9e37_79b9_7f4a_7c15);
     x = (x ^ (x >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
--- a/crates/failover/tests/fleets.rs
+++ b/crates/failover/tests/fleets.rs
@@ -1,7 +1,7 @@
-//! Fleets of beliefs on a virtual clock: 6 to 300 gateways before three to six sites that are lost, cut off, flap
-//! and return, some of their workers bad all the time. What is checked after each step is summed over the fleet.
+//! Randomized simulation of 6 to 300 site monitors on a virtual clock: three to six sites are lost, partitioned, flap
+//! and recover, and some workers are always bad. Checks fleet-wide load during recovery and per-gateway convergence.
 //!
-//! `HINGESTAGE_FLEETS=0..10000 cargo test --release -p hingestage-failover --test fleets` plays more.
+//! `HINGESTAGE_FLEETS=0..10000 cargo test --release -p hingestage-failover --test fleets` runs more seeds.
 
 use fastrand::Rng;
 use hingestage_failover::*;
@@ -9,16 +9,16 @@
 
 const MS: Micros = 1_000;
 const S: Micros = 1_000_000;
-/// A step of the clock.
+/// Clock step.
 const STEP: Micros = 10 * MS;
-/// Workers fall silent, reset, or are refused: the first answer to an attempt comes, or does not, so late.
-const ANSWER: Micros = 8 * MS;
+/// Latency of a worker's response.
+const RESPONSE_TIME: Micros = 8 * MS;
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum How {
-    /// Attempts are refused at once.
+enum LossKind {
+    /// Attempts fail at once.
     Refused,
-    /// Attempts are never answered; who sent them gives them up after a while.
+    /// Attempts get no response; the sender cancels them after a while.
     Silent,
 }
 
@@ -26,17 +26,17 @@
 struct Loss {
     site: usize,
     span: Range<Micros>,
-    how: How,
-    /// Only these gateways are cut off from it; all where none is named.
-    cut: Vec<usize>,
+    kind: LossKind,
+    /// Gateways that can't reach the site; all if empty.
+    gateways: Vec<usize>,
 }
 
 struct Fleet {
     rng: Rng,
     beliefs: Vec<Belief>,
     views: Vec<View>,
-    /// Attempts out: when what becomes of them is known, gateway, worker, and what.
-    out: Vec<(Micros, usize, u64, Told)>,
+    /// Attempts in flight: end time, gateway, worker and result.
+    in_flight: Vec<(Micros, usize, u64, Told)>,
     sites: usize,
     workers: usize,
     bad: Vec<bool>,
@@ -45,9 +45,9 @@
     now: Micros,
     bits: u64,
     probed: Vec<u64>,
-    /// By gateway and site: how often it was shut, what its share was last, and when it last was whole.
-    shut: Vec<Vec<(usize, f64, Micros)>>,
-    /// Attempts at a site that is lost, from some time after its loss on.
+    /// By gateway and site: number of closures, last share, and when the share was last 1.
+    closures: Vec<Vec<(usize, f64, Micros)>>,
+    /// Attempts sent to a site more than two seconds after its loss.
     wasted: usize,
     sent: usize,
 }
@@ -57,11 +57,11 @@
 }
 
 impl Fleet {
-    fn drawn(seed: u64, figures: &Figures) -> Fleet {
+    fn random(seed: u64, figures: &Figures) -> Fleet {
         let mut rng = Rng::with_seed(seed);
         let gateways = [6, 12, 40, 300][rng.usize(..4)];
         let (sites, workers) = (rng.usize(3..=6), rng.usize(4..=30));
-        // Each gateway knows few workers of each site, as one of a large fleet does.
+        // Every gateway knows all workers of each site.
         let beliefs = (0..gateways).map(|_| {
             let mut belief = Belief::new(figures.clone(), &[]);
             for id in 0..sites * workers {
@@ -74,19 +74,19 @@
         let mut losses = Vec::new();
         let mut at = 4 * S;
         for _ in 0..rng.usize(1..=3) {
-            let lasts = [S, 2 * S, 5 * S][rng.usize(..3)] + rng.u64(..S);
-            let how = [How::Refused, How::Silent][rng.usize(..2)];
-            // All gateways, every second one, or one.
-            let cut = match rng.usize(..4) {
+            let duration = [S, 2 * S, 5 * S][rng.usize(..3)] + rng.u64(..S);
+            let kind = [LossKind::Refused, LossKind::Silent][rng.usize(..2)];
+            // The loss affects every second gateway, one, or all.
+            let affected = match rng.usize(..4) {
                 0 => (0..gateways).step_by(2).collect(),
                 1 => vec![rng.usize(..gateways)],
                 _ => Vec::new(),
             };
             let site = rng.usize(..sites);
-            // Flapping, sometimes.
+            // Some sites flap.
             for n in 0..[1, 1, 3][rng.usize(..3)] {
-                let begins = at + n * (lasts + S);
-                losses.push(Loss { site, span: begins..begins + lasts, how, cut: cut.clone() });
+                let start = at + n * (duration + S);
+                losses.push(Loss { site, span: start..start + duration, kind, gateways: affected.clone() });
             }
             at += rng.u64(..8 * S);
         }
@@ -94,7 +94,7 @@
         Fleet {
             rate: if n > 100 { 30.0 } else { 60.0 },
             views: vec![View::default(); n],
-            out: Vec::new(),
+            in_flight: Vec::new(),
             sites,
             workers,
             bad,
@@ -102,7 +102,7 @@
             now: S,
             bits: 0,
             probed: vec![0; n],
-            shut: vec![vec![(0, 1.0, 0); sites]; n],
+            closures: vec![vec![(0, 1.0, 0); sites]; n],
             wasted: 0,
             sent: 0,
             beliefs,
@@ -114,7 +114,7 @@
         let here = |loss: &&Loss| {
             loss.site == site
                 && loss.span.contains(&self.now)
-                && (loss.cut.is_empty() || loss.cut.contains(&gateway))
+                && (loss.gateways.is_empty() || loss.gateways.contains(&gateway))
         };
         self.losses.iter().find(here)
     }
@@ -122,13 +122,13 @@
     fn step(&mut self) {
         self.now += STEP;
         let now = self.now;
-        let due: Vec<_> = self.out.extract_if(.., |(at, ..)| *at <= now).collect();
+        let due: Vec<_> = self.in_flight.extract_if(.., |(at, ..)| *at <= now).collect();
         for (_, gateway, worker, told) in due {
             self.beliefs[gateway].ended(now, worker, told);
         }
         for gateway in 0..self.beliefs.len() {
             if self.rng.f64() < self.rate * STEP as f64 / S as f64 {
-                self.ask(gateway);
+                self.send_request(gateway);
             }
             if now.is_multiple_of(50 * MS) {
                 self.look(gateway);
@@ -142,14 +142,14 @@
         }
         for site in 0..self.sites {
             let share = self.views[gateway].admission(&zone(site)).share;
-            let (times, last, whole) = &mut self.shut[gateway][site];
+            let (times, last, last_full) = &mut self.closures[gateway][site];
             *times += usize::from(share == 0.0 && *last > 0.0);
             *last = share;
-            *whole = if share >= 1.0 { self.now } else { *whole };
+            *last_full = if share >= 1.0 { self.now } else { *last_full };
         }
     }
 
-    fn ask(&mut self, gateway: usize) {
+    fn send_request(&mut self, gateway: usize) {
         self.bits += 1;
         for _ in 0..3 {
             let worker = self.rng.u64(..(self.sites * self.workers) as u64);
@@ -168,16 +168,16 @@
         self.sent += 1;
         self.beliefs[gateway].sent(self.now, worker);
         let lost = self.lost(gateway, site).cloned();
-        let late = lost.as_ref().is_some_and(|loss| self.now > loss.span.start + 2 * S);
-        self.wasted += usize::from(late);
+        let well_into_loss = lost.as_ref().is_some_and(|loss| self.now > loss.span.start + 2 * S);
+        self.wasted += usize::from(well_into_loss);
         let bad = self.bad[worker as usize] && self.rng.bool();
-        let end = match lost.map(|loss| loss.how).or(bad.then_some(How::Refused)) {
-            Some(How::Refused) => (self.now + MS, Told::Failed),
-            // Given up after some usual answers, as the decisions do.
-            Some(How::Silent) => (self.now + 200 * MS, Told::Nothing),
-            None => (self.now + ANSWER, Told::Answered(ANSWER)),
+        let end = match lost.map(|loss| loss.kind).or(bad.then_some(LossKind::Refused)) {
+            Some(LossKind::Refused) => (self.now + MS, Told::Failed),
+            // Cancelled after some usual latencies, as the policy does.
+            Some(LossKind::Silent) => (self.now + 200 * MS, Told::Nothing),
+            None => (self.now + RESPONSE_TIME, Told::Answered(RESPONSE_TIME)),
         };
-        self.out.push((end.0, gateway, worker, end.1));
+        self.in_flight.push((end.0, gateway, worker, end.1));
     }
 
     fn end_of_losses(&self) -> Micros {
@@ -185,70 +185,69 @@
     }
 }
 
-/// What is wrong with a fleet, where anything is.
+/// Runs a seed and returns the first violated check.
 fn play(seed: u64, figures: &Figures) -> Result<(), String> {
-    let mut fleet = Fleet::drawn(seed, figures);
-    let quiet = fleet.end_of_losses();
-    let ends = quiet + 45 * S;
-    let mut risen: Vec<(Micros, f64)> = vec![(0, 0.0); fleet.sites];
+    let mut fleet = Fleet::random(seed, figures);
+    let losses_end = fleet.end_of_losses();
+    let ends = losses_end + 45 * S;
+    let mut previous: Vec<(Micros, f64)> = vec![(0, 0.0); fleet.sites];
     while fleet.now < ends {
         fleet.step();
-        for (site, risen) in risen.iter_mut().enumerate() {
-            // What all gateways together let a site have rises by steps: in half a second it doubles at the most,
-            // less what had not been out for longer than a blip.
-            let shares: f64 = (0..fleet.beliefs.len()).map(|g| fleet.shut[g][site].1).sum();
+        for (site, previous) in previous.iter_mut().enumerate() {
+            // The sum of shares at most doubles per ramp step, unless the loss was too brief for a ramp.
+            let shares: f64 = (0..fleet.beliefs.len()).map(|g| fleet.closures[g][site].1).sum();
             let all = fleet.beliefs.len() as f64;
             let lost_long = fleet.losses.iter().any(|loss| {
                 loss.site == site
-                    && loss.cut.is_empty()
+                    && loss.gateways.is_empty()
                     && loss.span.end - loss.span.start > 2 * S
                     && fleet.now >= loss.span.end
                     && fleet.now < loss.span.end + 400 * MS
             });
-            if lost_long && shares > 0.55 * all && risen.1 < 0.2 * all {
+            if lost_long && shares > 0.55 * all && previous.1 < 0.2 * all {
                 return Err(format!("site {site} gets {shares:.1} of {all} at once, {} ms", fleet.now / MS));
             }
-            if fleet.now >= risen.0 + 500 * MS {
-                *risen = (fleet.now, shares);
+            if fleet.now >= previous.0 + 500 * MS {
+                *previous = (fleet.now, shares);
             }
         }
         let nowhere = |sites: &Vec<(usize, f64, Micros)>| sites.iter().all(|(_, share, _)| *share < 1.0);
-        if let Some(gateway) = fleet.shut.iter().position(nowhere) {
-            return Err(format!("gateway {gateway} has nowhere to go at {} ms", fleet.now / MS));
+        if let Some(gateway) = fleet.closures.iter().position(nowhere) {
+            return Err(format!("gateway {gateway} has no fully open site at {} ms", fleet.now / MS));
         }
     }
-    let mut falsely = 0;
-    for (gateway, sites) in fleet.shut.iter().enumerate() {
-        for (site, (times, _, whole)) in sites.iter().enumerate() {
-            // Held out for up to 30 s, it may have been taken for lost right before the end.
-            if *whole + 34 * S < fleet.now {
+    let mut false_closures = 0;
+    for (gateway, sites) in fleet.closures.iter().enumerate() {
+        for (site, (times, _, last_full)) in sites.iter().enumerate() {
+            // With a backoff of up to 30 s, a false loss right before the end may still last.
+            if *last_full + 34 * S < fleet.now {
                 let evidence = fleet.beliefs[gateway].explain(fleet.now).swap_remove(site);
-                return Err(format!("gateway {gateway}: {evidence:?} long after all is well"));
+                return Err(format!("gateway {gateway}: {evidence:?} long after the last loss"));
             }
             let losses = fleet.losses.iter().filter(|loss| loss.site == site).count();
-            // A loss may be taken for over by a probe on its way, and bad workers alone for a loss, now and then.
+            // Probes in flight may end a loss early, and bad workers alone may cause a false one now and then.
             if *times > 3 * losses + 6 {
                 return Err(format!(
-                    "gateway {gateway}: site {site} was shut {times} times for {losses} losses"
+                    "gateway {gateway}: site {site} was closed {times} times for {losses} losses"
                 ));
             }
             let bad = fleet.bad[site * fleet.workers..][..fleet.workers].iter().filter(|bad| **bad).count();
-            // Where a third of the workers is bad, what is left is hardly a site.
-            falsely += if losses == 0 && 3 * bad < fleet.workers { *times } else { 0 };
+            // Sites with a third or more bad workers may be lost at any time.
+            false_closures += if losses == 0 && 3 * bad < fleet.workers { *times } else { 0 };
         }
     }
     let pairs = fleet.beliefs.len() * fleet.sites;
-    if falsely * 4 > pairs {
-        return Err(format!("{falsely} sites were shut for nothing, of {pairs}"));
+    if false_closures * 4 > pairs {
+        return Err(format!("{false_closures} sites were closed without a loss, of {pairs}"));
     }
-    // Two seconds into a loss what still goes there is a probe in a quarter of a second from each gateway.
+    // Two seconds into a loss only probes go there: one per gateway in 250 ms.
     let probes = |loss: &Loss| {
-        let gateways = if loss.cut.is_empty() { fleet.beliefs.len() } else { loss.cut.len() };
+        let gateways = if loss.gateways.is_empty() { fleet.beliefs.len() } else { loss.gateways.len() };
         gateways as f64 * (loss.span.end - loss.span.start).saturating_sub(2 * S) as f64 / 250e3
     };
     let probes: f64 = fleet.losses.iter().map(probes).sum();
     if fleet.wasted as f64 > probes + 0.01 * fleet.sent as f64 {
-        return Err(format!("{} of {} went to sites long lost", fleet.wasted, fleet.sent));
+        return Err(format!("{} of {} went to sites lost for two seconds", fleet.wasted, fleet.sent));
     }
     Ok(())
 }
@@ -260,7 +259,7 @@
 }
 
 #[test]
-fn sites_are_left_found_and_returned_to_by_whole_fleets() {
+fn fleets_leave_lost_sites_and_ramp_back_up() {
     for seed in seeds(0..25) {
         if let Err(what) = play(seed, &Figures::default()) {
             panic!("seed {seed}: {what}");
@@ -268,26 +267,26 @@
     }
 }
 
-/// The first of some seeds that finds what is wrong with such figures.
-fn found(figures: &Figures) -> Option<(u64, String)> {
+/// The first seed that violates a check with these settings.
+fn first_violation(figures: &Figures) -> Option<(u64, String)> {
     (0..20).find_map(|seed| play(seed, figures).err().map(|what| (seed, what)))
 }
 
 #[test]
-fn a_return_all_at_once_is_found() {
-    let (_, what) = found(&Figures { first_share: 1.0, ..Figures::default() }).unwrap();
+fn recovery_without_a_ramp_is_detected() {
+    let (_, what) = first_violation(&Figures { first_share: 1.0, ..Figures::default() }).unwrap();
     assert!(what.contains("at once"), "{what}");
 }
 
 #[test]
-fn a_belief_that_never_asks_again_is_found() {
-    let (_, what) = found(&Figures { probe_gap: 3_600 * S, ..Figures::default() }).unwrap();
-    assert!(what.contains("long after all is well"), "{what}");
+fn missing_probes_are_detected() {
+    let (_, what) = first_violation(&Figures { probe_gap: 3_600 * S, ..Figures::default() }).unwrap();
+    assert!(what.contains("long after the last loss"), "{what}");
 }
 
 #[test]
-fn a_belief_that_asks_all_the_time_is_found() {
+fn unlimited_probing_is_detected() {
     let figures = Figures { probe_gap: 0, hold_out: (0, 0), ..Figures::default() };
-    // It takes a moment's answer for the end of a loss: shut again and again, or all back at once.
-    assert!(found(&figures).is_some());
+    // Any response ends a loss: sites are closed again and again, or get all load back at once.
+    assert!(first_violation(&figures).is_some());
 }
--- a/crates/sites/examples/plan_cost.rs
+++ b/crates/sites/examples/plan_cost.rs
@@ -1,13 +1,14 @@
-//! What a plan costs at 3, 10 and 50 sites, and how much more than a fixed order it serves, over drawn instances.
+//! Time to compute a plan at 3, 10 and 50 sites, and its gain over the greedy baseline, on random instances.
+//!
 //! `cargo run --release -p hingestage-sites --example plan_cost`
 
 use hingestage_sites::{greedy, plan, worth, Load, Site, Sites};
 use std::time::Instant;
 
-/// Instances of each size.
-const DRAWN: u64 = 20;
+/// Random instances per size.
+const INSTANCES: u64 = 20;
 
-fn drawn(count: usize, seed: u64) -> Sites {
+fn random_sites(count: usize, seed: u64) -> Sites {
     let mut rng = fastrand::Rng::with_seed(seed);
     let mut sites = Sites::default();
     for n in 0..count {
@@ -37,14 +38,14 @@
 fn main() {
     for count in [3, 10, 50] {
         let (mut took, mut more, mut most) = (Vec::new(), 0.0, 0.0f64);
-        for seed in 0..DRAWN {
-            let sites = drawn(count, seed).without(&["s0".to_owned()], 1.0);
-            let begun = Instant::now();
+        for seed in 0..INSTANCES {
+            let sites = random_sites(count, seed).without(&["s0".to_owned()], 1.0);
+            let start = Instant::now();
             let Ok(made) = plan(&sites) else { continue };
-            took.push(begun.elapsed());
+            took.push(start.elapsed());
             let fixed = worth(&sites, &greedy(&sites));
             let gap = 1.0 - fixed / made.worth.0;
-            more += gap / DRAWN as f64;
+            more += gap / INSTANCES as f64;
             most = most.max(gap);
         }
         took.sort_unstable();
--- a/crates/sites/src/ahead.rs
+++ b/crates/sites/src/ahead.rs
@@ -1,58 +1,57 @@
-//! Plans as gateways go by them: made for every loss at the start, so that none is made while a site is lost.
+//! Failover plans of a gateway, precomputed for every single loss and every pair of losses.
 
 use crate::model::{Load, Sites};
 use crate::plan::plan;
 use hingestage_failover::{Rung, Shares};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Most sites that gateways make plans for: every single loss and every pair, 55 plans of some ms each.
-const SITES_MAX: usize = 10;
+/// Maximum number of sites a gateway plans for: 55 plans of a few ms each.
+const MAX_SITES: usize = 10;
 
-/// All of it, for gateways of one site.
+/// Failover plans for the gateways of one site.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Ahead {
-    /// Names of sites and their zones, in the order of the file.
+    /// Site names and zones, in the order of the file.
     pub sites: Vec<(String, Vec<String>)>,
-    /// Where the load of the gateways' own site goes, by the sites that are lost.
+    /// Load shares of the gateways' own site, by the set of lost sites.
     pub shares: BTreeMap<BTreeSet<usize>, Shares>,
-    /// The part of all work that can't be served, by the sites that are lost.
+    /// Fraction of all work that can't be served, by the set of lost sites.
     pub refused: BTreeMap<BTreeSet<usize>, f64>,
-    /// Requests a second that the file makes of each of its gateways, by plan and class: loads come to all alike.
+    /// Configured requests per second of one gateway, by plan and class: all gateways get an equal part.
     pub asked: BTreeMap<(usize, usize), f64>,
-    /// Plans and classes, by what their requests are worth for their work.
+    /// Shedding tiers: plans and classes with their worth per unit of work.
     pub rungs: Vec<Rung>,
 }
 
-/// Which gateway plans are made for.
+/// The gateway that plans are made for.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Who {
     /// Its number.
     pub number: u32,
-    /// Of how many.
+    /// Number of gateways in the fleet.
     pub gateways: u32,
     /// Its zone.
     pub zone: String,
 }
 
 impl Ahead {
-    /// Makes all plans for a gateway: its number, of how many, its zone, and the names that the settings give to plans
-    /// and classes.
+    /// Makes all plans for a gateway, with the plan and class names of the settings.
     ///
     /// # Errors
-    /// A plan or class that the settings do not name, too many sites, or a program without a solution.
+    /// A plan or class that the settings do not name, too many sites, or a linear program without a solution.
     pub fn new(file: &Sites, who: &Who, plans: &[String], classes: &[String]) -> Result<Ahead, String> {
-        if file.sites.len() > SITES_MAX {
+        if file.sites.len() > MAX_SITES {
             let n = file.sites.len();
-            return Err(format!("field `sites.site`: {n} are too many for a gateway, {SITES_MAX} at most"));
+            return Err(format!("field `sites.site`: {n} are too many for a gateway, {MAX_SITES} at most"));
         }
-        let of = |load: &Load| -> Result<(usize, usize), String> {
+        let key_of = |load: &Load| -> Result<(usize, usize), String> {
             let place = |kind: &str, names: &[String], name: &str| {
                 let found = names.iter().position(|known| known == name);
                 found.ok_or_else(|| format!("field `sites.load`: the settings name no {kind} `{name}`"))
             };
             Ok((place("plan", plans, &load.plan)?, place("class", classes, &load.class)?))
         };
-        let keys = file.loads.iter().map(of).collect::<Result<Vec<_>, _>>()?;
+        let keys = file.loads.iter().map(key_of).collect::<Result<Vec<_>, _>>()?;
         let mut ahead = Ahead {
             sites: file.sites.iter().map(|site| (site.name.clone(), site.zones.clone())).collect(),
             rungs: rungs(file, &keys),
@@ -84,7 +83,7 @@
     }
 }
 
-/// Nothing lost, every single site, and every pair.
+/// The empty set, every single site and every pair.
 fn losses(sites: usize) -> Vec<BTreeSet<usize>> {
     let single = (0..sites).map(|site| BTreeSet::from([site]));
     let pairs = (0..sites).flat_map(|one| (one + 1..sites).map(move |two| BTreeSet::from([one, two])));
@@ -92,7 +91,7 @@
     std::iter::once(BTreeSet::new()).chain(single).chain(pairs).filter(some_left).collect()
 }
 
-/// The work of a request: the share of a site that one a second takes, the mean over sites that can serve it.
+/// The work of a request: the fraction of a site that one request per second takes, averaged over sites that serve it.
 fn work(file: &Sites, load: &Load) -> f64 {
     let places: Vec<f64> =
         file.sites.iter().filter_map(|site| site.capacity.get(&load.class)).copied().collect();
@@ -100,7 +99,7 @@
 }
 
 fn rungs(file: &Sites, keys: &[(usize, usize)]) -> Vec<Rung> {
-    // Worth and work of all requests of a plan and class, and how many.
+    // Sums of worth, work and rate per plan and class.
     let mut sums: BTreeMap<(usize, usize), (f64, f64, f64)> = BTreeMap::new();
     for (load, key) in file.loads.iter().zip(keys) {
         let rate = load.rate.max(f64::MIN_POSITIVE);
@@ -128,15 +127,15 @@
         Who { number: 0, gateways: 4, zone: zone.into() }
     }
 
-    fn names(of: &[&str]) -> Vec<String> {
-        of.iter().map(|name| (*name).to_owned()).collect()
+    fn names(list: &[&str]) -> Vec<String> {
+        list.iter().map(|name| (*name).to_owned()).collect()
     }
 
     #[test]
-    fn every_loss_of_one_and_of_two_has_its_plan() {
+    fn every_single_and_double_loss_has_a_plan() {
         let ahead =
             Ahead::new(&example(), &who("b"), &names(&["base", "ente"]), &names(&["pull", "push"])).unwrap();
-        assert_eq!(ahead.shares.len(), 7, "none, three and three");
+        assert_eq!(ahead.shares.len(), 7, "the empty set, three sites and three pairs");
         let none = &ahead.shares[&BTreeSet::new()];
         assert!(none.values().all(|shares| shares[1] > 0.99), "nothing lost, nothing leaves: {none:?}");
         assert!(ahead.refused[&BTreeSet::new()] < 1e-6);
@@ -148,7 +147,7 @@
     }
 
     #[test]
-    fn the_least_worth_for_its_work_stands_lowest() {
+    fn lowest_worth_per_work_is_the_lowest_tier() {
         let ahead =
             Ahead::new(&example(), &who("a"), &names(&["base", "ente"]), &names(&["pull", "push"])).unwrap();
         let mut rungs = ahead.rungs.clone();
@@ -158,7 +157,7 @@
     }
 
     #[test]
-    fn names_that_the_settings_do_not_have_are_named() {
+    fn unknown_plans_and_classes_are_rejected() {
         let of = |plans: &[&str], classes: &[&str]| {
             Ahead::new(&example(), &who("a"), &names(plans), &names(classes)).unwrap_err()
         };
@@ -167,7 +166,7 @@
     }
 
     #[test]
-    fn a_gateway_of_no_site_has_no_places_of_its_own() {
+    fn gateway_without_a_site_has_no_shares() {
         let ahead =
             Ahead::new(&example(), &who("z"), &names(&["base", "ente"]), &names(&["pull", "push"])).unwrap();
         assert!(ahead.shares.values().all(BTreeMap::is_empty));
@@ -176,7 +175,7 @@
     }
 
     #[test]
-    fn more_load_than_in_the_file_is_planned_for_by_its_multiple() {
+    fn scaled_load_refuses_more() {
         let (plans, classes) = (names(&["base", "ente"]), names(&["pull", "push"]));
         let lost = BTreeSet::from([1]);
         let of = |file: &Sites| Ahead::new(file, &who("a"), &plans, &classes).unwrap().refused[&lost];
--- a/crates/sites/src/file.rs
+++ b/crates/sites/src/file.rs
@@ -1,19 +1,19 @@
-//! Files of sites, checked like any configuration: what is wrong is one message with field, line and column.
+//! Reads and validates site files. An error is one message with field, line and column.
 
 use crate::model::{Load, Site, Sites};
 use hingestage_form::{once, Form};
 use std::collections::BTreeSet;
 
-/// Most sites.
+/// Maximum number of sites.
 const SITES_MAX: usize = 50;
-/// Most loads.
+/// Maximum number of loads.
 const LOADS_MAX: usize = 5_000;
-/// Most requests a second, and the most that one is worth.
-const MOST: f64 = 1e6;
-/// The highest number of a gateway.
-const GATEWAYS_MAX: f64 = 1e6;
-/// Most workers of a site.
-const WORKERS_MAX: f64 = 100_000.0;
+/// Largest rate in requests per second, and largest worth of a request.
+const MAX_RATE_OR_WORTH: f64 = 1e6;
+/// Highest gateway number.
+const MAX_GATEWAY: f64 = 1e6;
+/// Maximum number of workers per site.
+const MAX_WORKERS: f64 = 100_000.0;
 
 /// Reads and checks a file: `(sites (site ...) (load ...) (stays ...))`.
 ///
@@ -31,18 +31,18 @@
     let mut sites = Sites::default();
     for field in section.rest()? {
         match field.head()?.as_str() {
-            "site" => sites.sites.push(site(&field, &sites)?),
-            "load" => sites.loads.push(load(&field)?),
-            "stays" => sites.stays.extend(texts(&field.rest()?, "stays")?),
+            "site" => sites.sites.push(parse_site(&field, &sites)?),
+            "load" => sites.loads.push(parse_load(&field)?),
+            "stays" => sites.stays.extend(parse_texts(&field.rest()?, "stays")?),
             other => return Err(field.error(other, "no such field")),
         }
     }
-    check(&sites, section)?;
+    validate(&sites, section)?;
     Ok(sites)
 }
 
-/// What no field shows alone.
-fn check(sites: &Sites, section: &Form) -> Result<(), String> {
+/// Checks that span several fields.
+fn validate(sites: &Sites, section: &Form) -> Result<(), String> {
     let fault = |field: &str, what: String| Err(section.error(field, &what));
     match (sites.sites.len(), sites.loads.len()) {
         (0, _) => return fault("site", "missing".into()),
@@ -55,14 +55,14 @@
         return fault("site.counter", "the counter is at one site".into());
     }
     for site in &sites.sites {
-        if let Some(strange) = site.to.iter().find(|name| sites.site(name).is_none() || **name == site.name) {
-            return fault("site.to", format!("site `{}`: `{strange}` is no other site", site.name));
+        if let Some(unknown) = site.to.iter().find(|name| sites.site(name).is_none() || **name == site.name) {
+            return fault("site.to", format!("site `{}`: `{unknown}` is no other site", site.name));
         }
-        if let Some(twice) = site.gateways.iter().find(|gateway| !gateways.insert(**gateway)) {
-            return fault("site.gateways", format!("gateway {twice} belongs to two sites"));
+        if let Some(duplicate) = site.gateways.iter().find(|gateway| !gateways.insert(**gateway)) {
+            return fault("site.gateways", format!("gateway {duplicate} belongs to two sites"));
         }
-        if let Some(twice) = site.zones.iter().find(|zone| !zones.insert(zone.as_str())) {
-            return fault("site.zones", format!("zone `{twice}` belongs to two sites"));
+        if let Some(duplicate) = site.zones.iter().find(|zone| !zones.insert(zone.as_str())) {
+            return fault("site.zones", format!("zone `{duplicate}` belongs to two sites"));
         }
     }
     for load in &sites.loads {
@@ -74,8 +74,9 @@
         }
     }
     let same = |a: &Load, b: &Load| (&a.site, &a.plan, &a.class) == (&b.site, &b.plan, &b.class);
-    let twice = sites.loads.iter().enumerate().find(|(n, a)| sites.loads[..*n].iter().any(|b| same(a, b)));
-    match twice {
+    let duplicate =
+        sites.loads.iter().enumerate().find(|(n, a)| sites.loads[..*n].iter().any(|b| same(a, b)));
+    match duplicate {
         Some((_, load)) => {
             fault("load", format!("{} {} at `{}` is given twice", load.plan, load.class, load.site))
         }
@@ -83,11 +84,11 @@
     }
 }
 
-fn texts(forms: &[Form], name: &str) -> Result<Vec<String>, String> {
+fn parse_texts(forms: &[Form], name: &str) -> Result<Vec<String>, String> {
     forms.iter().map(|form| form.text(name).map(str::to_owned)).collect()
 }
 
-fn site(section: &Form, known: &Sites) -> Result<Site, String> {
+fn parse_site(section: &Form, known: &Sites) -> Result<Site, String> {
     let rest = section.rest()?;
     let Some((name, fields)) = rest.split_first() else {
         return Err(section.error("site", "a name is missing"));
@@ -100,15 +101,15 @@
     for field in once(fields, "site", &[]) {
         let (head, place, field) = field?;
         match head.as_str() {
-            "zones" => site.zones = texts(&field.rest()?, &place)?,
-            "to" => site.to = texts(&field.rest()?, &place)?,
+            "zones" => site.zones = parse_texts(&field.rest()?, &place)?,
+            "to" => site.to = parse_texts(&field.rest()?, &place)?,
             "gateways" => {
                 for number in field.rest()? {
-                    site.gateways.insert(number.whole(&place, 0.0, GATEWAYS_MAX)? as u32);
+                    site.gateways.insert(number.whole(&place, 0.0, MAX_GATEWAY)? as u32);
                 }
             }
             "counter" => site.counter = field.one(&place)?.flag(&place)?,
-            "workers" => site.workers = field.one(&place)?.whole(&place, 1.0, WORKERS_MAX)? as usize,
+            "workers" => site.workers = field.one(&place)?.whole(&place, 1.0, MAX_WORKERS)? as usize,
             "reserve" => site.reserve = field.one(&place)?.number(&place, 0.0, 0.9)?,
             "capacity" => {
                 for pair in field.rest()? {
@@ -116,7 +117,8 @@
                     let [class, rate] = parts.as_slice() else {
                         return Err(pair.error(&place, "a class and requests a second are wanted"));
                     };
-                    let (class, rate) = (class.text(&place)?.to_owned(), rate.number(&place, 0.001, MOST)?);
+                    let (class, rate) =
+                        (class.text(&place)?.to_owned(), rate.number(&place, 0.001, MAX_RATE_OR_WORTH)?);
                     if site.capacity.insert(class.clone(), rate).is_some() {
                         return Err(pair.error(&place, &format!("class `{class}` is given twice")));
                     }
@@ -131,7 +133,7 @@
     }
 }
 
-fn load(field: &Form) -> Result<Load, String> {
+fn parse_load(field: &Form) -> Result<Load, String> {
     let rest = field.rest()?;
     let [site, plan, class, rate, worth] = rest.as_slice() else {
         return Err(
@@ -139,7 +141,8 @@
         );
     };
     let text = |form: &Form| form.text("load").map(str::to_owned);
-    let (rate, worth) = (rate.number("load", 0.0, MOST)?, worth.number("load", 0.0, MOST)?);
+    let (rate, worth) =
+        (rate.number("load", 0.0, MAX_RATE_OR_WORTH)?, worth.number("load", 0.0, MAX_RATE_OR_WORTH)?);
     Ok(Load { site: text(site)?, plan: text(plan)?, class: text(class)?, rate, worth })
 }
 
@@ -154,7 +157,7 @@
       (stays \"push\"))";
 
     #[test]
-    fn every_field_is_read() {
+    fn all_fields_are_parsed() {
         let sites = read(USUAL).unwrap();
         let a = sites.site("a").unwrap();
         assert_eq!(
@@ -171,12 +174,12 @@
     }
 
     #[test]
-    fn the_shipped_example_is_good() {
+    fn shipped_example_is_valid() {
         assert_eq!(read(include_str!("../../../deploy/sites.example.lisp")).unwrap().sites.len(), 3);
     }
 
     #[test]
-    fn every_fault_is_named_with_its_field_and_place() {
+    fn errors_name_field_and_position() {
         for (from, to, wanted) in [
             ("(stays \"push\")", "(colour 1)", "5:7: field `colour`: no such field"),
             ("(site \"b\"", "(site \"a\"", "3:7: field `site`: `a` is given twice"),
--- a/crates/sites/src/lib.rs
+++ b/crates/sites/src/lib.rs
@@ -1,5 +1,5 @@
-//! Plans for the loss of a site, made ahead: for every single loss what share of each load goes where, what is
-//! refused, in which order and from what load on. Nothing here reads a clock or a file.
+//! Failover plans for the loss of sites, made in advance: where each load goes, what is refused, in which order and
+//! from which load on. Does no I/O and reads no clock.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/crates/sites/src/model.rs
+++ b/crates/sites/src/model.rs
@@ -1,4 +1,4 @@
-//! Sites, what they can do and what is asked of them.
+//! Sites, their capacity and their load.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -7,24 +7,24 @@
 pub struct Site {
     /// Its name.
     pub name: String,
-    /// The zones that belong to it.
+    /// Zones that belong to it.
     pub zones: Vec<String>,
-    /// Gateways there, by their numbers; where none are named, those in its zones.
+    /// Numbers of its gateways; if empty, the gateways in its zones.
     pub gateways: BTreeSet<u32>,
-    /// Whether the shared counter is there.
+    /// Whether the shared counter runs there.
     pub counter: bool,
-    /// Workers there, of equal size.
+    /// Number of workers, of equal size.
     pub workers: usize,
-    /// Requests a second of each class that it serves if it has nothing else to do. Classes share it: half as many of
-    /// one leave room for half as many of another. One that is not named can't be served there.
+    /// Requests per second of each class that it serves when it serves nothing else. Classes share the site: half of one
+    /// class's capacity leaves room for half of another's. Classes that are missing can't be served there.
     pub capacity: BTreeMap<String, f64>,
-    /// Part of it that no plan uses.
+    /// Fraction of it that plans leave unused.
     pub reserve: f64,
-    /// Where its load goes when it can't stay, the first place preferred.
+    /// Sites that take its load, the preferred one first.
     pub to: Vec<String>,
 }
 
-/// A load: requests a second of one class by accounts of one plan, whose clients come to one site.
+/// A load: requests of one class by accounts of one plan, whose clients use one site.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Load {
     /// The site.
@@ -33,20 +33,20 @@
     pub plan: String,
     /// The class.
     pub class: String,
-    /// Requests a second.
+    /// Requests per second.
     pub rate: f64,
-    /// What a request is worth that is served.
+    /// Worth of a served request.
     pub worth: f64,
 }
 
-/// All of it.
+/// Sites and loads.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Sites {
     /// The sites.
     pub sites: Vec<Site>,
     /// The loads.
     pub loads: Vec<Load>,
-    /// Classes whose load stays at its site or is refused.
+    /// Classes that are served at their own site or refused.
     pub stays: BTreeSet<String>,
 }
 
@@ -56,8 +56,8 @@
         self.sites.iter().find(|site| site.name == name)
     }
 
-    /// Without some sites, and with all loads so many times as high. What comes to a lost site still comes: its
-    /// clients are sent elsewhere.
+    /// Without the capacity of some sites, and with all loads multiplied. Clients of a lost site still come: they are sent
+    /// to other sites.
     pub fn without(&self, lost: &[String], times: f64) -> Sites {
         let mut left = self.clone();
         for site in left.sites.iter_mut().filter(|site| lost.contains(&site.name)) {
@@ -68,13 +68,13 @@
         left
     }
 
-    /// The site of a gateway: the one that names its number, or else its zone.
+    /// The site of a gateway: the one that lists its number, or else its zone.
     pub fn home(&self, gateway: u32, zone: &str) -> Option<usize> {
         let named = self.sites.iter().position(|site| site.gateways.contains(&gateway));
         named.or_else(|| self.sites.iter().position(|site| site.zones.iter().any(|own| own == zone)))
     }
 
-    /// With each plan's and class's loads so many times as high, by their names.
+    /// With the loads of each plan and class multiplied.
     pub fn scaled(&self, times: &BTreeMap<(String, String), f64>) -> Sites {
         let mut scaled = self.clone();
         for load in &mut scaled.loads {
@@ -83,7 +83,7 @@
         scaled
     }
 
-    /// Places where a load may be served, the first preferred, each with the share of the place that one request a
+    /// Sites that may serve a load, the preferred one first, each with the fraction of the site that one request per
     /// second takes.
     pub fn places(&self, load: &Load) -> Vec<(usize, f64)> {
         let Some(home) = self.sites.iter().position(|site| site.name == load.site) else { return Vec::new() };
@@ -96,7 +96,7 @@
         std::iter::once(home).chain(others).filter_map(able).collect()
     }
 
-    /// The share of a site that plans may use.
+    /// The fraction of a site that plans may use.
     pub fn room(&self, place: usize) -> f64 {
         1.0 - self.sites[place].reserve
     }
--- a/crates/sites/src/page.rs
+++ b/crates/sites/src/page.rs
@@ -1,4 +1,4 @@
-//! One page of a plan: for each loss of a site, what is refused as load grows, by plan and class.
+//! HTML page with one plot per loss: the refused fraction of each plan and class by load.
 
 use crate::model::Sites;
 use crate::plan::plan;
@@ -6,21 +6,25 @@
 use std::collections::BTreeMap;
 use std::fmt::Write;
 
-/// Loads that are looked at, as multiples of the file's: from, to, and how many.
-const LOADS: (f64, f64, usize) = (0.4, 2.0, 33);
-/// Most sites that a page is drawn for: a plot each.
-const SITES_MAX: usize = 20;
+/// Lowest load factor that is plotted.
+const MIN_LOAD: f64 = 0.4;
+/// Highest load factor that is plotted.
+const MAX_LOAD: f64 = 2.0;
+/// Number of load factors that are plotted.
+const LOAD_POINTS: usize = 33;
+/// Maximum number of sites: each has a plot.
+const MAX_SITES: usize = 20;
 
-/// A share of the requests of each plan and class that is refused, by load.
+/// Refused fraction by load factor, for each plan and class.
 type Curves = BTreeMap<String, Vec<(f64, f64)>>;
 
-/// The page, as HTML that holds its plots.
+/// Renders the page as HTML with embedded plots.
 ///
 /// # Errors
-/// Too many sites, a program without a solution, or a plot that can't be drawn.
+/// Too many sites, a linear program without a solution, or a plot that can't be drawn.
 pub fn page(sites: &Sites) -> Result<String, String> {
-    if sites.sites.len() > SITES_MAX {
-        return Err(format!("{} sites are too many for a page, {SITES_MAX} at most", sites.sites.len()));
+    if sites.sites.len() > MAX_SITES {
+        return Err(format!("{} sites are too many for a page, {MAX_SITES} at most", sites.sites.len()));
     }
     let mut plots = String::new();
     for lost in std::iter::once(None).chain(sites.sites.iter().map(|site| Some(&site.name))) {
@@ -37,9 +41,9 @@
 
 fn curves(sites: &Sites, lost: &[String]) -> Result<Curves, String> {
     let mut curves = Curves::new();
-    for n in 0..LOADS.2 {
-        let times = LOADS.0 + (LOADS.1 - LOADS.0) * n as f64 / (LOADS.2 - 1) as f64;
-        let left = sites.without(lost, times);
+    for n in 0..LOAD_POINTS {
+        let factor = MIN_LOAD + (MAX_LOAD - MIN_LOAD) * n as f64 / (LOAD_POINTS - 1) as f64;
+        let left = sites.without(lost, factor);
         let mut sums: BTreeMap<String, (f64, f64)> = BTreeMap::new();
         for part in plan(&left)?.parts {
             let load = &left.loads[part.load];
@@ -47,7 +51,7 @@
             *sum = (sum.0 + part.refused * load.rate, sum.1 + load.rate);
         }
         for (name, (refused, asked)) in sums {
-            curves.entry(name).or_default().push((times, refused / asked.max(f64::MIN_POSITIVE)));
+            curves.entry(name).or_default().push((factor, refused / asked.max(f64::MIN_POSITIVE)));
         }
     }
     Ok(curves)
@@ -60,7 +64,7 @@
         .enumerate()
         .map(|(n, (name, points))| (name.as_str(), colour(n), points.clone()))
         .collect();
-    draw(title, LOADS.1, &[1.0], &lines)
+    draw(title, MAX_LOAD, &[1.0], &lines)
 }
 
 #[cfg(test)]
@@ -69,7 +73,7 @@
     use crate::file::read;
 
     #[test]
-    fn a_page_has_a_plot_for_every_loss_and_names_are_no_markup() {
+    fn page_has_a_plot_for_every_loss_and_escapes_names() {
         let text = include_str!("../../../deploy/sites.example.lisp").replace("\"c\"", "\"c<b>\"");
         let page = page(&read(&text).unwrap()).unwrap();
         assert_eq!((page.matches("<svg").count(), page.matches("<h2>").count()), (4, 4));
@@ -77,7 +81,7 @@
     }
 
     #[test]
-    fn what_is_refused_only_grows_with_load_and_the_least_worth_first() {
+    fn refusals_grow_with_load_lowest_worth_first() {
         let sites = read(include_str!("../../../deploy/sites.example.lisp")).unwrap();
         let curves = curves(&sites, &["a".to_owned()]).unwrap();
         for (name, points) in &curves {
--- a/crates/sites/src/plan.rs
+++ b/crates/sites/src/plan.rs
@@ -1,59 +1,61 @@
-//! A plan by a linear program: what is served is worth as much as can be; of equal worth, load stays where it is or goes
-//! to the first of its places.
+//! Failover plan by a linear program: maximizes the worth served; among equal solutions load stays at its site or goes
+//! to the first of its alternatives.
 
 use crate::model::Sites;
 use good_lp::{constraint, microlp, variables, Expression, Solution, SolverModel, Variable};
 use std::collections::BTreeMap;
 
-/// What a place further down the list costs, as a part of a request's worth: less than any difference in worth.
-const FURTHER: f64 = 1e-4;
-/// A load is served in so many slices, each worth less than the one before by this part: of loads that are worth the
-/// same none is refused whole while another is served whole.
-const SLICES: (usize, f64) = (10, 1e-3);
-/// A share below this is rounding.
-const NOTHING: f64 = 1e-6;
-/// Steps in looking for the load from which on something is refused.
-const STEPS: usize = 24;
-/// The highest load that is looked at, as a multiple.
-const TIMES_MAX: f64 = 16.0;
+/// Cost of each further alternative, as a fraction of a request's worth; less than any difference in worth.
+const DISTANCE_COST: f64 = 1e-4;
+/// Slices per load. Each is worth less than the one before, so that of loads with equal worth none is refused entirely
+/// while another is served entirely.
+const SLICES: usize = 10;
+/// Decrease in worth from slice to slice, as a fraction.
+const SLICE_DISCOUNT: f64 = 1e-3;
+/// Shares below this are rounding errors.
+const EPSILON: f64 = 1e-6;
+/// Bisection steps in the search for a load's refusal threshold.
+const BISECTION_STEPS: usize = 24;
+/// Highest load factor that is searched.
+const MAX_LOAD_FACTOR: f64 = 16.0;
 
-/// What becomes of a load.
+/// Placement of a load.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Part {
-    /// Its place among the loads.
+    /// Index of the load.
     pub load: usize,
-    /// Shares of it by site.
+    /// Shares of the load, by site.
     pub shares: Vec<(usize, f64)>,
     /// The share that is refused.
     pub refused: f64,
 }
 
-/// What is refused, and from what load on.
+/// The load factor from which on a load is refused.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Refusal {
-    /// Its place among the loads.
+    /// Index of the load.
     pub load: usize,
-    /// The multiple of today's load from which on some of it is refused; none below the highest that is looked at.
+    /// Factor on the configured load from which on some of it is refused; `None` if above the highest that is searched.
     pub from: Option<f64>,
 }
 
-/// A plan.
+/// Placement of all loads.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Plan {
-    /// What becomes of each load.
+    /// Placement of each load.
     pub parts: Vec<Part>,
-    /// What is served a second, in worth, and what is asked.
+    /// Worth per second that is served, and that is requested.
     pub worth: (f64, f64),
-    /// The share of each site that is used.
+    /// Used fraction of each site.
     pub used: Vec<f64>,
-    /// What one worker more at each site would add, in worth a second; 0 where a site is not full.
+    /// Worth per second that one more worker at each site would add; 0 if the site is not full.
     pub one_more: Vec<f64>,
 }
 
-/// Makes a plan.
+/// Computes the plan.
 ///
 /// # Errors
-/// The program has no solution: figures that are no numbers.
+/// The linear program has no solution, because an input is not a finite number.
 pub fn plan(sites: &Sites) -> Result<Plan, String> {
     let (parts, worth) = solve(sites)?;
     let mut used = vec![0.0; sites.sites.len()];
@@ -66,10 +68,10 @@
     }
     let mut one_more = vec![0.0; sites.sites.len()];
     for (place, site) in sites.sites.iter().enumerate() {
-        if site.workers > 0 && used[place] > sites.room(place) - NOTHING.sqrt() {
+        if site.workers > 0 && used[place] > sites.room(place) - EPSILON.sqrt() {
             let mut larger = sites.clone();
-            let times = (site.workers + 1) as f64 / site.workers as f64;
-            larger.sites[place].capacity.values_mut().for_each(|capacity| *capacity *= times);
+            let factor = (site.workers + 1) as f64 / site.workers as f64;
+            larger.sites[place].capacity.values_mut().for_each(|capacity| *capacity *= factor);
             one_more[place] = (solve(&larger)?.1 - worth).max(0.0);
         }
     }
@@ -77,7 +79,7 @@
     Ok(Plan { parts, worth: (worth, asked), used, one_more })
 }
 
-/// Parts, and what is served in worth a second.
+/// Placements, and the worth served per second.
 fn solve(sites: &Sites) -> Result<(Vec<Part>, f64), String> {
     let mut variables = variables!();
     let mut flows: Vec<Vec<(usize, f64, Variable)>> = Vec::new();
@@ -91,17 +93,17 @@
     let mut objective = Expression::from(0.0);
     let mut slices: Vec<Vec<Variable>> = Vec::new();
     for load in &sites.loads {
-        let slice = load.rate / SLICES.0 as f64;
+        let slice = load.rate / SLICES as f64;
         let all: Vec<Variable> =
-            (0..SLICES.0).map(|_| variables.add(good_lp::variable().min(0.0).max(slice))).collect();
+            (0..SLICES).map(|_| variables.add(good_lp::variable().min(0.0).max(slice))).collect();
         for (n, served) in all.iter().enumerate() {
-            objective += load.worth.max(NOTHING) * (1.0 - SLICES.1 * n as f64) * *served;
+            objective += load.worth.max(EPSILON) * (1.0 - SLICE_DISCOUNT * n as f64) * *served;
         }
         slices.push(all);
     }
     for (load, flow) in sites.loads.iter().zip(&flows) {
         for (rank, (_, _, rate)) in flow.iter().enumerate() {
-            objective += -load.worth.max(NOTHING) * FURTHER * rank as f64 * *rate;
+            objective += -load.worth.max(EPSILON) * DISTANCE_COST * rank as f64 * *rate;
         }
     }
     let mut model = variables.maximise(objective).using(microlp);
@@ -118,49 +120,49 @@
     let solution = model.solve().map_err(|e| e.to_string())?;
     let mut worth = 0.0;
     let mut parts = Vec::new();
-    for (at, (load, flow)) in sites.loads.iter().zip(&flows).enumerate() {
+    for (index, (load, flow)) in sites.loads.iter().zip(&flows).enumerate() {
         let rate = load.rate.max(f64::MIN_POSITIVE);
         let shares =
             flow.iter().map(|(place, _, flow)| (*place, (solution.value(*flow) / rate).clamp(0.0, 1.0)));
-        let shares: Vec<(usize, f64)> = shares.filter(|(_, share)| *share > NOTHING).collect();
+        let shares: Vec<(usize, f64)> = shares.filter(|(_, share)| *share > EPSILON).collect();
         let served: f64 = shares.iter().map(|(_, share)| share).sum();
         worth += served * load.rate * load.worth;
-        let refused = if served > 1.0 - NOTHING || load.rate == 0.0 { 0.0 } else { 1.0 - served };
-        parts.push(Part { load: at, shares, refused });
+        let refused = if served > 1.0 - EPSILON || load.rate == 0.0 { 0.0 } else { 1.0 - served };
+        parts.push(Part { load: index, shares, refused });
     }
     Ok((parts, worth))
 }
 
 impl Plan {
-    /// From what load on each is refused, the first refused first.
+    /// The refusal threshold of each load, lowest first.
     ///
     /// # Errors
     /// As [`plan`].
     pub fn refusals(sites: &Sites) -> Result<Vec<Refusal>, String> {
-        // One solution tells of all loads, and their searches begin alike.
-        let mut known_at: BTreeMap<u64, Vec<bool>> = BTreeMap::new();
-        let mut refused = |times: f64, load: usize| -> Result<bool, String> {
-            if let Some(known) = known_at.get(&times.to_bits()) {
+        // One solution covers all loads, and their searches begin alike.
+        let mut refused_by_factor: BTreeMap<u64, Vec<bool>> = BTreeMap::new();
+        let mut refused = |factor: f64, load: usize| -> Result<bool, String> {
+            if let Some(known) = refused_by_factor.get(&factor.to_bits()) {
                 return Ok(known[load]);
             }
-            let (parts, _) = solve(&sites.without(&[], times))?;
-            let all: Vec<bool> = parts.iter().map(|part| part.refused > NOTHING.sqrt()).collect();
+            let (parts, _) = solve(&sites.without(&[], factor))?;
+            let all: Vec<bool> = parts.iter().map(|part| part.refused > EPSILON.sqrt()).collect();
             let found = all[load];
-            known_at.insert(times.to_bits(), all);
+            refused_by_factor.insert(factor.to_bits(), all);
             Ok(found)
         };
         let mut refusals = Vec::new();
         for load in 0..sites.loads.len() {
-            let refused_at_all = refused(TIMES_MAX, load)?;
-            let (mut least, mut known) = (0.0, TIMES_MAX);
-            for _ in 0..STEPS * usize::from(refused_at_all) {
-                let middle = (least + known) / 2.0;
-                match refused(middle, load)? {
-                    true => known = middle,
-                    false => least = middle,
+            let refused_at_all = refused(MAX_LOAD_FACTOR, load)?;
+            let (mut low, mut high) = (0.0, MAX_LOAD_FACTOR);
+            for _ in 0..BISECTION_STEPS * usize::from(refused_at_all) {
+                let mid = (low + high) / 2.0;
+                match refused(mid, load)? {
+                    true => high = mid,
+                    false => low = mid,
                 }
             }
-            refusals.push(Refusal { load, from: refused_at_all.then_some(known) });
+            refusals.push(Refusal { load, from: refused_at_all.then_some(high) });
         }
         refusals.sort_by(|a, b| a.from.unwrap_or(f64::MAX).total_cmp(&b.from.unwrap_or(f64::MAX)));
         Ok(refusals)
--- a/crates/sites/tests/plans.rs
+++ b/crates/sites/tests/plans.rs
@@ -1,4 +1,4 @@
-//! Plans: never more than there is, never less worth than the way of a fixed order, and the same in words.
+//! Properties of failover plans: they respect capacities and are worth no less than the greedy baseline.
 
 use hingestage_sites::{greedy, plan, read, worth, Plan, Sites};
 use proptest::prelude::*;
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn with_all_sites_there_all_is_served_where_it_comes() {
+fn without_losses_all_load_is_served_locally() {
     let sites = example();
     let plan = plan(&sites).unwrap();
     assert!((plan.worth.0 - plan.worth.1).abs() < 1e-6);
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn the_loss_of_a_site_refuses_what_is_worth_least_and_names_what_binds() {
+fn site_loss_refuses_lowest_worth_and_reports_bottlenecks() {
     let sites = example().without(&["a".into()], 1.0);
     let plan = plan(&sites).unwrap();
     assert!(refused(&sites, &plan, "base", "pull") > 50.0);
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn of_loads_that_are_worth_the_same_none_is_refused_whole_while_another_is_served() {
+fn loads_of_equal_worth_share_the_refusals() {
     let sites = example().without(&["a".into()], 1.2);
     let plan = plan(&sites).unwrap();
     let base = plan.parts.iter().filter(|part| sites.loads[part.load].plan == "base");
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn what_stays_goes_nowhere_else() {
+fn pinned_classes_are_refused_rather_than_moved() {
     let mut sites = example().without(&["a".into()], 0.1);
     sites.stays.insert("push".into());
     let plan = plan(&sites).unwrap();
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn what_is_worth_least_is_refused_first_as_load_grows() {
+fn lowest_worth_is_refused_first_as_load_grows() {
     let refusals = Plan::refusals(&example().without(&["b".into()], 1.0)).unwrap();
     let sites = example();
     let first = &sites.loads[refusals[0].load];
@@ -111,7 +111,7 @@
     #![proptest_config(ProptestConfig::with_cases(300))]
 
     #[test]
-    fn a_plan_keeps_to_what_there_is_and_is_worth_no_less_than_a_fixed_order(sites in instance()) {
+    fn plan_respects_capacity_and_beats_the_greedy_baseline(sites in instance()) {
         let made = plan(&sites).unwrap();
         for (place, used) in made.used.iter().enumerate() {
             prop_assert!(*used <= sites.room(place) + 1e-6, "{place}: {used}");
@@ -126,9 +126,9 @@
         prop_assert!(made.worth.0 >= fixed * (1.0 - 1e-2) - 1e-6, "{} of {fixed}", made.worth.0);
     }
 
-    /// What is served is worth no more where less is there.
+    /// Guards against plans that gain from a loss of capacity.
     #[test]
-    fn a_loss_never_helps(sites in instance()) {
+    fn losing_a_site_never_raises_the_worth(sites in instance()) {
         let all = plan(&sites).unwrap().worth.0;
         let lost = plan(&sites.without(&["s0".into()], 1.0)).unwrap().worth.0;
         prop_assert!(lost <= all * (1.0 + 1e-2) + 1e-6);
--- a/crates/turns/examples/quota_sums.rs
+++ b/crates/turns/examples/quota_sums.rs
@@ -1,53 +1,53 @@
-//! What turns change for quotas: fleets of real decisions with and without them, in one run, as ratios.
+//! Quota accuracy and counter load of simulated fleets with and without aggregated counter calls, as a table.
 
 #[path = "../tests/common/mod.rs"]
 mod common;
 
-use common::{Fleet, Scene, Sum, S};
+use common::{Fleet, Metrics, Scenario, S};
 
-fn print(what: &str, scene: &Scene) {
-    let (mut alone, mut turns) = (Sum::default(), Sum::default());
+fn print(what: &str, scenario: &Scenario) {
+    let (mut direct, mut aggregated) = (Metrics::default(), Metrics::default());
     for seed in 1..=3 {
-        let scene = Scene { seed, ..scene.clone() };
-        for (sum, with) in [(&mut alone, false), (&mut turns, true)] {
-            let one = Fleet::play(&scene, with);
-            sum.asked += one.asked;
-            sum.sent += one.sent;
-            sum.beyond += one.beyond;
-            sum.wronged += one.wronged;
-            sum.half_unused += one.half_unused;
-            sum.calls += one.calls;
-            sum.words += one.words;
+        let scenario = Scenario { seed, ..scenario.clone() };
+        for (metrics, aggregate) in [(&mut direct, false), (&mut aggregated, true)] {
+            let run = Fleet::play(&scenario, aggregate);
+            metrics.requested += run.requested;
+            metrics.sent += run.sent;
+            metrics.over_quota += run.over_quota;
+            metrics.wrongly_refused += run.wrongly_refused;
+            metrics.refused_half_unused += run.refused_half_unused;
+            metrics.calls += run.calls;
+            metrics.batches += run.batches;
         }
     }
-    let row = |name: &str, sum: &Sum| {
-        let part = |units: f64| units / sum.asked;
-        let seconds = (scene.seconds * 3) as f64;
+    let row = |name: &str, metrics: &Metrics| {
+        let part = |units: f64| units / metrics.requested;
+        let seconds = (scenario.seconds * 3) as f64;
         println!(
             "| {what}, {name} | {:.3} | {:.3} | {:.3} | {:.3} | {:.0} | {:.0} |",
-            part(sum.sent - sum.beyond),
-            part(sum.beyond),
-            part(sum.wronged),
-            part(sum.half_unused),
-            sum.calls as f64 / seconds,
-            sum.words as f64 / seconds
+            part(metrics.sent - metrics.over_quota),
+            part(metrics.over_quota),
+            part(metrics.wrongly_refused),
+            part(metrics.refused_half_unused),
+            metrics.calls as f64 / seconds,
+            metrics.batches as f64 / seconds
         );
     };
-    row("alone", &alone);
-    row("turns", &turns);
+    row("alone", &direct);
+    row("turns", &aggregated);
 }
 
 fn main() {
-    println!("| fleet | within | beyond | refused with room | with half unused | calls/s | words/s |");
+    println!("| fleet | within | beyond | refused with room | with half unused | calls/s | batches/s |");
     println!("| --- | ---: | ---: | ---: | ---: | ---: | ---: |");
     for gateways in [5, 20, 60] {
-        print(&format!("{gateways} gateways"), &Scene::of(gateways));
+        print(&format!("{gateways} gateways"), &Scenario::of(gateways));
     }
-    let scene = Scene::of(20);
+    let scenario = Scenario::of(20);
     print(
         "20, seven in ten killed",
-        &Scene { killed: vec![((0..14).collect(), 5 * S, 15 * S)], ..scene.clone() },
+        &Scenario { outages: vec![((0..14).collect(), 5 * S, 15 * S)], ..scenario.clone() },
     );
-    print("20, the counter silent", &Scene { silent: (5 * S, 15 * S), ..scene.clone() });
-    print("20, it bears a sixth", &Scene { bears: 40.0, ..scene });
+    print("20, the counter silent", &Scenario { counter_outage: (5 * S, 15 * S), ..scenario.clone() });
+    print("20, a sixth of the counter capacity", &Scenario { counter_capacity: 40.0, ..scenario });
 }
--- a/crates/turns/src/desk.rs
+++ b/crates/turns/src/desk.rs
@@ -1,212 +1,215 @@
-//! The side that is told: adds up what gateways tell it of a name, answers with the total, and calls the counter.
+//! The owner's side: sums the increments that gateways send for a name, replies with totals and calls the counter.
 //!
-//! A total that is answered is the counter's last one and all that was told since. With one looker to a name, and all
-//! who count reaching it, that is exact. Where another looks as well, or somebody calls the counter itself, it lacks
-//! what those did since this desk's last call: what the account used in [`PARTS`] of a window at the most, as the
-//! counter is called that often. The same is lost with a looker that dies; one that ends calls for it before.
+//! A total is the counter's last one plus everything received since. That is exact while a name has one owner that
+//! all gateways reach. If a second gateway also acts as owner, or someone calls the counter directly, a total lacks
+//! what they added since the last call: at most the use of 1/[`CALLS_PER_WINDOW`] of a window. A crash of the owner
+//! loses as much; a clean shutdown flushes first.
 //!
-//! The counter is needed for what others count, and for the next looker; while it is silent a desk answers with all
-//! that it was told itself. So a quota holds over the fleet without the counter, from what its looker has heard on.
+//! While the counter is unavailable, the owner replies with the sum of what it received itself, so a quota holds over
+//! the fleet from then on.
 //!
-//! An amount goes to the counter once. Whether a call without an answer has added is not known: it is taken to have
-//! added, and no amount is sent again but for one that was refused.
+//! An amount is sent to the counter once. A call without a reply is assumed to have been added; only a refused call
+//! is sent again.
 
-use crate::pace::Pace;
+use crate::pace::Pacer;
 use crate::word::Told;
 use crate::Micros;
 use hingestage_policy::CounterOutcome;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Calls for one name in a window, whoever tells how often.
-pub const PARTS: Micros = 4;
-/// The shortest and the longest time between two calls for one name, µs.
-const EVERY: (Micros, Micros) = (20_000, 2_000_000);
-/// Names at most, of 400 bytes each; whoever tells of one more is sent elsewhere.
-const NAMES_MAX: usize = 4_096;
-/// Askers that wait at most.
-const ASKERS_MAX: usize = 4_096;
-/// Calls that a desk makes at once as it is left.
-const LAST_CALLS: usize = 256;
-
-/// What is known of one name.
+/// Calls to the counter per name and window.
+pub const CALLS_PER_WINDOW: Micros = 4;
+/// Shortest interval between two calls for one name, µs.
+const MIN_CALL_INTERVAL: Micros = 20_000;
+/// Longest interval between two calls for one name, µs.
+const MAX_CALL_INTERVAL: Micros = 2_000_000;
+/// Maximum number of names, of about 400 bytes each; increments for more are declined.
+const MAX_NAMES: usize = 4_096;
+/// Maximum number of pending requesters.
+const MAX_PENDING: usize = 4_096;
+/// Maximum number of calls made at shutdown.
+const MAX_FLUSH_CALLS: usize = 256;
+
+/// State of one name.
 #[derive(Clone, Debug)]
 struct Sum {
-    /// The counter's last total, and what was sent since without an answer.
-    read: f64,
-    /// Whether the counter has ever said one.
+    /// The counter's last total, plus amounts sent since whose outcome is unknown.
+    reported: f64,
+    /// Whether the counter ever returned a total.
     known: bool,
-    /// Whether a call has ended, with or without a total.
-    tried: bool,
-    /// All that was told here.
-    ours: f64,
-    /// What was told and not yet sent.
-    waiting: f64,
-    /// What was sent and when, while its answer is owed.
-    out: Option<(f64, Micros)>,
-    /// When the counter was last called for it.
+    /// Whether a call has finished or its requesters gave up waiting.
+    attempted: bool,
+    /// Sum of all increments received here.
+    received: f64,
+    /// Received but not yet sent to the counter.
+    unsent: f64,
+    /// Amount and start of the call in flight.
+    in_flight: Option<(f64, Micros)>,
+    /// Start of the last call.
     called: Micros,
-    /// When it was last told of.
-    told: Micros,
+    /// Time of the last increment.
+    last_received: Micros,
     keep_ms: u64,
-    /// When its next call is due, where one is wanted, and how urgently.
-    wants: Option<Want>,
-    /// Askers that wait, by their keys.
-    askers: Vec<(Micros, u64)>,
+    /// The scheduled next call, if any.
+    scheduled: Option<Due>,
+    /// Keys of the pending requesters.
+    pending: Vec<(Micros, u64)>,
 }
 
-/// Urgency, 0 where somebody waits for it, and when it is due.
-type Want = (u8, Micros);
+/// Priority (0 while a requester waits, else 1) and due time of a call.
+type Due = (u8, Micros);
 
 impl Sum {
     fn new(told: &Told, now: Micros) -> Sum {
         Sum {
-            read: 0.0,
+            reported: 0.0,
             known: false,
-            tried: false,
-            ours: 0.0,
-            waiting: 0.0,
-            out: None,
+            attempted: false,
+            received: 0.0,
+            unsent: 0.0,
+            in_flight: None,
             called: 0,
-            told: now,
+            last_received: now,
             keep_ms: told.keep_ms,
-            wants: None,
-            askers: Vec::new(),
+            scheduled: None,
+            pending: Vec::new(),
         }
     }
 
     fn total(&self) -> f64 {
-        let flying = self.out.map_or(0.0, |(amount, _)| amount);
+        let in_flight = self.in_flight.map_or(0.0, |(amount, _)| amount);
         if self.known {
-            // A counter that forgot says less than was told here.
-            (self.read + flying + self.waiting).max(self.ours)
+            // A counter that lost its state returns less than was received here.
+            (self.reported + in_flight + self.unsent).max(self.received)
         } else {
-            self.ours
+            self.received
         }
     }
 
-    /// Time between two calls: a name is kept for two windows.
-    fn every(&self) -> Micros {
-        (self.keep_ms * 1_000 / 2 / PARTS).clamp(EVERY.0, EVERY.1)
+    /// Interval between two calls; a value's time to live is two windows.
+    fn call_interval(&self) -> Micros {
+        (self.keep_ms * 1_000 / 2 / CALLS_PER_WINDOW).clamp(MIN_CALL_INTERVAL, MAX_CALL_INTERVAL)
     }
 
-    fn rests(&self, now: Micros) -> bool {
-        let over = now >= self.told + self.keep_ms * 1_000;
-        over && self.out.is_none() && self.askers.is_empty()
+    fn expired(&self, now: Micros) -> bool {
+        let over = now >= self.last_received + self.keep_ms * 1_000;
+        over && self.in_flight.is_none() && self.pending.is_empty()
     }
 }
 
-/// What a desk found for who told it something.
+/// Result of adding an increment.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Found {
-    /// The total, with what was told.
+    /// The total, including this increment.
     Total(f64),
-    /// It comes with a later step, within half of the time that a call may take.
+    /// The reply follows from a later call, within half of the counter's timeout.
     Later,
-    /// Nothing was added; this desk looks for nobody, or has no room.
+    /// Not added: this gateway is draining or full.
     Elsewhere,
 }
 
-/// What a desk wants done.
+/// An action for the caller to carry out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Do<A> {
-    /// Add to a name of the counter.
+    /// Call the counter.
     Count {
-        /// The name.
+        /// Counter name.
         name: String,
-        /// How much.
+        /// Amount to add.
         amount: f64,
-        /// How long a new number is kept, ms.
+        /// Time to live of a new counter value, ms.
         keep_ms: u64,
     },
-    /// Tell an asker its total.
+    /// Send a requester its total.
     Say(A, f64),
 }
 
-/// A gateway as the looker of names.
+/// Sums of the names that this gateway owns.
 pub struct Desk<A> {
     sums: BTreeMap<String, Sum>,
-    /// Calls that are wanted, the most urgent first.
-    wants: BTreeSet<(Want, String)>,
-    /// Who waits, by when its time is over, and for which name.
-    askers: BTreeMap<(Micros, u64), (A, String)>,
-    next: u64,
-    pace: Pace,
-    wait: Micros,
-    left: bool,
+    /// Scheduled calls, the most urgent first.
+    scheduled: BTreeSet<(Due, String)>,
+    /// Pending requesters and their names, by deadline.
+    pending: BTreeMap<(Micros, u64), (A, String)>,
+    next_key: u64,
+    pacer: Pacer,
+    timeout: Micros,
+    draining: bool,
 }
 
 impl<A> Desk<A> {
-    /// That of a gateway's new life, one of so many; a call to the counter ends after `wait`.
-    pub fn new(gateways: u32, wait: Micros) -> Desk<A> {
+    /// Creates an empty aggregator in a fleet of `gateways`; a call to the counter times out after `timeout`.
+    pub fn new(gateways: u32, timeout: Micros) -> Desk<A> {
         Desk {
             sums: BTreeMap::new(),
-            wants: BTreeSet::new(),
-            askers: BTreeMap::new(),
-            next: 0,
-            pace: Pace::new(gateways, wait),
-            wait,
-            left: false,
+            scheduled: BTreeSet::new(),
+            pending: BTreeMap::new(),
+            next_key: 0,
+            pacer: Pacer::new(gateways, timeout),
+            timeout,
+            draining: false,
         }
     }
 
-    /// Somebody adds to a name and wants its total.
-    pub fn told(&mut self, now: Micros, asker: A, told: &Told) -> Found {
-        let full = self.sums.len() >= NAMES_MAX && !self.sums.contains_key(&told.name);
-        if self.left || full || self.askers.len() >= ASKERS_MAX {
+    /// Adds an increment and returns the total if it is known.
+    pub fn told(&mut self, now: Micros, requester: A, told: &Told) -> Found {
+        let full = self.sums.len() >= MAX_NAMES && !self.sums.contains_key(&told.name);
+        if self.draining || full || self.pending.len() >= MAX_PENDING {
             return Found::Elsewhere;
         }
         let sum = self.sums.entry(told.name.clone()).or_insert_with(|| Sum::new(told, now));
-        sum.ours += told.amount;
-        sum.waiting += told.amount;
-        sum.told = now;
-        let (answers, total) = (sum.known || sum.tried, sum.total());
-        if !answers {
-            self.next += 1;
-            let key = (now + self.wait / 2, self.next);
-            sum.askers.push(key);
-            self.askers.insert(key, (asker, told.name.clone()));
+        sum.received += told.amount;
+        sum.unsent += told.amount;
+        sum.last_received = now;
+        let (known, total) = (sum.known || sum.attempted, sum.total());
+        if !known {
+            self.next_key += 1;
+            let key = (now + self.timeout / 2, self.next_key);
+            sum.pending.push(key);
+            self.pending.insert(key, (requester, told.name.clone()));
         }
-        self.want(now, &told.name);
-        if answers {
+        self.schedule(now, &told.name);
+        if known {
             Found::Total(total)
         } else {
             Found::Later
         }
     }
 
-    /// Notes the next call for a name, where none is out: at once where somebody waits for it.
-    fn want(&mut self, now: Micros, name: &str) {
-        let Some(sum) = self.sums.get_mut(name).filter(|sum| sum.out.is_none()) else { return };
-        let want = match sum.tried {
+    /// Schedules the next call for a name unless one is in flight; immediately if a requester waits.
+    fn schedule(&mut self, now: Micros, name: &str) {
+        let Some(sum) = self.sums.get_mut(name).filter(|sum| sum.in_flight.is_none()) else { return };
+        let next = match sum.attempted {
             false => (0, now),
-            true => (1, now.max(sum.called + sum.every())),
+            true => (1, now.max(sum.called + sum.call_interval())),
         };
-        // Who has given up waiting for it makes way for those who still do.
-        let stays = sum.wants.is_some_and(|wanted| wanted <= want && (wanted.0 == 1 || !sum.tried));
-        if !stays {
-            let before = sum.wants.replace(want);
+        // A name whose requesters have given up drops to the lower priority.
+        let keep =
+            sum.scheduled.is_some_and(|due_call| due_call <= next && (due_call.0 == 1 || !sum.attempted));
+        if !keep {
+            let before = sum.scheduled.replace(next);
             if let Some(before) = before {
-                self.wants.remove(&(before, name.to_owned()));
+                self.scheduled.remove(&(before, name.to_owned()));
             }
-            self.wants.insert((want, name.to_owned()));
+            self.scheduled.insert((next, name.to_owned()));
         }
     }
 
-    /// What is due by now.
+    /// Pushes all actions that are due by `now`.
     pub fn due(&mut self, now: Micros, out: &mut Vec<Do<A>>) {
-        while let Some(entry) = self.askers.first_entry().filter(|entry| entry.key().0 <= now) {
-            let (key, (asker, name)) = entry.remove_entry();
+        while let Some(entry) = self.pending.first_entry().filter(|entry| entry.key().0 <= now) {
+            let (key, (requester, name)) = entry.remove_entry();
             let Some(sum) = self.sums.get_mut(&name) else { continue };
-            sum.askers.retain(|one| *one != key);
-            // Its call is late: from here on nobody waits for it.
-            sum.tried = true;
-            out.push(Do::Say(asker, sum.total()));
-            self.want(now, &name);
+            sum.pending.retain(|one| *one != key);
+            // The call is late: later requesters do not wait for it.
+            sum.attempted = true;
+            out.push(Do::Say(requester, sum.total()));
+            self.schedule(now, &name);
         }
-        // The urgent come first in the set, the others only once their time has come.
-        let due = |want: &Want| want.1 <= now;
-        while let Some((_, name)) = self.wants.iter().find(|(want, _)| due(want)).cloned() {
-            if !self.pace.take(now) {
+        // The set orders by priority; lower priorities may not be due yet.
+        let due = |call: &Due| call.1 <= now;
+        while let Some((_, name)) = self.scheduled.iter().find(|(call, _)| due(call)).cloned() {
+            if !self.pacer.try_acquire(now) {
                 break;
             }
             out.extend(self.call(now, &name));
@@ -215,68 +218,68 @@
 
     fn call(&mut self, now: Micros, name: &str) -> Option<Do<A>> {
         let sum = self.sums.get_mut(name)?;
-        let wanted = sum.wants.take()?;
-        self.wants.remove(&(wanted, name.to_owned()));
-        let amount = std::mem::take(&mut sum.waiting);
-        (sum.out, sum.called) = (Some((amount, now)), now);
+        let due_call = sum.scheduled.take()?;
+        self.scheduled.remove(&(due_call, name.to_owned()));
+        let amount = std::mem::take(&mut sum.unsent);
+        (sum.in_flight, sum.called) = (Some((amount, now)), now);
         Some(Do::Count { name: name.to_owned(), amount, keep_ms: sum.keep_ms })
     }
 
-    /// A call has ended.
+    /// Handles the outcome of a call to the counter.
     pub fn counted(&mut self, now: Micros, name: &str, outcome: CounterOutcome, out: &mut Vec<Do<A>>) {
         let Some(sum) = self.sums.get_mut(name) else { return };
-        let Some((amount, sent)) = sum.out.take() else { return };
+        let Some((amount, sent)) = sum.in_flight.take() else { return };
         let total = match outcome {
             CounterOutcome::Total(total) => Some(total).filter(|total| total.is_finite()),
             _ => None,
         };
         match (total, outcome) {
-            (Some(total), _) => (sum.read, sum.known) = (total, true),
-            (None, CounterOutcome::Refused) => sum.waiting += amount,
-            (None, _) => sum.read += amount,
+            (Some(total), _) => (sum.reported, sum.known) = (total, true),
+            (None, CounterOutcome::Refused) => sum.unsent += amount,
+            (None, _) => sum.reported += amount,
         }
-        sum.tried = true;
-        for key in std::mem::take(&mut sum.askers) {
-            let asker = self.askers.remove(&key);
-            out.extend(asker.map(|(asker, _)| Do::Say(asker, sum.total())));
+        sum.attempted = true;
+        for key in std::mem::take(&mut sum.pending) {
+            let requester = self.pending.remove(&key);
+            out.extend(requester.map(|(requester, _)| Do::Say(requester, sum.total())));
         }
-        let more = sum.waiting != 0.0;
-        self.pace.ended(total.is_some(), now.saturating_sub(sent));
-        if more {
-            self.want(now, name);
+        let has_unsent = sum.unsent != 0.0;
+        self.pacer.record(total.is_some(), now.saturating_sub(sent));
+        if has_unsent {
+            self.schedule(now, name);
         }
     }
 
-    /// This gateway ends: it looks for nobody any more, and calls at once for what it has not sent, the most first.
+    /// Stops owning names and returns the calls that flush unsent amounts, the largest first.
     pub fn leave(&mut self, now: Micros) -> Vec<Do<A>> {
-        self.left = true;
-        let unsent = self.sums.iter().filter(|(_, sum)| sum.waiting != 0.0 && sum.wants.is_some());
-        let mut unsent: Vec<(f64, String)> =
-            unsent.map(|(name, s)| (s.waiting.abs(), name.clone())).collect();
-        unsent.sort_by(|a, b| b.0.total_cmp(&a.0));
-        unsent.iter().take(LAST_CALLS).filter_map(|(_, name)| self.call(now, name)).collect()
+        self.draining = true;
+        let unsent_sums = self.sums.iter().filter(|(_, sum)| sum.unsent != 0.0 && sum.scheduled.is_some());
+        let mut amounts: Vec<(f64, String)> =
+            unsent_sums.map(|(name, s)| (s.unsent.abs(), name.clone())).collect();
+        amounts.sort_by(|a, b| b.0.total_cmp(&a.0));
+        amounts.iter().take(MAX_FLUSH_CALLS).filter_map(|(_, name)| self.call(now, name)).collect()
     }
 
-    /// Forgets names that nobody has told of for as long as the counter keeps them.
+    /// Removes names that received nothing for the time to live of their values.
     pub fn tidy(&mut self, now: Micros) {
-        let wants = &mut self.wants;
+        let scheduled = &mut self.scheduled;
         self.sums.retain(|name, sum| {
-            let rests = sum.rests(now);
-            if let (true, Some(want)) = (rests, sum.wants) {
-                wants.remove(&(want, name.clone()));
+            let expired = sum.expired(now);
+            if let (true, Some(call)) = (expired, sum.scheduled) {
+                scheduled.remove(&(call, name.clone()));
             }
-            !rests
+            !expired
         });
     }
 
-    /// Whether nothing is owed and nothing is to be sent.
+    /// Whether no call is scheduled and no requester is pending.
     pub fn idle(&self) -> bool {
-        self.wants.is_empty() && self.askers.is_empty()
+        self.scheduled.is_empty() && self.pending.is_empty()
     }
 
-    /// Names that this gateway looks for, and the time between two of its calls, µs.
+    /// Number of owned names, and the interval between two calls, µs.
     pub fn figures(&self) -> (usize, f64) {
-        (self.sums.len(), self.pace.gap())
+        (self.sums.len(), self.pacer.interval())
     }
 }
 
@@ -289,7 +292,7 @@
     const S: Micros = 1_000_000;
     const WAIT: Micros = 50 * MS;
 
-    /// A desk that may call as often as it likes.
+    /// An aggregator whose pacing does not limit the tests.
     fn desk() -> Desk<u32> {
         Desk::new(1, WAIT)
     }
@@ -315,7 +318,7 @@
     }
 
     #[test]
-    fn those_who_come_first_wait_for_one_call_and_later_ones_are_told_at_once() {
+    fn first_requesters_share_a_call_and_later_ones_get_totals_at_once() {
         let mut desk = desk();
         assert_eq!(desk.told(S, 1, &told(2.0)), Found::Later);
         assert_eq!(due(&mut desk, S), [count(2.0)]);
@@ -325,19 +328,23 @@
         assert_eq!(desk.told(S + 4 * MS, 3, &told(1.0)), Found::Total(16.0));
         assert_eq!(due(&mut desk, S + 900 * MS), [], "a quarter of a window has to pass");
         assert_eq!(due(&mut desk, 2 * S), [count(4.0)]);
-        assert_eq!(desk.told(2 * S, 3, &told(1.0)), Found::Total(17.0), "what is on its way counts");
+        assert_eq!(desk.told(2 * S, 3, &told(1.0)), Found::Total(17.0), "the amount in flight counts");
         assert_eq!(counted(&mut desk, 2 * S + MS, Total(40.0)), []);
-        assert_eq!(desk.told(2 * S + MS, 1, &told(0.0)), Found::Total(41.0), "others count as well");
+        assert_eq!(
+            desk.told(2 * S + MS, 1, &told(0.0)),
+            Found::Total(41.0),
+            "amounts of other gateways count"
+        );
     }
 
     #[test]
-    fn however_many_tell_it_calls_four_times_in_a_window() {
+    fn call_rate_does_not_depend_on_the_number_of_increments() {
         let mut desk = desk();
         let (mut calls, mut sum) = (0, 0.0);
         for ms in 0..4_000 {
             let now = S + ms * MS;
-            for asker in 0..5 {
-                desk.told(now, asker, &told(0.5));
+            for requester in 0..5 {
+                desk.told(now, requester, &told(0.5));
             }
             for one in due(&mut desk, now) {
                 if let Do::Count { amount, .. } = one {
@@ -346,37 +353,41 @@
                 }
             }
         }
-        assert!((4..=5).contains(&calls), "{calls} calls for 20,000 words");
+        assert!((4..=5).contains(&calls), "{calls} calls for 20,000 increments");
         assert_eq!(desk.told(6 * S, 1, &told(0.0)), Found::Total(10_000.0));
     }
 
     #[test]
-    fn a_silent_counter_holds_up_the_first_and_then_nobody() {
+    fn unavailable_counter_delays_only_the_first_requesters() {
         let mut desk = desk();
         assert_eq!(desk.told(S, 1, &told(2.0)), Found::Later);
         assert_eq!(due(&mut desk, S), [count(2.0)]);
         assert_eq!(due(&mut desk, S + 24 * MS), []);
-        assert_eq!(due(&mut desk, S + 25 * MS), [Do::Say(1, 2.0)], "half of the time that a call may take");
+        assert_eq!(due(&mut desk, S + 25 * MS), [Do::Say(1, 2.0)], "half of the timeout");
         assert_eq!(desk.told(S + 26 * MS, 2, &told(5.0)), Found::Total(7.0));
         assert_eq!(counted(&mut desk, S + 50 * MS, Timeout), []);
         assert_eq!(desk.told(S + 60 * MS, 3, &told(1.0)), Found::Total(8.0));
-        assert_eq!(due(&mut desk, 2 * S), [count(6.0)], "what may have been added is not sent again");
+        assert_eq!(
+            due(&mut desk, 2 * S),
+            [count(6.0)],
+            "an amount that may have been added is not sent again"
+        );
     }
 
     #[test]
-    fn what_was_refused_is_sent_again_once_its_time_has_come() {
+    fn refused_amounts_are_sent_again_after_the_interval() {
         let mut desk = desk();
         desk.told(S, 1, &told(2.0));
         assert_eq!(due(&mut desk, S), [count(2.0)]);
         assert_eq!(counted(&mut desk, S + MS, Refused), [Do::Say(1, 2.0)]);
         assert_eq!(due(&mut desk, S + 2 * MS), []);
         assert_eq!(due(&mut desk, 2 * S), [count(2.0)]);
-        assert_eq!(counted(&mut desk, 2 * S + MS, Total(f64::NAN)), [], "no figure tells nothing");
+        assert_eq!(counted(&mut desk, 2 * S + MS, Total(f64::NAN)), [], "NaN is no total");
         assert_eq!(desk.told(2 * S + MS, 1, &told(0.0)), Found::Total(2.0));
     }
 
     #[test]
-    fn a_counter_that_forgot_lets_no_total_fall_below_what_was_told_here() {
+    fn totals_never_fall_below_received_amounts_after_counter_reset() {
         let mut desk = desk();
         desk.told(S, 1, &told(30.0));
         due(&mut desk, S);
@@ -385,11 +396,11 @@
         due(&mut desk, 2 * S);
         counted(&mut desk, 2 * S, Total(1.0));
         assert_eq!(desk.told(2 * S, 1, &told(0.0)), Found::Total(31.0));
-        assert_eq!(desk.told(2 * S, 1, &told(-1.0)), Found::Total(30.0), "what is given back counts back");
+        assert_eq!(desk.told(2 * S, 1, &told(-1.0)), Found::Total(30.0), "returned units reduce the total");
     }
 
     #[test]
-    fn one_that_ends_sends_the_most_first_and_looks_for_nobody() {
+    fn draining_flushes_largest_amounts_first_and_declines_new_ones() {
         let mut desk = desk();
         for (name, amount) in [("a", 1.0), ("b", 7.0), ("c", 0.0)] {
             let told = Told { name: name.into(), amount, keep_ms: 8_000 };
@@ -398,36 +409,36 @@
         let last = desk.leave(S);
         let of = |one: &Do<u32>| match one {
             Do::Count { name, amount, .. } => (name.clone(), *amount),
-            Do::Say(..) => panic!("nobody is told anything"),
+            Do::Say(..) => panic!("no reply is due"),
         };
         assert_eq!(last.iter().map(of).collect::<Vec<_>>(), [("b".into(), 7.0), ("a".into(), 1.0)]);
         assert_eq!(desk.told(S, 1, &told(1.0)), Found::Elsewhere);
         let mut out = Vec::new();
         desk.counted(S + MS, "b", Total(9.0), &mut out);
-        assert_eq!(out, [Do::Say(1, 9.0)], "who waits is still told");
+        assert_eq!(out, [Do::Say(1, 9.0)], "pending requesters still get replies");
     }
 
     #[test]
-    fn names_at_rest_are_forgotten_and_too_many_are_sent_elsewhere() {
+    fn expired_names_are_evicted_and_excess_names_are_declined() {
         let mut desk = desk();
-        for n in 0..NAMES_MAX {
+        for n in 0..MAX_NAMES {
             let told = Told { name: format!("n{n}"), amount: 1.0, keep_ms: 8_000 };
             assert_eq!(desk.told(S, 1, &told), Found::Later);
-            // What waits is answered, or there would be too many who wait.
+            // Lets the requester time out, which keeps the number pending below its limit.
             due(&mut desk, S + 25 * MS);
         }
         assert_eq!(desk.told(S, 1, &told(1.0)), Found::Elsewhere);
         due(&mut desk, S + WAIT);
         desk.tidy(S + 7 * S);
-        assert_eq!(desk.figures().0, NAMES_MAX);
+        assert_eq!(desk.figures().0, MAX_NAMES);
         desk.tidy(S + 8 * S);
-        assert!(desk.figures().0 < 200, "those whose call is out stay");
+        assert!(desk.figures().0 < 200, "names with a call in flight stay");
         assert!(desk.idle());
         assert_eq!(desk.told(10 * S, 1, &told(1.0)), Found::Later);
     }
 
     #[test]
-    fn with_more_names_than_calls_those_somebody_waits_for_come_first() {
+    fn names_with_pending_requesters_are_called_first() {
         let mut desk: Desk<u32> = Desk::new(200, WAIT);
         for n in 0..9 {
             desk.told(S, n, &Told { name: format!("old{n}"), amount: 1.0, keep_ms: 8_000 });
--- a/crates/turns/src/lib.rs
+++ b/crates/turns/src/lib.rs
@@ -1,16 +1,15 @@
-//! Turns at the counter: for each of its names one gateway looks, and the others ask that one.
+//! Aggregation of counter calls: each counter name has one owner, and the other gateways send it their increments.
 //!
-//! Without turns each gateway of an account's set calls the counter for itself, and with hundreds of them the
-//! counter's calls are used up by looks at the same few names. Here a name has one *looker*, drawn among the
-//! living by rendezvous hashing, so that all gateways agree without a word. The others tell it what they add and are
-//! told the total. The looker adds up, and calls the counter a few times in a window, however many told it. As names
-//! change with each slot of time, so do their lookers: nobody looks for an account for long.
+//! If every gateway called the counter for itself, a large fleet would spend the counter's capacity on the same few
+//! names. Instead rendezvous hashing over the live gateways gives each name one *owner*. The others forward their
+//! increments to it and receive the total. The owner calls the counter a few times per window, regardless of how
+//! many gateways send to it. Names include a time slot, so ownership of an account's name moves with each slot.
 //!
-//! [`post`] is the side that tells, [`desk`] the side that is told, [`word`] what passes between them, [`pace`] how
-//! often a looker may call. All are values without I/O; time is passed in.
+//! [`forwarder`] is the sending side, [`aggregator`] the owner's side, [`message`] the text format between them and
+//! [`pace`] the rate limit of an owner's calls. None of them does I/O; time is passed in.
 //!
-//! Only what counts use of quotas goes this way. What grants from a ceiling asks the counter itself: a total that is
-//! too low for a moment costs a quota's price, but would break a ceiling.
+//! Only counts of quota use take this path. Grants from a ceiling ask the counter itself, since a total that is
+//! briefly too low would break the ceiling.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
@@ -23,45 +22,44 @@
 
 pub use hingestage_policy::Micros;
 
-/// The name's looker among some gateways; none among none.
+/// The owner of a name among the candidates, by rendezvous hashing; `None` if there are none.
 ///
-/// Of `n` gateways each looks for a name in `n` on the mean, and one that goes or comes moves its own names and no
-/// others.
-pub fn looker(name: &str, among: impl Iterator<Item = u32>) -> Option<u32> {
-    let mark = fnv(name.as_bytes());
-    among.min_by_key(|gateway| (draw(mark, *gateway), *gateway))
+/// With `n` gateways each owns about 1/`n` of the names, and one that joins or leaves moves only its own names.
+pub fn owner(name: &str, candidates: impl Iterator<Item = u32>) -> Option<u32> {
+    let hash = fnv(name.as_bytes());
+    candidates.min_by_key(|gateway| (draw(hash, *gateway), *gateway))
 }
 
 #[cfg(test)]
 mod tests {
-    use super::looker;
+    use super::owner;
 
-    /// Names of accounts and slots, as the decisions make them.
+    /// Counter names as the policy makes them: account and time slot.
     fn names() -> Vec<String> {
         (0..6_000).map(|n| format!("acc{}.{}", n % 300, 400_000 + n / 300)).collect()
     }
 
     #[test]
-    fn one_that_goes_moves_its_own_names_and_no_others() {
+    fn removing_a_gateway_moves_only_its_names() {
         for name in names() {
-            let before = looker(&name, 0..30).unwrap();
-            let after = looker(&name, (0..30).filter(|g| *g != 7)).unwrap();
+            let before = owner(&name, 0..30).unwrap();
+            let after = owner(&name, (0..30).filter(|g| *g != 7)).unwrap();
             assert!(before == after || before == 7, "{name} moved from {before} to {after}");
         }
-        assert_eq!(looker("x", 0..0), None);
+        assert_eq!(owner("x", 0..0), None);
     }
 
     #[test]
-    fn names_are_even_over_gateways_and_an_account_changes_its_looker_from_slot_to_slot() {
-        let mut of = [0usize; 30];
-        names().iter().for_each(|name| of[looker(name, 0..30).unwrap() as usize] += 1);
-        let (least, most) = (of.iter().min().unwrap(), of.iter().max().unwrap());
+    fn ownership_is_balanced_and_moves_with_each_slot() {
+        let mut owned = [0usize; 30];
+        names().iter().for_each(|name| owned[owner(name, 0..30).unwrap() as usize] += 1);
+        let (min, max) = (owned.iter().min().unwrap(), owned.iter().max().unwrap());
         // 200 each on the mean; six standard deviations are 84.
-        assert!(*least > 116 && *most < 284, "{of:?}");
+        assert!(*min > 116 && *max < 284, "{owned:?}");
         let same = (0..1_000).filter(|slot| {
-            let at = |slot: u32| looker(&format!("acc9.{slot}"), 0..30);
+            let at = |slot: u32| owner(&format!("acc9.{slot}"), 0..30);
             at(*slot) == at(slot + 1)
         });
-        assert!(same.count() < 80, "about one in thirty stays");
+        assert!(same.count() < 80, "about one in thirty keeps its owner");
     }
 }
--- a/crates/turns/src/post.rs
+++ b/crates/turns/src/post.rs
@@ -1,89 +1,90 @@
-//! The side that tells: which gateway looks for a name, what goes into the next word to it, and what becomes of
-//! those that are not answered.
+//! The sending side: picks the owner of each name, batches increments for it and resolves those without a reply.
 //!
-//! A call ends once, as the decisions want it: with a total, as never come (then the counter itself is called), or as
-//! without an answer. What may have come is never told again. A gateway that does not answer is left out for a time
-//! that doubles, so that a stalled one holds up one word and not all.
+//! Each call ends exactly once: with a total, as not delivered (then the counter itself is called) or as timed out.
+//! An increment that may have been delivered is never sent again. A peer that does not reply is suspended with
+//! exponential backoff.
 
 use crate::word::{Said, Told, NAMES};
-use crate::{looker, Micros};
+use crate::{owner, Micros};
 use std::collections::{BTreeMap, VecDeque};
 
-/// The first letter of names that grant from a ceiling. Their totals must never be too low, so they are the counter's own.
-const GRANT: char = '^';
-/// Words that wait for one gateway's answer at once: a looker that waits for the counter holds up no other name.
-const OUT_MAX: usize = 3;
-/// Calls that wait for a word to one gateway at most; more go to the counter.
-const QUEUE_MAX: usize = 256;
-/// How long a gateway is left out after a word without an answer, and the longest that doubling leads to, µs.
-const LEFT_OUT: (Micros, Micros) = (1_000_000, 16_000_000);
+/// Prefix of names that grant from a ceiling. Their totals must never be too low, so they bypass the owners.
+const GRANT_PREFIX: char = '^';
+/// Concurrent batches to one peer: an owner that waits for the counter does not delay other names.
+const MAX_IN_FLIGHT: usize = 3;
+/// Queued increments per peer; more go to the counter.
+const MAX_QUEUE: usize = 256;
+/// First suspension of a peer that did not reply, µs; doubles with each further failure.
+const MIN_SUSPENSION: Micros = 1_000_000;
+/// Longest suspension, µs.
+const MAX_SUSPENSION: Micros = 16_000_000;
 
-/// Where a call goes.
+/// Where a call is sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Route {
-    /// This gateway looks for the name itself.
+    /// This gateway owns the name.
     Here,
-    /// It waits for the next word to this one.
+    /// Queued for the next batch to this peer.
     To(u32),
-    /// To the counter.
+    /// The counter itself.
     Counter,
 }
 
-/// How a word ended.
+/// How the sending of a batch ended.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Word {
-    /// It was answered.
+    /// The owner replied.
     Answered(Vec<Said>),
-    /// It never left.
+    /// It was never sent.
     NeverSent,
-    /// Nothing that can be read came back in time.
+    /// No valid reply in time.
     Unanswered,
 }
 
 /// How a call ended.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Ending {
-    /// It was added; this is the total.
+    /// Added; the new total.
     Total(f64),
-    /// It was not added: the counter itself is called.
+    /// Not added; the caller must use the counter itself.
     Counter,
-    /// It may have been added.
+    /// Unknown whether it was added.
     Timeout,
 }
 
 #[derive(Default)]
 struct Peer {
     queue: VecDeque<Told>,
-    out: usize,
-    left_out_until: Micros,
-    /// Words without an answer in a row.
-    unanswered: u32,
+    in_flight: usize,
+    suspended_until: Micros,
+    /// Consecutive failed batches.
+    failures: u32,
 }
 
-/// What one gateway has to tell the others.
+/// Queues and suspensions of one gateway's peers.
 pub struct Post {
     me: u32,
     peers: BTreeMap<u32, Peer>,
 }
 
 impl Post {
-    /// To these others.
+    /// Creates a forwarder to these peers; `me` is left out.
     pub fn new(me: u32, peers: impl Iterator<Item = u32>) -> Post {
         let peers = peers.filter(|peer| *peer != me).map(|peer| (peer, Peer::default())).collect();
         Post { me, peers }
     }
 
-    /// Decides where a call goes; one to another gateway waits there.
+    /// Picks the destination of a call and queues it if a peer owns it.
     pub fn route(&mut self, now: Micros, told: &Told, living: impl Fn(u32) -> bool) -> Route {
-        if told.name.starts_with(GRANT) {
+        if told.name.starts_with(GRANT_PREFIX) {
             return Route::Counter;
         }
-        let open = self.peers.iter().filter(|(n, peer)| now >= peer.left_out_until && living(**n));
-        let among = open.map(|(number, _)| *number).chain([self.me]);
-        let Some(number) = looker(&told.name, among).filter(|number| *number != self.me) else {
+        let available = self.peers.iter().filter(|(n, peer)| now >= peer.suspended_until && living(**n));
+        let candidates = available.map(|(number, _)| *number).chain([self.me]);
+        let Some(number) = owner(&told.name, candidates).filter(|number| *number != self.me) else {
             return Route::Here;
         };
-        match self.peers.get_mut(&number).filter(|peer| peer.queue.len() < QUEUE_MAX) {
+        match self.peers.get_mut(&number).filter(|peer| peer.queue.len() < MAX_QUEUE) {
             Some(peer) => {
                 peer.queue.push_back(told.clone());
                 Route::To(number)
@@ -92,39 +93,42 @@
         }
     }
 
-    /// The next word to a gateway, where one is to be sent.
+    /// The next batch for a peer, if one may be sent now.
     pub fn word(&mut self, to: u32) -> Option<Vec<Told>> {
-        let peer = self.peers.get_mut(&to).filter(|peer| peer.out < OUT_MAX && !peer.queue.is_empty())?;
-        peer.out += 1;
-        let names = peer.queue.len().min(NAMES);
-        Some(peer.queue.drain(..names).collect())
+        let peer = self
+            .peers
+            .get_mut(&to)
+            .filter(|peer| peer.in_flight < MAX_IN_FLIGHT && !peer.queue.is_empty())?;
+        peer.in_flight += 1;
+        let count = peer.queue.len().min(NAMES);
+        Some(peer.queue.drain(..count).collect())
     }
 
-    /// A word has ended: what becomes of what it told, and of what still waited for a gateway that is left out now.
-    pub fn ended(&mut self, now: Micros, to: u32, told: Vec<Told>, word: Word) -> Vec<(Told, Ending)> {
+    /// Resolves a finished batch. On failure the increments still queued for that peer go to the counter.
+    pub fn ended(&mut self, now: Micros, to: u32, told: Vec<Told>, outcome: Word) -> Vec<(Told, Ending)> {
         let Some(peer) = self.peers.get_mut(&to) else { return Vec::new() };
-        peer.out = peer.out.saturating_sub(1);
-        let ending = match word {
+        peer.in_flight = peer.in_flight.saturating_sub(1);
+        let ending = match outcome {
             Word::Answered(said) if said.len() == told.len() => {
-                peer.unanswered = 0;
+                peer.failures = 0;
                 return told.into_iter().zip(said.into_iter().map(Ending::from)).collect();
             }
             Word::NeverSent => Ending::Counter,
             _ => Ending::Timeout,
         };
-        // Several words may fail together: they are one failure.
-        if now >= peer.left_out_until {
-            let span = LEFT_OUT.0.saturating_mul(1 << peer.unanswered.min(8)).min(LEFT_OUT.1);
-            (peer.left_out_until, peer.unanswered) = (now + span, peer.unanswered + 1);
+        // Batches that fail together count as one failure.
+        if now >= peer.suspended_until {
+            let suspension = MIN_SUSPENSION.saturating_mul(1 << peer.failures.min(8)).min(MAX_SUSPENSION);
+            (peer.suspended_until, peer.failures) = (now + suspension, peer.failures + 1);
         }
-        let waited = std::mem::take(&mut peer.queue).into_iter().map(|told| (told, Ending::Counter));
-        told.into_iter().map(|told| (told, ending)).chain(waited).collect()
+        let queued = std::mem::take(&mut peer.queue).into_iter().map(|told| (told, Ending::Counter));
+        told.into_iter().map(|told| (told, ending)).chain(queued).collect()
     }
 
-    /// Gateways that are left out now.
+    /// Peers that are suspended now.
     pub fn left_out(&self, now: Micros) -> Vec<u32> {
-        let out = self.peers.iter().filter(|(_, peer)| now < peer.left_out_until);
-        out.map(|(number, _)| *number).collect()
+        let suspended = self.peers.iter().filter(|(_, peer)| now < peer.suspended_until);
+        suspended.map(|(number, _)| *number).collect()
     }
 }
 
@@ -147,9 +151,9 @@
         Told { name: format!("acc{n}.1"), amount: 1.0, keep_ms: 1_000 }
     }
 
-    /// The first name that goes to this gateway when all live.
+    /// The first name that `to` owns when all gateways are alive.
     fn name_of(to: u32) -> Told {
-        (0..).map(told).find(|told| looker(&told.name, 0..4) == Some(to)).unwrap()
+        (0..).map(told).find(|told| owner(&told.name, 0..4) == Some(to)).unwrap()
     }
 
     fn post() -> Post {
@@ -157,11 +161,11 @@
     }
 
     #[test]
-    fn each_name_has_one_looker_among_the_living() {
+    fn each_name_has_one_owner_among_live_gateways() {
         let mut post = post();
         for n in 0..200 {
             let told = told(n);
-            let wanted = match looker(&told.name, [0, 1, 3].into_iter()) {
+            let wanted = match owner(&told.name, [0, 1, 3].into_iter()) {
                 Some(0) => Route::Here,
                 other => Route::To(other.unwrap()),
             };
@@ -171,7 +175,7 @@
     }
 
     #[test]
-    fn what_grants_from_a_ceiling_is_asked_of_the_counter_alone() {
+    fn grants_from_a_ceiling_go_to_the_counter() {
         let (mut post, mut lone) = (post(), Post::new(0, [].into_iter()));
         for n in 0..50 {
             let told = Told { name: format!("^{}", told(n).name), ..told(n) };
@@ -181,7 +185,7 @@
     }
 
     #[test]
-    fn a_word_takes_what_waits_and_three_are_out_at_once() {
+    fn batches_drain_the_queue_within_the_in_flight_limit() {
         let mut post = post();
         let told = name_of(2);
         assert_eq!(post.word(2), None);
@@ -191,21 +195,21 @@
         for _ in 0..2 {
             post.route(S, &told, |_| true);
             let third = post.word(2);
-            assert!(third.is_some() || post.peers[&2].out == OUT_MAX);
+            assert!(third.is_some() || post.peers[&2].in_flight == MAX_IN_FLIGHT);
         }
-        assert_eq!(post.word(2), None, "the fourth waits");
+        assert_eq!(post.word(2), None, "a fourth batch has to wait");
         let said = vec![Said::Total(1.0); 6];
         let ended = post.ended(S, 2, vec![told.clone(); 6], Word::Answered(said));
         assert!(ended.iter().all(|(_, ending)| *ending == Ending::Total(1.0)) && ended.len() == 6);
         assert_eq!(post.word(2).unwrap().len(), 1);
-        for _ in 0..QUEUE_MAX {
+        for _ in 0..MAX_QUEUE {
             post.route(S, &told, |_| true);
         }
-        assert_eq!(post.route(S, &told, |_| true), Route::Counter, "no room");
+        assert_eq!(post.route(S, &told, |_| true), Route::Counter, "the queue is full");
     }
 
     #[test]
-    fn what_may_have_come_is_never_told_again_and_what_has_not_goes_to_the_counter() {
+    fn possibly_delivered_increments_are_not_resent() {
         let mut post = post();
         let told = name_of(1);
         for (word, wanted) in [(Word::NeverSent, Ending::Counter), (Word::Unanswered, Ending::Timeout)] {
@@ -214,13 +218,13 @@
             post.route(S, &told, |_| true);
             let ended = post.ended(S, 1, sent, word);
             assert_eq!(ended, [(told.clone(), wanted), (told.clone(), Ending::Counter)]);
-            post.peers.get_mut(&1).unwrap().left_out_until = 0;
+            post.peers.get_mut(&1).unwrap().suspended_until = 0;
         }
         post.route(S, &told, |_| true);
         let sent = post.word(1).unwrap();
         let short = post.ended(S, 1, sent, Word::Answered(vec![]));
-        assert_eq!(short, [(told.clone(), Ending::Timeout)], "an answer to something else is none");
-        post.peers.get_mut(&1).unwrap().left_out_until = 0;
+        assert_eq!(short, [(told.clone(), Ending::Timeout)], "a reply of the wrong length is no reply");
+        post.peers.get_mut(&1).unwrap().suspended_until = 0;
         post.route(S, &told, |_| true);
         let sent = post.word(1).unwrap();
         let ended = post.ended(S, 1, sent, Word::Answered(vec![Said::Elsewhere]));
@@ -228,7 +232,7 @@
     }
 
     #[test]
-    fn one_that_does_not_answer_is_left_out_for_longer_each_time_and_asked_again() {
+    fn unresponsive_peer_is_suspended_with_backoff_and_retried() {
         let mut post = post();
         let told = name_of(3);
         let mut now = S;
@@ -249,6 +253,6 @@
         post.route(now, &told, |_| true);
         let sent = post.word(3).unwrap();
         post.ended(now, 3, sent, Word::NeverSent);
-        assert_eq!(post.route(now + S, &told, |_| true), Route::To(3), "an answer makes it as new");
+        assert_eq!(post.route(now + S, &told, |_| true), Route::To(3), "a reply resets the backoff");
     }
 }
--- a/crates/turns/src/word.rs
+++ b/crates/turns/src/word.rs
@@ -1,75 +1,75 @@
-//! What passes between one who tells and a looker, as lines of text.
+//! Text format of batches and replies between a forwarding gateway and an owner.
 
 use std::fmt::Write;
 
-/// The first word of both: what follows may change with it.
-const FORM: &str = "turns-1";
-/// Most names of one word.
+/// Format version at the head of both messages.
+const VERSION: &str = "turns-1";
+/// Maximum increments per batch.
 pub const NAMES: usize = 64;
-/// The longest name of the counter, bytes (see the counter's page: 64, without spaces).
-const NAME_MAX: usize = 64;
-/// The longest word or answer, bytes: a line of a name and three figures for each, and one more.
-pub const WORD_MAX: usize = (NAMES + 1) * (NAME_MAX + 64);
-/// The longest that a number may be kept for, ms.
-const KEEP_MAX: u64 = 3_600_000;
-/// The most that one word adds to a name.
-const AMOUNT_MAX: f64 = 1e9;
-
-/// What one gateway adds to a name, and wants the total of.
+/// Longest counter name, bytes; the counter's own limit.
+const MAX_NAME_BYTES: usize = 64;
+/// Longest message, bytes: a name and three numbers per line, and the header.
+pub const WORD_MAX: usize = (NAMES + 1) * (MAX_NAME_BYTES + 64);
+/// Longest time to live of a counter value, ms.
+const MAX_TTL_MS: u64 = 3_600_000;
+/// Largest amount of one increment.
+const MAX_AMOUNT: f64 = 1e9;
+
+/// An amount to add to a counter name, in exchange for the total.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Told {
-    /// The counter's name.
+    /// Counter name.
     pub name: String,
-    /// What is added; less than 0 where units are given back.
+    /// Amount to add; negative when units are returned.
     pub amount: f64,
-    /// How long a new number is kept, ms.
+    /// Time to live of a new counter value, ms.
     pub keep_ms: u64,
 }
 
-/// What a looker answers about one name, in the order of the word.
+/// An owner's reply to one increment, in the order of the batch.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Said {
-    /// It was added; this is the total.
+    /// Added; the new total.
     Total(f64),
-    /// It was not added: this gateway looks for nobody now.
+    /// Not added: this gateway owns no names now.
     Elsewhere,
 }
 
-/// The text of a word.
+/// Encodes a batch.
 pub fn text(from: u32, told: &[Told]) -> String {
-    let mut text = format!("{FORM} {from}\n");
+    let mut text = format!("{VERSION} {from}\n");
     for one in told {
         let _ = writeln!(text, "{} {} {}", one.name, one.amount, one.keep_ms);
     }
     text
 }
 
-/// Reads a word: who says it, and what.
+/// Decodes a batch: its sender and the increments.
 ///
 /// # Errors
-/// What is wrong with it. A word is taken in whole or not at all.
+/// What is wrong with the text. A batch is accepted in whole or not at all.
 pub fn read(text: &str) -> Result<(u32, Vec<Told>), String> {
     let lines = lines(text)?;
-    let (head, rest) = lines.split_first().ok_or("no head")?;
-    let from = head.parse().map_err(|_| "no number of a gateway")?;
-    let told = rest.iter().map(|line| one(line)).collect::<Result<Vec<Told>, String>>()?;
+    let (head, rest) = lines.split_first().ok_or("missing header")?;
+    let from = head.parse().map_err(|_| "invalid gateway number")?;
+    let told = rest.iter().map(|line| decode_increment(line)).collect::<Result<Vec<Told>, String>>()?;
     Ok((from, told))
 }
 
-fn one(line: &str) -> Result<Told, String> {
-    let words: Vec<&str> = line.split(' ').collect();
-    let [name, amount, keep] = words[..] else { return Err("a line without three words".into()) };
-    if name.is_empty() || name.len() > NAME_MAX || name.bytes().any(|b| b.is_ascii_control()) {
-        return Err("no name".into());
+fn decode_increment(line: &str) -> Result<Told, String> {
+    let fields: Vec<&str> = line.split(' ').collect();
+    let [name, amount, keep] = fields[..] else { return Err("expected three fields per line".into()) };
+    if name.is_empty() || name.len() > MAX_NAME_BYTES || name.bytes().any(|b| b.is_ascii_control()) {
+        return Err("invalid name".into());
     }
-    let amount = amount.parse().ok().filter(|n: &f64| n.abs() <= AMOUNT_MAX).ok_or("no amount")?;
-    let keep_ms = keep.parse().ok().filter(|ms| (1..=KEEP_MAX).contains(ms)).ok_or("no time to keep")?;
+    let amount = amount.parse().ok().filter(|n: &f64| n.abs() <= MAX_AMOUNT).ok_or("invalid amount")?;
+    let keep_ms = keep.parse().ok().filter(|ms| (1..=MAX_TTL_MS).contains(ms)).ok_or("invalid time to live")?;
     Ok(Told { name: name.to_owned(), amount, keep_ms })
 }
 
-/// The text of an answer.
+/// Encodes the replies to a batch.
 pub fn answer(said: &[Said]) -> String {
-    let mut text = format!("{FORM} said\n");
+    let mut text = format!("{VERSION} said\n");
     for one in said {
         let _ = match one {
             Said::Total(total) => writeln!(text, "total {total}"),
@@ -79,28 +79,28 @@
     text
 }
 
-/// Reads the answer to a word of so many names.
+/// Decodes the replies to a batch of `count` increments.
 ///
 /// # Errors
-/// What is wrong with it.
-pub fn read_answer(text: &str, names: usize) -> Result<Vec<Said>, String> {
+/// What is wrong with the text.
+pub fn read_answer(text: &str, count: usize) -> Result<Vec<Said>, String> {
     let lines = lines(text)?;
-    let (head, rest) = lines.split_first().ok_or("no head")?;
-    if *head != "said" || rest.len() != names {
-        return Err(format!("not the answer to {names} names"));
+    let (head, rest) = lines.split_first().ok_or("missing header")?;
+    if *head != "said" || rest.len() != count {
+        return Err(format!("not a reply to {count} increments"));
     }
-    rest.iter().map(|line| said(line)).collect()
+    rest.iter().map(|line| decode_reply_line(line)).collect()
 }
 
-fn said(line: &str) -> Result<Said, String> {
+fn decode_reply_line(line: &str) -> Result<Said, String> {
     if line == "elsewhere" {
         return Ok(Said::Elsewhere);
     }
     let total = line.strip_prefix("total ").and_then(|total| total.parse().ok());
-    total.filter(|total: &f64| total.is_finite()).map(Said::Total).ok_or_else(|| "no total".into())
+    total.filter(|total: &f64| total.is_finite()).map(Said::Total).ok_or_else(|| "invalid total".into())
 }
 
-/// The head's rest and the lines after it.
+/// Checks the size and the version; returns the rest of the header, then the other lines.
 fn lines(text: &str) -> Result<Vec<&str>, String> {
     if text.len() > WORD_MAX {
         return Err("too long".into());
@@ -109,10 +109,10 @@
     if lines.len() > NAMES + 1 {
         return Err("too many names".into());
     }
-    let head = lines.first_mut().ok_or("no head")?;
-    let (form, rest) = head.split_once(' ').ok_or("no head")?;
-    if form != FORM {
-        return Err(format!("not of the form {FORM}"));
+    let head = lines.first_mut().ok_or("missing header")?;
+    let (version, rest) = head.split_once(' ').ok_or("missing header")?;
+    if version != VERSION {
+        return Err(format!("unsupported version, expected {VERSION}"));
     }
     *head = rest;
     Ok(lines)
@@ -127,7 +127,7 @@
     }
 
     #[test]
-    fn words_and_answers_are_read_as_they_were_written() {
+    fn batches_and_replies_round_trip() {
         let word = vec![told("acc1.77", 2.5), told("~0123456789abcdef.9", -0.25)];
         assert_eq!(read(&text(3, &word)), Ok((3, word)));
         let said = [Said::Total(41.25), Said::Elsewhere, Said::Total(-0.5)];
@@ -139,22 +139,22 @@
     }
 
     #[test]
-    fn what_is_no_word_is_named_and_nothing_of_it_is_taken() {
+    fn malformed_batches_are_rejected() {
         for (text, wanted) in [
-            ("", "no head"),
-            ("turns-1\n", "no head"),
-            ("turns-2 1\n", "not of the form"),
-            ("turns-1 x\n", "no number of a gateway"),
-            ("turns-1 1\na 1\n", "three words"),
-            ("turns-1 1\na 1 1 1\n", "three words"),
-            ("turns-1 1\n 1 1\n", "no name"),
-            ("turns-1 1\na\u{1}b 1 1\n", "no name"),
-            ("turns-1 1\na inf 1\n", "no amount"),
-            ("turns-1 1\na NaN 1\n", "no amount"),
-            ("turns-1 1\na 2e9 1\n", "no amount"),
-            ("turns-1 1\na 1 0\n", "no time to keep"),
-            ("turns-1 1\na 1 3600001\n", "no time to keep"),
-            ("turns-1 1\na 1 1\nb x 1\n", "no amount"),
+            ("", "missing header"),
+            ("turns-1\n", "missing header"),
+            ("turns-2 1\n", "unsupported version"),
+            ("turns-1 x\n", "invalid gateway number"),
+            ("turns-1 1\na 1\n", "three fields"),
+            ("turns-1 1\na 1 1 1\n", "three fields"),
+            ("turns-1 1\n 1 1\n", "invalid name"),
+            ("turns-1 1\na\u{1}b 1 1\n", "invalid name"),
+            ("turns-1 1\na inf 1\n", "invalid amount"),
+            ("turns-1 1\na NaN 1\n", "invalid amount"),
+            ("turns-1 1\na 2e9 1\n", "invalid amount"),
+            ("turns-1 1\na 1 0\n", "invalid time to live"),
+            ("turns-1 1\na 1 3600001\n", "invalid time to live"),
+            ("turns-1 1\na 1 1\nb x 1\n", "invalid amount"),
         ] {
             let error = read(text).unwrap_err();
             assert!(error.contains(wanted), "{text:?}: {error}");
@@ -164,12 +164,12 @@
     }
 
     #[test]
-    fn what_is_no_answer_is_named() {
+    fn malformed_replies_are_rejected() {
         for (text, wanted) in [
-            ("turns-1 said\ntotal 1\n", "not the answer to 2 names"),
-            ("turns-1 1\ntotal 1\ntotal 2\n", "not the answer"),
-            ("turns-1 said\ntotal 1\ntotal NaN\n", "no total"),
-            ("turns-1 said\ntotal 1\nnothing\n", "no total"),
+            ("turns-1 said\ntotal 1\n", "not a reply to 2 increments"),
+            ("turns-1 1\ntotal 1\ntotal 2\n", "not a reply"),
+            ("turns-1 said\ntotal 1\ntotal NaN\n", "invalid total"),
+            ("turns-1 said\ntotal 1\nnothing\n", "invalid total"),
         ] {
             let error = read_answer(text, 2).unwrap_err();
             assert!(error.contains(wanted), "{text:?}: {error}");
