--- a/crates/proxy/src/admission.rs
+++ b/crates/proxy/src/admission.rs
@@ -4,7 +4,7 @@
 use crate::server::Proxy;
 use compact_str::CompactString;
 use hingestage_configuration::Tenant;
-use hingestage_quota::{Admission, Part, RefusalReason, TenantLimits};
+use hingestage_quota::{Admission, EvenShare, RefusalReason, TenantLimits};
 use hingestage_replication::Micros;
 use hingestage_rpc::status::RequestOutcome;
 use hingestage_rpc::trials::TrialView;
@@ -49,7 +49,7 @@
 impl Drop for Admitted {
     fn drop(&mut self) {
         if !self.tenant.is_empty() {
-            self.proxy.tenants.borrow_mut().ended(self.proxy.now(), &self.tenant, self.ran);
+            self.proxy.tenants.borrow_mut().record_end(self.proxy.now(), &self.tenant, self.ran);
         }
     }
 }
@@ -174,7 +174,7 @@
     }
 
     /// Takes a token from the tenant's bucket, plus `lent` tokens of other proxies.
-    fn take_token(&self, tenant: &Tenant, limits: TenantLimits, part: Part, lent: f64) -> Admission {
+    fn take_token(&self, tenant: &Tenant, limits: TenantLimits, part: EvenShare, lent: f64) -> Admission {
         let spread = fastrand::u64(..);
         self.tenants.borrow_mut().admit_with(self.now(), &tenant.name, limits, part, spread, lent)
     }
@@ -184,7 +184,7 @@
         &self,
         tenant: &Tenant,
         routed: &RoutedRequest,
-        part: Part,
+        part: EvenShare,
         leaves_reserve: bool,
     ) -> Result<RequestLimits, Decision> {
         let quota = self.quota_of(tenant, part);
@@ -229,7 +229,7 @@
     }
 
     /// Limits within which a tenant's tokens may be lent to other proxies; `None` if nothing may be lent.
-    pub(crate) fn lending_limits(&self, tenant: &Tenant, part: Part) -> Option<TenantLimits> {
+    pub(crate) fn lending_limits(&self, tenant: &Tenant, part: EvenShare) -> Option<TenantLimits> {
         let quota = self.quota_of(tenant, part);
         match self.view.borrow_mut().evaluate_trial(self.now(), &tenant.name) {
             TrialDecision::NoTrial => Some(quota),
@@ -239,7 +239,7 @@
     }
 
     /// A tenant's quota over all proxies, from the configuration.
-    fn quota_of(&self, tenant: &Tenant, part: Part) -> TenantLimits {
+    fn quota_of(&self, tenant: &Tenant, part: EvenShare) -> TenantLimits {
         let bounds = &self.settings.bounds;
         let window = bounds.quota_window.as_secs_f64();
         let excess = bounds.quota_excess * (tenant.rate_per_s * window + tenant.burst) + bounds.quota_slack;
--- a/crates/turns/tests/common/mod.rs
+++ b/crates/turns/tests/common/mod.rs
@@ -7,7 +7,7 @@
 use fastrand::Rng;
 use hingestage_fleet::roll::Roll;
 use hingestage_policy::*;
-use hingestage_shares::{Figures, Lease, Voter};
+use hingestage_shares::{Lease, LeaseConfig, Voter};
 use hingestage_turns::desk::{Desk, Do, Found};
 use hingestage_turns::post::{Ending, Post, Route, Word};
 use hingestage_turns::word::{Said, Told};
@@ -113,7 +113,7 @@
     desk: Desk<Requester>,
     roll: Roll,
     lease: Lease,
-    view: Option<View>,
+    view: Option<LeaseView>,
 }
 
 /// The component that called the counter.
@@ -310,15 +310,15 @@
         let n = self.scenario.gateways;
         let roll = Roll::new(me, n, self.now);
         let scale = roll.slot() / S;
-        let figures = Figures {
+        let config = LeaseConfig {
             gateways: n,
             counter_votes: n - 1,
             lease: 18 * S / 10 * scale,
-            absent: 2 * S * scale,
-            settles: 2 * S * scale,
-            kept: 0.5,
+            absence_timeout: 2 * S * scale,
+            warm_up: 2 * S * scale,
+            reserved_fraction: 0.5,
         };
-        let (desk, lease) = (Desk::new(n, TIMEOUT), Lease::new(me, figures));
+        let (desk, lease) = (Desk::new(n, TIMEOUT), Lease::new(me, config));
         Gateway { gatekeeper, incarnation, up: true, post, desk, roll, lease, view: None }
     }
 
@@ -351,7 +351,7 @@
         let mut view = self.gateways[by].lease.view(self.now, &unheard);
         if self.scenario.fault_own_views {
             let absent = unheard.into_iter().filter(|g| *g != by as u32).collect();
-            view = View { absent, ..view };
+            view = LeaseView { absent, ..view };
         }
         if self.gateways[by].view.replace(view.clone()) != Some(view.clone()) {
             self.handle_event(by, Event::Fleet(view));
@@ -671,7 +671,7 @@
             Caller::Roll => {
                 let gateway = &mut self.gateways[by];
                 if let Some(found) = gateway.roll.answered(&name, total.map(f64::from_bits)) {
-                    gateway.lease.confirmed(self.now, Voter::Counter, found.issued, found.absent);
+                    gateway.lease.record_ack(self.now, Voter::Counter, found.issued, found.absent);
                 }
                 return;
             }
