--- a/crates/gateway/src/admin.rs
+++ b/crates/gateway/src/admin.rs
@@ -11,7 +11,7 @@
 use hingestage_fleet::table::{GATEWAYS_MAX, MESSAGE_MAX};
 use hingestage_operate::Told;
 use hingestage_platform::{Listener, Platform};
-use hingestage_turns::word::WORD_MAX;
+use hingestage_turns::message::MAX_MESSAGE_BYTES;
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::body::Incoming;
 use hyper::header::{HeaderValue, ALLOW, CONNECTION, CONTENT_TYPE};
@@ -144,7 +144,9 @@
         let Some(turns) = self.subsystems.turns.get() else {
             return text(StatusCode::NOT_FOUND, "no turns are taken here");
         };
-        let Ok(word) = body(request, WORD_MAX).await else { return text(StatusCode::BAD_REQUEST, "no word") };
+        let Ok(word) = body(request, MAX_MESSAGE_BYTES).await else {
+            return text(StatusCode::BAD_REQUEST, "no word");
+        };
         match turns.answer(&word).await {
             Ok(answer) => text(StatusCode::OK, answer),
             Err(what) => text(StatusCode::BAD_REQUEST, what),
--- a/crates/turns/src/desk.rs
+++ b/crates/turns/src/aggregator.rs
@@ -11,8 +11,8 @@
 //! An amount is sent to the counter once. A call without a reply is assumed to have been added; only a refused call
 //! is sent again.
 
+use crate::message::Increment;
 use crate::pace::Pacer;
-use crate::word::Told;
 use crate::Micros;
 use hingestage_policy::CounterOutcome;
 use std::collections::{BTreeMap, BTreeSet};
@@ -49,7 +49,7 @@
     called: Micros,
     /// Time of the last increment.
     last_received: Micros,
-    keep_ms: u64,
+    ttl_ms: u64,
     /// The scheduled next call, if any.
     scheduled: Option<Due>,
     /// Keys of the pending requesters.
@@ -60,7 +60,7 @@
 type Due = (u8, Micros);
 
 impl Sum {
-    fn new(told: &Told, now: Micros) -> Sum {
+    fn new(increment: &Increment, now: Micros) -> Sum {
         Sum {
             reported: 0.0,
             known: false,
@@ -70,7 +70,7 @@
             in_flight: None,
             called: 0,
             last_received: now,
-            keep_ms: told.keep_ms,
+            ttl_ms: increment.ttl_ms,
             scheduled: None,
             pending: Vec::new(),
         }
@@ -88,44 +88,44 @@
 
     /// Interval between two calls; a value's time to live is two windows.
     fn call_interval(&self) -> Micros {
-        (self.keep_ms * 1_000 / 2 / CALLS_PER_WINDOW).clamp(MIN_CALL_INTERVAL, MAX_CALL_INTERVAL)
+        (self.ttl_ms * 1_000 / 2 / CALLS_PER_WINDOW).clamp(MIN_CALL_INTERVAL, MAX_CALL_INTERVAL)
     }
 
     fn expired(&self, now: Micros) -> bool {
-        let over = now >= self.last_received + self.keep_ms * 1_000;
+        let over = now >= self.last_received + self.ttl_ms * 1_000;
         over && self.in_flight.is_none() && self.pending.is_empty()
     }
 }
 
 /// Result of adding an increment.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Found {
+pub enum AddResult {
     /// The total, including this increment.
     Total(f64),
     /// The reply follows from a later call, within half of the counter's timeout.
-    Later,
+    Pending,
     /// Not added: this gateway is draining or full.
-    Elsewhere,
+    Declined,
 }
 
 /// An action for the caller to carry out.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Do<A> {
+pub enum Command<A> {
     /// Call the counter.
-    Count {
+    CallCounter {
         /// Counter name.
         name: String,
         /// Amount to add.
         amount: f64,
         /// Time to live of a new counter value, ms.
-        keep_ms: u64,
+        ttl_ms: u64,
     },
     /// Send a requester its total.
-    Say(A, f64),
+    Reply(A, f64),
 }
 
 /// Sums of the names that this gateway owns.
-pub struct Desk<A> {
+pub struct Aggregator<A> {
     sums: BTreeMap<String, Sum>,
     /// Scheduled calls, the most urgent first.
     scheduled: BTreeSet<(Due, String)>,
@@ -137,10 +137,10 @@
     draining: bool,
 }
 
-impl<A> Desk<A> {
+impl<A> Aggregator<A> {
     /// Creates an empty aggregator in a fleet of `gateways`; a call to the counter times out after `timeout`.
-    pub fn new(gateways: u32, timeout: Micros) -> Desk<A> {
-        Desk {
+    pub fn new(gateways: u32, timeout: Micros) -> Aggregator<A> {
+        Aggregator {
             sums: BTreeMap::new(),
             scheduled: BTreeSet::new(),
             pending: BTreeMap::new(),
@@ -152,27 +152,27 @@
     }
 
     /// Adds an increment and returns the total if it is known.
-    pub fn told(&mut self, now: Micros, requester: A, told: &Told) -> Found {
-        let full = self.sums.len() >= MAX_NAMES && !self.sums.contains_key(&told.name);
+    pub fn add(&mut self, now: Micros, requester: A, increment: &Increment) -> AddResult {
+        let full = self.sums.len() >= MAX_NAMES && !self.sums.contains_key(&increment.name);
         if self.draining || full || self.pending.len() >= MAX_PENDING {
-            return Found::Elsewhere;
+            return AddResult::Declined;
         }
-        let sum = self.sums.entry(told.name.clone()).or_insert_with(|| Sum::new(told, now));
-        sum.received += told.amount;
-        sum.unsent += told.amount;
+        let sum = self.sums.entry(increment.name.clone()).or_insert_with(|| Sum::new(increment, now));
+        sum.received += increment.amount;
+        sum.unsent += increment.amount;
         sum.last_received = now;
         let (known, total) = (sum.known || sum.attempted, sum.total());
         if !known {
             self.next_key += 1;
             let key = (now + self.timeout / 2, self.next_key);
             sum.pending.push(key);
-            self.pending.insert(key, (requester, told.name.clone()));
+            self.pending.insert(key, (requester, increment.name.clone()));
         }
-        self.schedule(now, &told.name);
+        self.schedule(now, &increment.name);
         if known {
-            Found::Total(total)
+            AddResult::Total(total)
         } else {
-            Found::Later
+            AddResult::Pending
         }
     }
 
@@ -196,14 +196,14 @@
     }
 
     /// Pushes all actions that are due by `now`.
-    pub fn due(&mut self, now: Micros, out: &mut Vec<Do<A>>) {
+    pub fn poll(&mut self, now: Micros, out: &mut Vec<Command<A>>) {
         while let Some(entry) = self.pending.first_entry().filter(|entry| entry.key().0 <= now) {
             let (key, (requester, name)) = entry.remove_entry();
             let Some(sum) = self.sums.get_mut(&name) else { continue };
             sum.pending.retain(|one| *one != key);
             // The call is late: later requesters do not wait for it.
             sum.attempted = true;
-            out.push(Do::Say(requester, sum.total()));
+            out.push(Command::Reply(requester, sum.total()));
             self.schedule(now, &name);
         }
         // The set orders by priority; lower priorities may not be due yet.
@@ -216,17 +216,23 @@
         }
     }
 
-    fn call(&mut self, now: Micros, name: &str) -> Option<Do<A>> {
+    fn call(&mut self, now: Micros, name: &str) -> Option<Command<A>> {
         let sum = self.sums.get_mut(name)?;
         let due_call = sum.scheduled.take()?;
         self.scheduled.remove(&(due_call, name.to_owned()));
         let amount = std::mem::take(&mut sum.unsent);
         (sum.in_flight, sum.called) = (Some((amount, now)), now);
-        Some(Do::Count { name: name.to_owned(), amount, keep_ms: sum.keep_ms })
+        Some(Command::CallCounter { name: name.to_owned(), amount, ttl_ms: sum.ttl_ms })
     }
 
     /// Handles the outcome of a call to the counter.
-    pub fn counted(&mut self, now: Micros, name: &str, outcome: CounterOutcome, out: &mut Vec<Do<A>>) {
+    pub fn call_finished(
+        &mut self,
+        now: Micros,
+        name: &str,
+        outcome: CounterOutcome,
+        out: &mut Vec<Command<A>>,
+    ) {
         let Some(sum) = self.sums.get_mut(name) else { return };
         let Some((amount, sent)) = sum.in_flight.take() else { return };
         let total = match outcome {
@@ -241,7 +247,7 @@
         sum.attempted = true;
         for key in std::mem::take(&mut sum.pending) {
             let requester = self.pending.remove(&key);
-            out.extend(requester.map(|(requester, _)| Do::Say(requester, sum.total())));
+            out.extend(requester.map(|(requester, _)| Command::Reply(requester, sum.total())));
         }
         let has_unsent = sum.unsent != 0.0;
         self.pacer.record(total.is_some(), now.saturating_sub(sent));
@@ -251,7 +257,7 @@
     }
 
     /// Stops owning names and returns the calls that flush unsent amounts, the largest first.
-    pub fn leave(&mut self, now: Micros) -> Vec<Do<A>> {
+    pub fn drain(&mut self, now: Micros) -> Vec<Command<A>> {
         self.draining = true;
         let unsent_sums = self.sums.iter().filter(|(_, sum)| sum.unsent != 0.0 && sum.scheduled.is_some());
         let mut amounts: Vec<(f64, String)> =
@@ -261,7 +267,7 @@
     }
 
     /// Removes names that received nothing for the time to live of their values.
-    pub fn tidy(&mut self, now: Micros) {
+    pub fn evict_expired(&mut self, now: Micros) {
         let scheduled = &mut self.scheduled;
         self.sums.retain(|name, sum| {
             let expired = sum.expired(now);
@@ -273,12 +279,12 @@
     }
 
     /// Whether no call is scheduled and no requester is pending.
-    pub fn idle(&self) -> bool {
+    pub fn is_idle(&self) -> bool {
         self.scheduled.is_empty() && self.pending.is_empty()
     }
 
     /// Number of owned names, and the interval between two calls, µs.
-    pub fn figures(&self) -> (usize, f64) {
+    pub fn stats(&self) -> (usize, f64) {
         (self.sums.len(), self.pacer.interval())
     }
 }
@@ -293,82 +299,89 @@
     const WAIT: Micros = 50 * MS;
 
     /// An aggregator whose pacing does not limit the tests.
-    fn desk() -> Desk<u32> {
-        Desk::new(1, WAIT)
+    fn aggregator() -> Aggregator<u32> {
+        Aggregator::new(1, WAIT)
     }
 
-    fn told(amount: f64) -> Told {
-        Told { name: "a.1".into(), amount, keep_ms: 8_000 }
+    fn increment(amount: f64) -> Increment {
+        Increment { name: "a.1".into(), amount, ttl_ms: 8_000 }
     }
 
-    fn due(desk: &mut Desk<u32>, now: Micros) -> Vec<Do<u32>> {
+    fn due(aggregator: &mut Aggregator<u32>, now: Micros) -> Vec<Command<u32>> {
         let mut out = Vec::new();
-        desk.due(now, &mut out);
+        aggregator.poll(now, &mut out);
         out
     }
 
-    fn counted(desk: &mut Desk<u32>, now: Micros, outcome: CounterOutcome) -> Vec<Do<u32>> {
+    fn counted(aggregator: &mut Aggregator<u32>, now: Micros, outcome: CounterOutcome) -> Vec<Command<u32>> {
         let mut out = Vec::new();
-        desk.counted(now, "a.1", outcome, &mut out);
+        aggregator.call_finished(now, "a.1", outcome, &mut out);
         out
     }
 
-    fn count(amount: f64) -> Do<u32> {
-        Do::Count { name: "a.1".into(), amount, keep_ms: 8_000 }
+    fn count(amount: f64) -> Command<u32> {
+        Command::CallCounter { name: "a.1".into(), amount, ttl_ms: 8_000 }
     }
 
     #[test]
     fn first_requesters_share_a_call_and_later_ones_get_totals_at_once() {
-        let mut desk = desk();
-        assert_eq!(desk.told(S, 1, &told(2.0)), Found::Later);
-        assert_eq!(due(&mut desk, S), [count(2.0)]);
-        assert_eq!(desk.told(S + MS, 2, &told(3.0)), Found::Later);
-        assert_eq!(due(&mut desk, S + 2 * MS), [], "one call for a name at once");
-        assert_eq!(counted(&mut desk, S + 3 * MS, Total(12.0)), [Do::Say(1, 15.0), Do::Say(2, 15.0)]);
-        assert_eq!(desk.told(S + 4 * MS, 3, &told(1.0)), Found::Total(16.0));
-        assert_eq!(due(&mut desk, S + 900 * MS), [], "a quarter of a window has to pass");
-        assert_eq!(due(&mut desk, 2 * S), [count(4.0)]);
-        assert_eq!(desk.told(2 * S, 3, &told(1.0)), Found::Total(17.0), "the amount in flight counts");
-        assert_eq!(counted(&mut desk, 2 * S + MS, Total(40.0)), []);
+        let mut aggregator = aggregator();
+        assert_eq!(aggregator.add(S, 1, &increment(2.0)), AddResult::Pending);
+        assert_eq!(due(&mut aggregator, S), [count(2.0)]);
+        assert_eq!(aggregator.add(S + MS, 2, &increment(3.0)), AddResult::Pending);
+        assert_eq!(due(&mut aggregator, S + 2 * MS), [], "one call for a name at once");
         assert_eq!(
-            desk.told(2 * S + MS, 1, &told(0.0)),
-            Found::Total(41.0),
+            counted(&mut aggregator, S + 3 * MS, Total(12.0)),
+            [Command::Reply(1, 15.0), Command::Reply(2, 15.0)]
+        );
+        assert_eq!(aggregator.add(S + 4 * MS, 3, &increment(1.0)), AddResult::Total(16.0));
+        assert_eq!(due(&mut aggregator, S + 900 * MS), [], "a quarter of a window has to pass");
+        assert_eq!(due(&mut aggregator, 2 * S), [count(4.0)]);
+        assert_eq!(
+            aggregator.add(2 * S, 3, &increment(1.0)),
+            AddResult::Total(17.0),
+            "the amount in flight counts"
+        );
+        assert_eq!(counted(&mut aggregator, 2 * S + MS, Total(40.0)), []);
+        assert_eq!(
+            aggregator.add(2 * S + MS, 1, &increment(0.0)),
+            AddResult::Total(41.0),
             "amounts of other gateways count"
         );
     }
 
     #[test]
     fn call_rate_does_not_depend_on_the_number_of_increments() {
-        let mut desk = desk();
+        let mut aggregator = aggregator();
         let (mut calls, mut sum) = (0, 0.0);
         for ms in 0..4_000 {
             let now = S + ms * MS;
             for requester in 0..5 {
-                desk.told(now, requester, &told(0.5));
+                aggregator.add(now, requester, &increment(0.5));
             }
-            for one in due(&mut desk, now) {
-                if let Do::Count { amount, .. } = one {
+            for one in due(&mut aggregator, now) {
+                if let Command::CallCounter { amount, .. } = one {
                     (calls, sum) = (calls + 1, sum + amount);
-                    counted(&mut desk, now, Total(sum));
+                    counted(&mut aggregator, now, Total(sum));
                 }
             }
         }
         assert!((4..=5).contains(&calls), "{calls} calls for 20,000 increments");
-        assert_eq!(desk.told(6 * S, 1, &told(0.0)), Found::Total(10_000.0));
+        assert_eq!(aggregator.add(6 * S, 1, &increment(0.0)), AddResult::Total(10_000.0));
     }
 
     #[test]
     fn unavailable_counter_delays_only_the_first_requesters() {
-        let mut desk = desk();
-        assert_eq!(desk.told(S, 1, &told(2.0)), Found::Later);
-        assert_eq!(due(&mut desk, S), [count(2.0)]);
-        assert_eq!(due(&mut desk, S + 24 * MS), []);
-        assert_eq!(due(&mut desk, S + 25 * MS), [Do::Say(1, 2.0)], "half of the timeout");
-        assert_eq!(desk.told(S + 26 * MS, 2, &told(5.0)), Found::Total(7.0));
-        assert_eq!(counted(&mut desk, S + 50 * MS, Timeout), []);
-        assert_eq!(desk.told(S + 60 * MS, 3, &told(1.0)), Found::Total(8.0));
+        let mut aggregator = aggregator();
+        assert_eq!(aggregator.add(S, 1, &increment(2.0)), AddResult::Pending);
+        assert_eq!(due(&mut aggregator, S), [count(2.0)]);
+        assert_eq!(due(&mut aggregator, S + 24 * MS), []);
+        assert_eq!(due(&mut aggregator, S + 25 * MS), [Command::Reply(1, 2.0)], "half of the timeout");
+        assert_eq!(aggregator.add(S + 26 * MS, 2, &increment(5.0)), AddResult::Total(7.0));
+        assert_eq!(counted(&mut aggregator, S + 50 * MS, Timeout), []);
+        assert_eq!(aggregator.add(S + 60 * MS, 3, &increment(1.0)), AddResult::Total(8.0));
         assert_eq!(
-            due(&mut desk, 2 * S),
+            due(&mut aggregator, 2 * S),
             [count(6.0)],
             "an amount that may have been added is not sent again"
         );
@@ -376,77 +389,81 @@
 
     #[test]
     fn refused_amounts_are_sent_again_after_the_interval() {
-        let mut desk = desk();
-        desk.told(S, 1, &told(2.0));
-        assert_eq!(due(&mut desk, S), [count(2.0)]);
-        assert_eq!(counted(&mut desk, S + MS, Refused), [Do::Say(1, 2.0)]);
-        assert_eq!(due(&mut desk, S + 2 * MS), []);
-        assert_eq!(due(&mut desk, 2 * S), [count(2.0)]);
-        assert_eq!(counted(&mut desk, 2 * S + MS, Total(f64::NAN)), [], "NaN is no total");
-        assert_eq!(desk.told(2 * S + MS, 1, &told(0.0)), Found::Total(2.0));
+        let mut aggregator = aggregator();
+        aggregator.add(S, 1, &increment(2.0));
+        assert_eq!(due(&mut aggregator, S), [count(2.0)]);
+        assert_eq!(counted(&mut aggregator, S + MS, Refused), [Command::Reply(1, 2.0)]);
+        assert_eq!(due(&mut aggregator, S + 2 * MS), []);
+        assert_eq!(due(&mut aggregator, 2 * S), [count(2.0)]);
+        assert_eq!(counted(&mut aggregator, 2 * S + MS, Total(f64::NAN)), [], "NaN is no total");
+        assert_eq!(aggregator.add(2 * S + MS, 1, &increment(0.0)), AddResult::Total(2.0));
     }
 
     #[test]
     fn totals_never_fall_below_received_amounts_after_counter_reset() {
-        let mut desk = desk();
-        desk.told(S, 1, &told(30.0));
-        due(&mut desk, S);
-        counted(&mut desk, S + MS, Total(80.0));
-        assert_eq!(desk.told(S + 2 * MS, 1, &told(1.0)), Found::Total(81.0));
-        due(&mut desk, 2 * S);
-        counted(&mut desk, 2 * S, Total(1.0));
-        assert_eq!(desk.told(2 * S, 1, &told(0.0)), Found::Total(31.0));
-        assert_eq!(desk.told(2 * S, 1, &told(-1.0)), Found::Total(30.0), "returned units reduce the total");
+        let mut aggregator = aggregator();
+        aggregator.add(S, 1, &increment(30.0));
+        due(&mut aggregator, S);
+        counted(&mut aggregator, S + MS, Total(80.0));
+        assert_eq!(aggregator.add(S + 2 * MS, 1, &increment(1.0)), AddResult::Total(81.0));
+        due(&mut aggregator, 2 * S);
+        counted(&mut aggregator, 2 * S, Total(1.0));
+        assert_eq!(aggregator.add(2 * S, 1, &increment(0.0)), AddResult::Total(31.0));
+        assert_eq!(
+            aggregator.add(2 * S, 1, &increment(-1.0)),
+            AddResult::Total(30.0),
+            "returned units reduce the total"
+        );
     }
 
     #[test]
     fn draining_flushes_largest_amounts_first_and_declines_new_ones() {
-        let mut desk = desk();
+        let mut aggregator = aggregator();
         for (name, amount) in [("a", 1.0), ("b", 7.0), ("c", 0.0)] {
-            let told = Told { name: name.into(), amount, keep_ms: 8_000 };
-            desk.told(S, 1, &told);
+            let increment = Increment { name: name.into(), amount, ttl_ms: 8_000 };
+            aggregator.add(S, 1, &increment);
         }
-        let last = desk.leave(S);
-        let of = |one: &Do<u32>| match one {
-            Do::Count { name, amount, .. } => (name.clone(), *amount),
-            Do::Say(..) => panic!("no reply is due"),
+        let last = aggregator.drain(S);
+        let of = |one: &Command<u32>| match one {
+            Command::CallCounter { name, amount, .. } => (name.clone(), *amount),
+            Command::Reply(..) => panic!("no reply is due"),
         };
         assert_eq!(last.iter().map(of).collect::<Vec<_>>(), [("b".into(), 7.0), ("a".into(), 1.0)]);
-        assert_eq!(desk.told(S, 1, &told(1.0)), Found::Elsewhere);
+        assert_eq!(aggregator.add(S, 1, &increment(1.0)), AddResult::Declined);
         let mut out = Vec::new();
-        desk.counted(S + MS, "b", Total(9.0), &mut out);
-        assert_eq!(out, [Do::Say(1, 9.0)], "pending requesters still get replies");
+        aggregator.call_finished(S + MS, "b", Total(9.0), &mut out);
+        assert_eq!(out, [Command::Reply(1, 9.0)], "pending requesters still get replies");
     }
 
     #[test]
     fn expired_names_are_evicted_and_excess_names_are_declined() {
-        let mut desk = desk();
+        let mut aggregator = aggregator();
         for n in 0..MAX_NAMES {
-            let told = Told { name: format!("n{n}"), amount: 1.0, keep_ms: 8_000 };
-            assert_eq!(desk.told(S, 1, &told), Found::Later);
+            let increment = Increment { name: format!("n{n}"), amount: 1.0, ttl_ms: 8_000 };
+            assert_eq!(aggregator.add(S, 1, &increment), AddResult::Pending);
             // Lets the requester time out, which keeps the number pending below its limit.
-            due(&mut desk, S + 25 * MS);
+            due(&mut aggregator, S + 25 * MS);
         }
-        assert_eq!(desk.told(S, 1, &told(1.0)), Found::Elsewhere);
-        due(&mut desk, S + WAIT);
-        desk.tidy(S + 7 * S);
-        assert_eq!(desk.figures().0, MAX_NAMES);
-        desk.tidy(S + 8 * S);
-        assert!(desk.figures().0 < 200, "names with a call in flight stay");
-        assert!(desk.idle());
-        assert_eq!(desk.told(10 * S, 1, &told(1.0)), Found::Later);
+        assert_eq!(aggregator.add(S, 1, &increment(1.0)), AddResult::Declined);
+        due(&mut aggregator, S + WAIT);
+        aggregator.evict_expired(S + 7 * S);
+        assert_eq!(aggregator.stats().0, MAX_NAMES);
+        aggregator.evict_expired(S + 8 * S);
+        assert!(aggregator.stats().0 < 200, "names with a call in flight stay");
+        assert!(aggregator.is_idle());
+        assert_eq!(aggregator.add(10 * S, 1, &increment(1.0)), AddResult::Pending);
     }
 
     #[test]
     fn names_with_pending_requesters_are_called_first() {
-        let mut desk: Desk<u32> = Desk::new(200, WAIT);
+        let mut aggregator: Aggregator<u32> = Aggregator::new(200, WAIT);
         for n in 0..9 {
-            desk.told(S, n, &Told { name: format!("old{n}"), amount: 1.0, keep_ms: 8_000 });
+            aggregator.add(S, n, &Increment { name: format!("old{n}"), amount: 1.0, ttl_ms: 8_000 });
         }
-        due(&mut desk, S + 25 * MS);
-        desk.told(3 * S, 9, &Told { name: "zz".into(), amount: 1.0, keep_ms: 8_000 });
-        let called = due(&mut desk, 3 * S);
-        let Some(Do::Count { name, .. }) = called.first() else { panic!("{called:?}") };
+        due(&mut aggregator, S + 25 * MS);
+        aggregator.add(3 * S, 9, &Increment { name: "zz".into(), amount: 1.0, ttl_ms: 8_000 });
+        let called = due(&mut aggregator, 3 * S);
+        let Some(Command::CallCounter { name, .. }) = called.first() else { panic!("{called:?}") };
         assert_eq!(name, "zz");
     }
 }
--- a/crates/turns/src/lib.rs
+++ b/crates/turns/src/lib.rs
@@ -13,10 +13,10 @@
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
-pub mod desk;
+pub mod aggregator;
+pub mod forwarder;
+pub mod message;
 pub mod pace;
-pub mod post;
-pub mod word;
 
 use hingestage_policy::{draw, fnv};
 
--- a/crates/turns/tests/common/mod.rs
+++ b/crates/turns/tests/common/mod.rs
@@ -8,9 +8,9 @@
 use hingestage_fleet::roll::Roll;
 use hingestage_policy::*;
 use hingestage_shares::{Lease, LeaseConfig, Voter};
-use hingestage_turns::desk::{Desk, Do, Found};
-use hingestage_turns::post::{Ending, Post, Route, Word};
-use hingestage_turns::word::{Said, Told};
+use hingestage_turns::aggregator::{AddResult, Aggregator, Command};
+use hingestage_turns::forwarder::{BatchOutcome, CallOutcome, Forwarder, Route};
+use hingestage_turns::message::{Increment, Reply};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap, VecDeque};
 
@@ -109,8 +109,8 @@
     gatekeeper: Gatekeeper,
     incarnation: u32,
     up: bool,
-    post: Post,
-    desk: Desk<Requester>,
+    forwarder: Forwarder,
+    aggregator: Aggregator<Requester>,
     roll: Roll,
     lease: Lease,
     view: Option<LeaseView>,
@@ -120,7 +120,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Caller {
     Decisions,
-    Desk,
+    Aggregator,
     Roll,
 }
 
@@ -141,8 +141,8 @@
 struct BatchInFlight {
     from: (usize, u32),
     to: usize,
-    told: Vec<Told>,
-    replies: Vec<Option<Said>>,
+    increments: Vec<Increment>,
+    replies: Vec<Option<Reply>>,
     finished: bool,
 }
 
@@ -190,7 +190,7 @@
     accounts: Vec<Account>,
     cold: BTreeMap<u64, Cold>,
     /// Counter calls by index: name, amount and time to live.
-    calls: Vec<Told>,
+    calls: Vec<Increment>,
     batches: Vec<BatchInFlight>,
     totals: BTreeMap<String, f64>,
     /// When the counter has worked off its queue.
@@ -306,7 +306,7 @@
         let workers = (1..=self.scenario.workers).map(|id| self.listed(id)).collect();
         let list = WorkerList { scope: ListScope::Full, workers };
         gatekeeper.handle(self.now, Event::Workers(list), &mut Vec::new());
-        let post = Post::new(me, 0..self.scenario.gateways);
+        let forwarder = Forwarder::new(me, 0..self.scenario.gateways);
         let n = self.scenario.gateways;
         let roll = Roll::new(me, n, self.now);
         let scale = roll.slot() / S;
@@ -318,8 +318,8 @@
             warm_up: 2 * S * scale,
             reserved_fraction: 0.5,
         };
-        let (desk, lease) = (Desk::new(n, TIMEOUT), Lease::new(me, config));
-        Gateway { gatekeeper, incarnation, up: true, post, desk, roll, lease, view: None }
+        let (aggregator, lease) = (Aggregator::new(n, TIMEOUT), Lease::new(me, config));
+        Gateway { gatekeeper, incarnation, up: true, forwarder, aggregator, roll, lease, view: None }
     }
 
     fn listed(&self, id: u64) -> WorkerInfo {
@@ -344,8 +344,8 @@
             return;
         }
         for call in self.gateways[by].roll.calls(self.now) {
-            let told = Told { name: call.name, amount: call.amount, keep_ms: call.keep / 1_000 };
-            self.call(by, told, Caller::Roll);
+            let increment = Increment { name: call.name, amount: call.amount, ttl_ms: call.keep / 1_000 };
+            self.call(by, increment, Caller::Roll);
         }
         let unheard: BTreeSet<u32> = (0..self.scenario.gateways).collect();
         let mut view = self.gateways[by].lease.view(self.now, &unheard);
@@ -384,7 +384,7 @@
                     self.update_view(gateway);
                     self.handle_event(gateway, Event::Timer(TimerToken(0)));
                     let mut commands = Vec::new();
-                    self.gateways[gateway].desk.due(self.now, &mut commands);
+                    self.gateways[gateway].aggregator.poll(self.now, &mut commands);
                     self.run_commands(gateway, commands);
                 }
                 self.after(POLL_INTERVAL, SimEvent::Poll(gateway));
@@ -405,9 +405,9 @@
             SimEvent::BatchArrives(batch) => self.arrives(batch),
             SimEvent::BatchReplied(batch) => {
                 let replies = self.batches[batch].replies.iter().flatten().copied().collect();
-                self.batch_done(batch, Word::Answered(replies));
+                self.batch_done(batch, BatchOutcome::Replied(replies));
             }
-            SimEvent::BatchTimeout(batch) => self.batch_done(batch, Word::Unanswered),
+            SimEvent::BatchTimeout(batch) => self.batch_done(batch, BatchOutcome::NoReply),
             SimEvent::Counter(by, incarnation, caller, call) => {
                 self.at_counter(by, incarnation, caller, call)
             }
@@ -477,8 +477,8 @@
                     self.judge_outcome(&request.0, false)
                 }
                 Action::Count { name, amount, keep } => {
-                    let told = Told { name: name.0, amount, keep_ms: keep / 1_000 };
-                    self.count(gateway, told);
+                    let increment = Increment { name: name.0, amount, ttl_ms: keep / 1_000 };
+                    self.count(gateway, increment);
                 }
                 _ => {}
             }
@@ -544,22 +544,22 @@
         self.metrics.cold_overload = self.metrics.cold_overload.max(cold.sent.len() as f64 / topples);
     }
 
-    fn count(&mut self, by: usize, told: Told) {
+    fn count(&mut self, by: usize, increment: Increment) {
         if !self.turns {
-            return self.call(by, told, Caller::Decisions);
+            return self.call(by, increment, Caller::Decisions);
         }
         let up: Vec<bool> = self.gateways.iter().map(|g| g.up).collect();
-        let route = self.gateways[by].post.route(self.now, &told, |g| up[g as usize]);
+        let route = self.gateways[by].forwarder.route(self.now, &increment, |g| up[g as usize]);
         match route {
-            Route::Counter => self.call(by, told, Caller::Decisions),
-            Route::To(to) => self.send_batches(by, to as usize),
-            Route::Here => {
-                self.calls.push(told.clone());
-                let asker = Requester::Local(self.calls.len() - 1);
-                match self.gateways[by].desk.told(self.now, asker, &told) {
-                    Found::Total(total) => self.deliver(by, told.name, CounterOutcome::Total(total)),
-                    Found::Later => {}
-                    Found::Elsewhere => self.call(by, told, Caller::Decisions),
+            Route::Counter => self.call(by, increment, Caller::Decisions),
+            Route::Peer(to) => self.send_batches(by, to as usize),
+            Route::Local => {
+                self.calls.push(increment.clone());
+                let requester = Requester::Local(self.calls.len() - 1);
+                match self.gateways[by].aggregator.add(self.now, requester, &increment) {
+                    AddResult::Total(total) => self.deliver(by, increment.name, CounterOutcome::Total(total)),
+                    AddResult::Pending => {}
+                    AddResult::Declined => self.call(by, increment, Caller::Decisions),
                 }
             }
         }
@@ -570,16 +570,16 @@
     }
 
     fn send_batches(&mut self, by: usize, to: usize) {
-        while let Some(told) = self.gateways[by].post.word(to as u32) {
-            let (from, replies) = ((by, self.gateways[by].incarnation), vec![None; told.len()]);
-            self.batches.push(BatchInFlight { from, to, told, replies, finished: false });
+        while let Some(increments) = self.gateways[by].forwarder.next_batch(to as u32) {
+            let (from, replies) = ((by, self.gateways[by].incarnation), vec![None; increments.len()]);
+            self.batches.push(BatchInFlight { from, to, increments, replies, finished: false });
             self.metrics.batches += 1;
             let batch = self.batches.len() - 1;
             if self.gateways[to].up {
                 self.after(LATENCY, SimEvent::BatchArrives(batch));
                 self.after(TIMEOUT, SimEvent::BatchTimeout(batch));
             } else {
-                self.batch_done(batch, Word::NeverSent);
+                self.batch_done(batch, BatchOutcome::NotSent);
             }
         }
     }
@@ -589,42 +589,44 @@
         if !self.gateways[to].up {
             return;
         }
-        for (place, told) in self.batches[batch].told.clone().iter().enumerate() {
-            match self.gateways[to].desk.told(self.now, Requester::Batch(batch, place), told) {
-                Found::Total(total) => self.reply(batch, place, Said::Total(total)),
-                Found::Later => {}
-                Found::Elsewhere => self.reply(batch, place, Said::Elsewhere),
+        for (place, increment) in self.batches[batch].increments.clone().iter().enumerate() {
+            match self.gateways[to].aggregator.add(self.now, Requester::Batch(batch, place), increment) {
+                AddResult::Total(total) => self.reply(batch, place, Reply::Total(total)),
+                AddResult::Pending => {}
+                AddResult::Declined => self.reply(batch, place, Reply::Declined),
             }
         }
     }
 
-    fn reply(&mut self, batch: usize, place: usize, reply: Said) {
+    fn reply(&mut self, batch: usize, place: usize, reply: Reply) {
         self.batches[batch].replies[place] = Some(reply);
         if self.batches[batch].replies.iter().all(Option::is_some) {
             self.after(LATENCY, SimEvent::BatchReplied(batch));
         }
     }
 
-    fn batch_done(&mut self, batch: usize, outcome: Word) {
+    fn batch_done(&mut self, batch: usize, outcome: BatchOutcome) {
         let ((from, incarnation), to) = (self.batches[batch].from, self.batches[batch].to);
         if std::mem::replace(&mut self.batches[batch].finished, true)
             || !self.is_incarnation(from, incarnation)
         {
             return;
         }
-        let told = std::mem::take(&mut self.batches[batch].told);
-        for (told, ending) in self.gateways[from].post.ended(self.now, to as u32, told, outcome) {
-            match ending {
-                Ending::Total(total) => self.deliver(from, told.name, CounterOutcome::Total(total)),
-                Ending::Timeout => self.deliver(from, told.name, CounterOutcome::Timeout),
-                Ending::Counter => self.call(from, told, Caller::Decisions),
+        let increments = std::mem::take(&mut self.batches[batch].increments);
+        for (increment, call_outcome) in
+            self.gateways[from].forwarder.batch_finished(self.now, to as u32, increments, outcome)
+        {
+            match call_outcome {
+                CallOutcome::Total(total) => self.deliver(from, increment.name, CounterOutcome::Total(total)),
+                CallOutcome::Timeout => self.deliver(from, increment.name, CounterOutcome::Timeout),
+                CallOutcome::Counter => self.call(from, increment, Caller::Decisions),
             }
         }
         self.send_batches(from, to);
     }
 
-    fn call(&mut self, by: usize, told: Told, caller: Caller) {
-        self.calls.push(told);
+    fn call(&mut self, by: usize, increment: Increment, caller: Caller) {
+        self.calls.push(increment);
         let (incarnation, call) = (self.gateways[by].incarnation, self.calls.len() - 1);
         self.after(LATENCY, SimEvent::Counter(by, incarnation, caller, call));
     }
@@ -643,9 +645,9 @@
         let now = self.now as f64;
         self.counter_busy_until = self.counter_busy_until.max(now) + 1e6 / self.scenario.counter_capacity;
         let waits = (self.counter_busy_until - now) as Micros;
-        let told = &self.calls[call];
-        let total = self.totals.entry(told.name.clone()).or_default();
-        *total += told.amount;
+        let increment = &self.calls[call];
+        let total = self.totals.entry(increment.name.clone()).or_default();
+        *total += increment.amount;
         let total = total.to_bits();
         match waits > TIMEOUT {
             // The amount is added, but the reply comes too late.
@@ -675,25 +677,25 @@
                 }
                 return;
             }
-            Caller::Desk => {}
+            Caller::Aggregator => {}
         }
         let mut commands = Vec::new();
-        self.gateways[by].desk.counted(self.now, &name, outcome, &mut commands);
+        self.gateways[by].aggregator.call_finished(self.now, &name, outcome, &mut commands);
         self.run_commands(by, commands);
     }
 
-    fn run_commands(&mut self, by: usize, commands: Vec<Do<Requester>>) {
+    fn run_commands(&mut self, by: usize, commands: Vec<Command<Requester>>) {
         for command in commands {
             match command {
-                Do::Count { name, amount, keep_ms } => {
-                    self.call(by, Told { name, amount, keep_ms }, Caller::Desk)
+                Command::CallCounter { name, amount, ttl_ms } => {
+                    self.call(by, Increment { name, amount, ttl_ms }, Caller::Aggregator)
                 }
-                Do::Say(Requester::Local(call), total) => {
+                Command::Reply(Requester::Local(call), total) => {
                     let name = self.calls[call].name.clone();
                     self.deliver(by, name, CounterOutcome::Total(total));
                 }
-                Do::Say(Requester::Batch(batch, place), total) => {
-                    self.reply(batch, place, Said::Total(total))
+                Command::Reply(Requester::Batch(batch, place), total) => {
+                    self.reply(batch, place, Reply::Total(total))
                 }
             }
         }
--- a/crates/turns/tests/worlds.rs
+++ b/crates/turns/tests/worlds.rs
@@ -6,9 +6,9 @@
 
 use fastrand::Rng;
 use hingestage_policy::CounterOutcome;
-use hingestage_turns::desk::{Desk, Do, Found};
-use hingestage_turns::post::{Ending, Post, Route, Word};
-use hingestage_turns::word::{Said, Told};
+use hingestage_turns::aggregator::{AddResult, Aggregator, Command};
+use hingestage_turns::forwarder::{BatchOutcome, CallOutcome, Forwarder, Route};
+use hingestage_turns::message::{Increment, Reply};
 use std::collections::BinaryHeap;
 
 type Micros = u64;
@@ -43,8 +43,8 @@
     incarnation: u32,
     up: bool,
     stalled_until: Micros,
-    post: Post,
-    desk: Desk<Requester>,
+    forwarder: Forwarder,
+    aggregator: Aggregator<Requester>,
 }
 
 /// A call made on behalf of a gateway's policy.
@@ -53,15 +53,15 @@
     name: usize,
     amount: f64,
     at: Micros,
-    ended: Option<Ending>,
+    ended: Option<CallOutcome>,
 }
 
 /// A batch in flight and its replies so far.
 struct BatchInFlight {
     from: (usize, u32),
     to: usize,
-    told: Vec<Told>,
-    replies: Vec<Option<Said>>,
+    increments: Vec<Increment>,
+    replies: Vec<Option<Reply>>,
     finished: bool,
 }
 
@@ -165,16 +165,16 @@
             SimEvent::Poll(gateway) => {
                 if self.serves(gateway) {
                     let mut commands = Vec::new();
-                    self.gateways[gateway].desk.due(self.now, &mut commands);
+                    self.gateways[gateway].aggregator.poll(self.now, &mut commands);
                     self.run_commands(gateway, commands);
                 }
                 self.after(5 * MS, SimEvent::Poll(gateway));
             }
             SimEvent::BatchArrives(batch) => self.arrives(batch),
-            SimEvent::BatchTimeout(batch) => self.batch_done(batch, Word::Unanswered),
+            SimEvent::BatchTimeout(batch) => self.batch_done(batch, BatchOutcome::NoReply),
             SimEvent::BatchReplied(batch) => {
                 let replies = self.batches[batch].replies.iter().map(|reply| reply.unwrap()).collect();
-                self.batch_done(batch, Word::Answered(replies));
+                self.batch_done(batch, BatchOutcome::Replied(replies));
             }
             SimEvent::Counter(by, name, bits, own) => self.at_counter(by, name, bits, own),
             SimEvent::Counted(by, name, bits, own, mode) => self.counted(by, name, bits, own, mode),
@@ -192,25 +192,26 @@
         let incarnation = self.gateways[by].incarnation;
         self.calls.push(Call { by: (by, incarnation), name, amount, at: self.now, ended: None });
         let call = self.calls.len() - 1;
-        let told = Told { name: NAMES[name].into(), amount, keep_ms: KEEP_MS };
+        let increment = Increment { name: NAMES[name].into(), amount, ttl_ms: KEEP_MS };
         let living: Vec<bool> = self.gateways.iter().map(|g| g.up || self.rng.bool()).collect();
         let no_owner = self.fault == Fault::NoOwner;
-        let route = self.gateways[by].post.route(self.now, &told, |g| !no_owner && living[g as usize]);
+        let route =
+            self.gateways[by].forwarder.route(self.now, &increment, |g| !no_owner && living[g as usize]);
         match route {
             Route::Counter => self.count(by, name, amount, Some(call)),
-            Route::Here => {
-                let found = self.gateways[by].desk.told(self.now, Requester::Local(call), &told);
+            Route::Local => {
+                let found = self.gateways[by].aggregator.add(self.now, Requester::Local(call), &increment);
                 self.found(call, by, found);
             }
-            Route::To(to) => self.send(by, to as usize),
+            Route::Peer(to) => self.send(by, to as usize),
         }
     }
 
-    fn found(&mut self, call: usize, by: usize, found: Found) {
+    fn found(&mut self, call: usize, by: usize, found: AddResult) {
         match found {
-            Found::Total(total) => self.end(call, Ending::Total(total)),
-            Found::Later => {}
-            Found::Elsewhere => {
+            AddResult::Total(total) => self.end(call, CallOutcome::Total(total)),
+            AddResult::Pending => {}
+            AddResult::Declined => {
                 let (name, amount) = (self.calls[call].name, self.calls[call].amount);
                 self.count(by, name, amount, Some(call));
             }
@@ -219,14 +220,14 @@
 
     /// Sends all batches that the in-flight limit permits.
     fn send(&mut self, by: usize, to: usize) {
-        while let Some(told) = self.gateways[by].post.word(to as u32) {
-            let replies = vec![None; told.len()];
+        while let Some(increments) = self.gateways[by].forwarder.next_batch(to as u32) {
+            let replies = vec![None; increments.len()];
             let from = (by, self.gateways[by].incarnation);
-            self.batches.push(BatchInFlight { from, to, told, replies, finished: false });
+            self.batches.push(BatchInFlight { from, to, increments, replies, finished: false });
             let batch = self.batches.len() - 1;
             let lost = self.lossy && self.rng.u32(..12) == 0;
             if !self.gateways[to].up {
-                self.batch_done(batch, Word::NeverSent);
+                self.batch_done(batch, BatchOutcome::NotSent);
                 continue;
             }
             let (late, takes) = (self.lossy && self.rng.u32(..20) == 0, self.rng.u64(..4 * MS));
@@ -246,18 +247,19 @@
             let stall_left = self.gateways[to].stalled_until - self.now;
             return self.after(stall_left, SimEvent::BatchArrives(batch));
         }
-        for (place, told) in self.batches[batch].told.clone().iter().enumerate() {
-            match self.gateways[to].desk.told(self.now, Requester::Batch(batch, place), told) {
-                Found::Total(total) => self.reply(batch, place, Said::Total(total)),
-                Found::Later => {}
-                Found::Elsewhere => self.reply(batch, place, Said::Elsewhere),
+        for (place, increment) in self.batches[batch].increments.clone().iter().enumerate() {
+            match self.gateways[to].aggregator.add(self.now, Requester::Batch(batch, place), increment) {
+                AddResult::Total(total) => self.reply(batch, place, Reply::Total(total)),
+                AddResult::Pending => {}
+                AddResult::Declined => self.reply(batch, place, Reply::Declined),
             }
         }
     }
 
-    fn reply(&mut self, batch: usize, place: usize, reply: Said) {
-        if let Said::Total(total) = reply {
-            let name = NAMES.iter().position(|name| *name == self.batches[batch].told[place].name).unwrap();
+    fn reply(&mut self, batch: usize, place: usize, reply: Reply) {
+        if let Reply::Total(total) = reply {
+            let name =
+                NAMES.iter().position(|name| *name == self.batches[batch].increments[place].name).unwrap();
             assert!(total <= self.called(name) + 1e-6, "{total} reported of {}", self.called(name));
         }
         self.batches[batch].replies[place] = Some(reply);
@@ -268,10 +270,10 @@
         }
     }
 
-    fn call_of(&self, told: &Told) -> usize {
+    fn call_of(&self, increment: &Increment) -> usize {
         self.calls
             .iter()
-            .position(|call| call.amount == told.amount)
+            .position(|call| call.amount == increment.amount)
             .expect("every increment belongs to a call")
     }
 
@@ -280,10 +282,10 @@
         self.gateways[gateway].stalled_until.checked_sub(self.now).filter(|span| *span > 0)
     }
 
-    fn batch_done(&mut self, batch: usize, outcome: Word) {
+    fn batch_done(&mut self, batch: usize, outcome: BatchOutcome) {
         let (from, incarnation) = self.batches[batch].from;
         if let Some(stall_left) = self.stall_left(from) {
-            let again = if outcome == Word::Unanswered {
+            let again = if outcome == BatchOutcome::NoReply {
                 SimEvent::BatchTimeout(batch)
             } else {
                 SimEvent::BatchReplied(batch)
@@ -298,14 +300,14 @@
         if !self.gateways[from].up {
             return;
         }
-        let (to, told) = (self.batches[batch].to, self.batches[batch].told.clone());
-        let ended = self.gateways[from].post.ended(self.now, to as u32, told, outcome);
-        for (told, ending) in ended {
-            let (call, amount) = (self.call_of(&told), told.amount);
+        let (to, increments) = (self.batches[batch].to, self.batches[batch].increments.clone());
+        let ended = self.gateways[from].forwarder.batch_finished(self.now, to as u32, increments, outcome);
+        for (increment, outcome) in ended {
+            let (call, amount) = (self.call_of(&increment), increment.amount);
             let name = self.calls[call].name;
-            match ending {
-                Ending::Counter => self.count(from, name, amount, Some(call)),
-                Ending::Timeout if self.fault == Fault::ResendIncrement => {
+            match outcome {
+                CallOutcome::Counter => self.count(from, name, amount, Some(call)),
+                CallOutcome::Timeout if self.fault == Fault::ResendIncrement => {
                     self.count(from, name, amount, Some(call))
                 }
                 other => self.end(call, other),
@@ -314,7 +316,7 @@
         self.send(from, to);
     }
 
-    fn end(&mut self, call: usize, ending: Ending) {
+    fn end(&mut self, call: usize, outcome: CallOutcome) {
         let one = &mut self.calls[call];
         assert_eq!(one.ended, None, "a call ended twice");
         let stalled = self.gateways[one.by.0].stalled_until > one.at;
@@ -324,7 +326,7 @@
             "a call ended after {} ms",
             (self.now - one.at) / MS
         );
-        one.ended = Some(ending);
+        one.ended = Some(outcome);
     }
 
     fn count(&mut self, by: usize, name: usize, amount: f64, own: Option<usize>) {
@@ -365,28 +367,28 @@
             _ => CounterOutcome::Refused,
         };
         if let Some(call) = own {
-            let ending = if let CounterOutcome::Total(total) = outcome {
-                Ending::Total(total)
+            let outcome = if let CounterOutcome::Total(total) = outcome {
+                CallOutcome::Total(total)
             } else {
-                Ending::Timeout
+                CallOutcome::Timeout
             };
-            return self.end(call, ending);
+            return self.end(call, outcome);
         }
         let mut commands = Vec::new();
-        self.gateways[by].desk.counted(self.now, NAMES[name], outcome, &mut commands);
+        self.gateways[by].aggregator.call_finished(self.now, NAMES[name], outcome, &mut commands);
         self.run_commands(by, commands);
     }
 
-    fn run_commands(&mut self, by: usize, commands: Vec<Do<Requester>>) {
+    fn run_commands(&mut self, by: usize, commands: Vec<Command<Requester>>) {
         for command in commands {
             match command {
-                Do::Count { name, amount, .. } => {
+                Command::CallCounter { name, amount, .. } => {
                     let name = NAMES.iter().position(|n| **n == name).unwrap();
                     self.count(by, name, amount, None);
                 }
-                Do::Say(Requester::Local(call), total) => self.end(call, Ending::Total(total)),
-                Do::Say(Requester::Batch(batch, place), total) => {
-                    self.reply(batch, place, Said::Total(total))
+                Command::Reply(Requester::Local(call), total) => self.end(call, CallOutcome::Total(total)),
+                Command::Reply(Requester::Batch(batch, place), total) => {
+                    self.reply(batch, place, Reply::Total(total))
                 }
             }
         }
@@ -401,7 +403,7 @@
             2 => self.counter_mode = self.rng.u8(..3),
             3 => self.counter_mode = 0,
             4 if self.serves(gateway) => {
-                let last = self.gateways[gateway].desk.leave(self.now);
+                let last = self.gateways[gateway].aggregator.drain(self.now);
                 self.run_commands(gateway, last);
             }
             _ => {
@@ -416,8 +418,8 @@
         incarnation,
         up: true,
         stalled_until: 0,
-        post: Post::new(me as u32, 0..n as u32),
-        desk: Desk::new(1, TIMEOUT),
+        forwarder: Forwarder::new(me as u32, 0..n as u32),
+        aggregator: Aggregator::new(1, TIMEOUT),
     }
 }
 
@@ -447,7 +449,7 @@
 
 /// The last total reported for each name in a run without faults, as a fraction of what was counted.
 fn final_totals(fault: Fault) -> Vec<f64> {
-    let mut told = Vec::new();
+    let mut totals = Vec::new();
     for seed in 0..40 {
         let mut world = World::new(seed, fault);
         world.lossy = false;
@@ -455,22 +457,22 @@
         world.run();
         for name in 0..NAMES.len() {
             let last = world.calls.iter().rfind(|call| call.name == name).unwrap();
-            if let Some(Ending::Total(total)) = last.ended {
-                told.push(total / world.called(name));
+            if let Some(CallOutcome::Total(total)) = last.ended {
+                totals.push(total / world.called(name));
             }
         }
     }
-    told
+    totals
 }
 
 #[test]
 fn totals_are_accurate_without_faults() {
-    let told = final_totals(Fault::None);
-    let least = told.iter().copied().fold(1.0, f64::min);
+    let totals = final_totals(Fault::None);
+    let least = totals.iter().copied().fold(1.0, f64::min);
     // Calls made at nearly the same time may reach the owner in another order.
     assert!(least > 0.85, "{least}");
-    let exact = told.iter().filter(|part| **part > 0.999).count();
-    assert!(exact * 2 > told.len(), "{exact} of {}", told.len());
+    let exact = totals.iter().filter(|part| **part > 0.999).count();
+    assert!(exact * 2 > totals.len(), "{exact} of {}", totals.len());
     let alone = final_totals(Fault::NoOwner).iter().copied().fold(1.0, f64::min);
     assert!(alone < 0.85, "without owners totals still reach {alone}: the check above is too weak");
 }
