--- a/crates/failover/src/drift.rs
+++ b/crates/failover/src/drift.rs
@@ -19,7 +19,7 @@
 
 /// Compares this gateway's load with the load that plans were made for.
 #[derive(Clone, Debug)]
-pub struct Drift {
+pub struct LoadDrift {
     /// Configured requests per second of this gateway, by plan and class.
     configured: BTreeMap<(usize, usize), f64>,
     /// Measured requests per second.
@@ -33,12 +33,12 @@
     replanned: Micros,
 }
 
-impl Drift {
+impl LoadDrift {
     /// Creates a detector for the configured loads of this gateway.
-    pub fn new(configured: BTreeMap<(usize, usize), f64>, now: Micros) -> Drift {
+    pub fn new(configured: BTreeMap<(usize, usize), f64>, now: Micros) -> LoadDrift {
         let planned = configured.keys().map(|key| (*key, 1.0)).collect();
         let (measured, requests) = (BTreeMap::new(), BTreeMap::new());
-        Drift {
+        LoadDrift {
             configured,
             measured,
             requests,
@@ -51,14 +51,14 @@
     }
 
     /// Records a request.
-    pub fn asks(&mut self, key: (usize, usize)) {
+    pub fn record_request(&mut self, key: (usize, usize)) {
         if self.configured.contains_key(&key) {
             *self.requests.entry(key).or_default() += 1;
         }
     }
 
     /// Advances time; returns the load factors to replan for when a replan is due.
-    pub fn look(&mut self, now: Micros) -> Option<BTreeMap<(usize, usize), f64>> {
+    pub fn poll(&mut self, now: Micros) -> Option<BTreeMap<(usize, usize), f64>> {
         let span = now.saturating_sub(self.last_poll) as f64;
         if span < 500_000.0 {
             return None;
@@ -105,18 +105,18 @@
     const BASE: (usize, usize) = (0, 0);
     const PUSH: (usize, usize) = (1, 1);
 
-    fn drift() -> Drift {
-        Drift::new([(BASE, 10.0), (PUSH, 0.2)].into(), 0)
+    fn drift() -> LoadDrift {
+        LoadDrift::new([(BASE, 10.0), (PUSH, 0.2)].into(), 0)
     }
 
     /// Runs some seconds at a rate; returns when plans were due, and for which factor.
-    fn pass(drift: &mut Drift, now: &mut Micros, seconds: u64, rate: u32) -> Vec<(u64, f64)> {
+    fn pass(drift: &mut LoadDrift, now: &mut Micros, seconds: u64, rate: u32) -> Vec<(u64, f64)> {
         let mut replanned = Vec::new();
         for _ in 0..seconds {
             *now += 1_000_000;
-            (0..rate).for_each(|_| drift.asks(BASE));
-            drift.asks((9, 9));
-            replanned.extend(drift.look(*now).map(|factors| (*now / 1_000_000, factors[&BASE])));
+            (0..rate).for_each(|_| drift.record_request(BASE));
+            drift.record_request((9, 9));
+            replanned.extend(drift.poll(*now).map(|factors| (*now / 1_000_000, factors[&BASE])));
         }
         replanned
     }
--- a/crates/failover/src/lib.rs
+++ b/crates/failover/src/lib.rs
@@ -7,17 +7,17 @@
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
-mod belief;
 mod drift;
-mod order;
+mod monitor;
+mod report;
+mod shedder;
 mod view;
-mod word;
 
-pub use belief::{Belief, Declared, Figures, Standing, Told, Why};
-pub use drift::Drift;
-pub use order::{Order, Rung};
+pub use drift::LoadDrift;
+pub use monitor::{AttemptEvidence, LossCause, MonitorConfig, Override, SiteMonitor, SiteStatus};
+pub use report::SiteReport;
+pub use shedder::{Shedder, Tier};
 pub use view::{Admission, Probe, Refused, Shares, View};
-pub use word::Word;
 
 /// A point in time or a duration, in microseconds of one monotonic clock.
 pub type Micros = u64;
--- a/crates/failover/src/belief.rs
+++ b/crates/failover/src/monitor.rs
@@ -62,45 +62,48 @@
 
 /// Settings of the failure detector. Times are in µs.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Figures {
+pub struct MonitorConfig {
     /// Latency assumed until responses have been measured.
-    pub usual: Micros,
+    pub initial_latency: Micros,
     /// Interval between two probes of a lost site by this gateway. In a large fleet each gateway probes less often.
-    pub probe_gap: Micros,
+    pub probe_interval: Micros,
     /// Share of its load that a recovering site gets first. If the share falls below it, the site is lost again.
-    pub first_share: f64,
+    pub initial_share: f64,
     /// Minimum duration of a ramp step. Each step doubles the share, so a ramp from an eighth takes three steps.
-    pub step: Micros,
+    pub ramp_step: Micros,
     /// A loss shorter than this is ignored: all load returns at once.
-    pub blip: Micros,
+    pub max_blip: Micros,
     /// The backoff after repeated losses is reset when the site was healthy for this long.
-    pub forgive: Micros,
-    /// Backoff after the second loss, and its upper bound; it doubles with each further loss.
-    pub hold_out: (Micros, Micros),
+    pub backoff_reset: Micros,
+    /// Backoff after the second loss; it doubles with each further loss.
+    pub min_backoff: Micros,
+    /// Upper bound of the backoff.
+    pub max_backoff: Micros,
     /// Warm-up time of a worker after its start.
-    pub cold_for: Micros,
+    pub warm_up: Micros,
 }
 
-impl Default for Figures {
+impl Default for MonitorConfig {
     fn default() -> Self {
-        Figures {
-            usual: 50_000,
-            probe_gap: 250_000,
-            first_share: 0.125,
-            step: 500_000,
-            blip: 1_000_000,
-            forgive: 60_000_000,
-            hold_out: (500_000, 30_000_000),
-            cold_for: 5_000_000,
+        MonitorConfig {
+            initial_latency: 50_000,
+            probe_interval: 250_000,
+            initial_share: 0.125,
+            ramp_step: 500_000,
+            max_blip: 1_000_000,
+            backoff_reset: 60_000_000,
+            min_backoff: 500_000,
+            max_backoff: 30_000_000,
+            warm_up: 5_000_000,
         }
     }
 }
 
 /// Cause of a site's loss.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Why {
+pub enum LossCause {
     /// Its workers stopped responding.
-    Silent,
+    Unresponsive,
     /// None of its workers is listed as ready.
     Unlisted,
     /// An operator declared it lost.
@@ -109,41 +112,41 @@
 
 /// An operator's override of a site's state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Declared {
+pub enum Override {
     /// Lost, whatever responds.
     Lost,
     /// Healthy, whatever fails.
-    Well,
+    Healthy,
     /// The ramp stays at its current share.
     Hold,
 }
 
 /// Status of a site.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Standing {
+pub enum SiteStatus {
     /// Receives all of its load.
-    Well,
+    Healthy,
     /// Receives all of its load; its responses are late.
     Slow,
     /// Receives all of its load; all its workers started recently.
-    Cold,
+    WarmingUp,
     /// Receives no load.
-    Lost(Why),
+    Lost(LossCause),
     /// Unreachable from this gateway, while other gateways reach it.
     CutOff,
     /// Receives this share of its load.
-    Returning(f64),
+    Recovering(f64),
 }
 
 /// Result of an attempt, as evidence about its site.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Told {
+pub enum AttemptEvidence {
     /// Bytes of any response arrived, this long after the attempt was sent.
-    Answered(Micros),
+    Responded(Micros),
     /// No connection, a broken connection or a timeout.
     Failed,
     /// Cancelled or not sent for reasons of the gateway's own.
-    Nothing,
+    Inconclusive,
 }
 
 #[derive(Clone, Debug)]
@@ -160,9 +163,9 @@
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum State {
-    Well,
-    Lost { since: Micros, why: Why, probe_at: Micros, probe: Option<Probe> },
-    Returning { share: f64, since: Micros, responses: u32, fails: u32 },
+    Healthy,
+    Lost { since: Micros, cause: LossCause, probe_at: Micros, probe: Option<Probe> },
+    Recovering { share: f64, since: Micros, responses: u32, failures: u32 },
 }
 
 #[derive(Clone, Debug)]
@@ -170,7 +173,7 @@
     name: String,
     state: State,
     /// Failures since its last response.
-    fails: u32,
+    failures: u32,
     /// Time of its last response.
     last_response: Option<Micros>,
     /// Mean latency of its responses, and their number.
@@ -182,15 +185,15 @@
     /// Losses without a long healthy time in between, and when it last was not healthy.
     losses: u32,
     last_unhealthy: Micros,
-    operator_override: Option<Declared>,
+    operator_override: Option<Override>,
     /// When each peer last received a response from it.
     peer_responses: BTreeMap<u32, Micros>,
 }
 
 /// Failure detector of one gateway for all sites.
 #[derive(Clone, Debug)]
-pub struct Belief {
-    figures: Figures,
+pub struct SiteMonitor {
+    config: MonitorConfig,
     /// The site of each zone. If the configuration names no sites, every zone is one.
     zones: BTreeMap<String, usize>,
     named: bool,
@@ -204,12 +207,12 @@
     last_view: Option<(Vec<Admission>, Refused)>,
 }
 
-impl Belief {
+impl SiteMonitor {
     /// Creates a monitor for configured sites, each with its zones; if there are none, each zone is a site.
-    pub fn new(figures: Figures, sites: &[(String, Vec<String>)]) -> Belief {
-        let usual_latency = figures.usual as f64;
-        let mut belief = Belief {
-            figures,
+    pub fn new(config: MonitorConfig, sites: &[(String, Vec<String>)]) -> SiteMonitor {
+        let usual_latency = config.initial_latency as f64;
+        let mut monitor = SiteMonitor {
+            config,
             zones: BTreeMap::new(),
             named: !sites.is_empty(),
             sites: Vec::new(),
@@ -220,22 +223,22 @@
             last_view: None,
         };
         for (name, zones) in sites.iter().take(MAX_SITES) {
-            let index = belief.add_site(name);
-            belief.zones.extend(zones.iter().map(|zone| (zone.clone(), index)));
+            let index = monitor.add_site(name);
+            monitor.zones.extend(zones.iter().map(|zone| (zone.clone(), index)));
         }
-        belief
+        monitor
     }
 
     /// Replaces the precomputed load shares by the set of lost sites.
-    pub fn go_by(&mut self, shares_by_loss: BTreeMap<BTreeSet<usize>, Shares>) {
+    pub fn set_shares(&mut self, shares_by_loss: BTreeMap<BTreeSet<usize>, Shares>) {
         (self.shares_by_loss, self.last_view) = (shares_by_loss, None);
     }
 
     fn add_site(&mut self, name: &str) -> usize {
         self.sites.push(Site {
             name: name.to_owned(),
-            state: State::Well,
-            fails: 0,
+            state: State::Healthy,
+            failures: 0,
             last_response: None,
             latency: 0.0,
             responses: 0,
@@ -263,7 +266,7 @@
     }
 
     /// Adds or updates a worker: its zone, whether it accepts work, and when it started.
-    pub fn listed(&mut self, id: u64, zone: &str, ready: bool, started: Option<Micros>) {
+    pub fn upsert_worker(&mut self, id: u64, zone: &str, ready: bool, started: Option<Micros>) {
         let Some(site) = self.site_of(zone) else { return };
         let full = self.workers.len() >= MAX_WORKERS;
         match self.workers.get_mut(&id) {
@@ -279,41 +282,41 @@
     }
 
     /// Removes a worker.
-    pub fn unlisted(&mut self, id: u64) {
+    pub fn remove_worker(&mut self, id: u64) {
         self.workers.remove(&id);
     }
 
     /// Removes all workers that are not in a full list.
-    pub fn keep_only(&mut self, listed: &BTreeSet<u64>) {
+    pub fn retain_workers(&mut self, listed: &BTreeSet<u64>) {
         self.workers.retain(|id, _| listed.contains(id));
     }
 
     /// Records an attempt that was sent.
-    pub fn sent(&mut self, now: Micros, id: u64) {
+    pub fn attempt_sent(&mut self, now: Micros, id: u64) {
         let Some(worker) = self.workers.get_mut(&id) else { return };
         worker.in_flight += 1;
         worker.awaiting_since.get_or_insert(now);
     }
 
     /// Records the result of an attempt.
-    pub fn ended(&mut self, now: Micros, id: u64, told: Told) {
+    pub fn attempt_finished(&mut self, now: Micros, id: u64, evidence: AttemptEvidence) {
         let given_up = self.usual_times(CANCELLED_FACTOR, MIN_CANCELLED_WAIT);
         let Some(worker) = self.workers.get_mut(&id) else { return };
         worker.in_flight = worker.in_flight.saturating_sub(1);
         let site = worker.site;
-        match told {
-            Told::Answered(latency) => {
+        match evidence {
+            AttemptEvidence::Responded(latency) => {
                 // The wait for other attempts in flight starts again.
                 worker.awaiting_since = (worker.in_flight > 0).then_some(now);
                 self.record_response(now, site, latency);
             }
-            Told::Failed => {
+            AttemptEvidence::Failed => {
                 worker.failed = true;
                 worker.awaiting_since =
                     (worker.in_flight > 0).then_some(worker.awaiting_since.unwrap_or(now));
                 self.record_failure(now, site);
             }
-            Told::Nothing => {
+            AttemptEvidence::Inconclusive => {
                 // Cancelled attempts count as failures only after a long wait.
                 let waited = worker.awaiting_since.map_or(0, |since| now.saturating_sub(since));
                 worker.awaiting_since = worker.awaiting_since.filter(|_| worker.in_flight > 0);
@@ -327,59 +330,62 @@
 
     fn record_response(&mut self, now: Micros, site: usize, latency: Micros) {
         // Skips the scan in the usual case without failures.
-        if self.sites[site].fails > 0 {
+        if self.sites[site].failures > 0 {
             let own = self.workers.values_mut().filter(|worker| worker.site == site);
             own.for_each(|worker| worker.failed = false);
         }
         let latency = latency as f64;
         self.usual_latency += (latency - self.usual_latency) * LATENCY_WEIGHT;
-        let (figures, workers) = (&self.figures, &self.workers);
+        let (config, workers) = (&self.config, &self.workers);
         let own = &mut self.sites[site];
         own.responses = own.responses.saturating_add(1);
         own.latency += (latency - own.latency) * LATENCY_WEIGHT.max(1.0 / f64::from(own.responses));
         let idle = own.last_response.map_or(f64::MAX, |at| now.saturating_sub(at) as f64);
         own.rate = own.rate * (-idle / RATE_WINDOW_US).exp() + 1e6 / RATE_WINDOW_US;
         own.peak_rate = own.peak_rate.max(own.rate);
-        (own.fails, own.last_response) = (0, Some(now));
+        (own.failures, own.last_response) = (0, Some(now));
         match &mut own.state {
-            State::Well => {}
-            State::Returning { responses, .. } => *responses += 1,
+            State::Healthy => {}
+            State::Recovering { responses, .. } => *responses += 1,
             // An operator override outranks responses.
-            State::Lost { why: Why::Declared, .. } => {}
+            State::Lost { cause: LossCause::Declared, .. } => {}
             State::Lost { since, .. } => {
                 let since = *since;
                 let new = |worker: &Worker| worker.started.is_some_and(|at| at >= since);
                 let restarted = workers.values().any(|worker| worker.site == site && new(worker));
-                let brief = now < since + figures.blip && !restarted;
+                let brief = now < since + config.max_blip && !restarted;
                 own.state = match brief {
-                    true => State::Well,
-                    false => {
-                        State::Returning { share: figures.first_share, since: now, responses: 1, fails: 0 }
-                    }
+                    true => State::Healthy,
+                    false => State::Recovering {
+                        share: config.initial_share,
+                        since: now,
+                        responses: 1,
+                        failures: 0,
+                    },
                 };
             }
         }
     }
 
     fn record_failure(&mut self, now: Micros, site: usize) {
-        self.sites[site].fails = self.sites[site].fails.saturating_add(1);
-        if let State::Returning { fails, .. } = &mut self.sites[site].state {
-            *fails += 1;
+        self.sites[site].failures = self.sites[site].failures.saturating_add(1);
+        if let State::Recovering { failures, .. } = &mut self.sites[site].state {
+            *failures += 1;
         }
         self.check_loss(now, site);
     }
 
     /// Declares the site lost if enough workers failed with no response in between.
     fn check_loss(&mut self, now: Micros, site: usize) {
-        if self.sites[site].operator_override == Some(Declared::Well)
+        if self.sites[site].operator_override == Some(Override::Healthy)
             || matches!(self.sites[site].state, State::Lost { .. })
         {
             return;
         }
         let (ready, failed) = self.workers_of(site);
         let needed = (MIN_FAILED_WORKERS + ready / READY_PER_EXTRA_FAILED).min(MAX_FAILED_WORKERS).min(ready);
-        if ready > 0 && failed >= needed && self.sites[site].fails >= MIN_FAILURES {
-            self.lose(now, site, Why::Silent);
+        if ready > 0 && failed >= needed && self.sites[site].failures >= MIN_FAILURES {
+            self.lose(now, site, LossCause::Unresponsive);
         }
     }
 
@@ -394,23 +400,23 @@
         ((self.usual_latency * factor) as Micros).max(min)
     }
 
-    fn lose(&mut self, now: Micros, site: usize, why: Why) {
-        let (forgive, (min, max)) = (self.figures.forgive, self.figures.hold_out);
+    fn lose(&mut self, now: Micros, site: usize, cause: LossCause) {
+        let (reset, min, max) = (self.config.backoff_reset, self.config.min_backoff, self.config.max_backoff);
         let own = &mut self.sites[site];
-        if now > own.last_unhealthy.saturating_add(forgive) {
+        if now > own.last_unhealthy.saturating_add(reset) {
             own.losses = 0;
         }
         // Exponential backoff for a flapping site.
         let exponent = own.losses.min(16);
         let backoff = if exponent == 0 { 0 } else { min.saturating_mul(1 << (exponent - 1)).min(max) };
-        own.losses = own.losses.saturating_add(u32::from(why == Why::Silent));
+        own.losses = own.losses.saturating_add(u32::from(cause == LossCause::Unresponsive));
         own.last_unhealthy = now;
-        let probe_at = now + backoff.max(self.figures.probe_gap);
-        own.state = State::Lost { since: now, why, probe_at, probe: None };
+        let probe_at = now + backoff.max(self.config.probe_interval);
+        own.state = State::Lost { since: now, cause, probe_at, probe: None };
     }
 
     /// Records when, by the local clock, a peer last received a response from a site.
-    pub fn told(&mut self, from: u32, site: &str, at: Micros) {
+    pub fn record_peer_response(&mut self, from: u32, site: &str, at: Micros) {
         let Some(own) = self.sites.iter_mut().find(|own| own.name == site) else { return };
         if own.peer_responses.len() < MAX_PEERS || own.peer_responses.contains_key(&from) {
             let last = own.peer_responses.entry(from).or_insert(at);
@@ -419,7 +425,7 @@
     }
 
     /// Time since the last response of each site that ever responded, to report to peers.
-    pub fn to_tell(&self, now: Micros) -> Vec<(&str, Micros)> {
+    pub fn response_ages(&self, now: Micros) -> Vec<(&str, Micros)> {
         let since = |own: &Site| own.last_response.map(|at| now.saturating_sub(at));
         self.sites.iter().filter_map(|own| Some((own.name.as_str(), since(own)?))).collect()
     }
@@ -428,25 +434,25 @@
     ///
     /// # Errors
     /// There is no such site.
-    pub fn declare(&mut self, now: Micros, site: &str, value: Option<Declared>) -> Result<(), String> {
+    pub fn set_override(&mut self, now: Micros, site: &str, value: Option<Override>) -> Result<(), String> {
         let index = self.sites.iter().position(|own| own.name == site);
         let index = index.ok_or_else(|| format!("there is no site `{site}`"))?;
         let before = std::mem::replace(&mut self.sites[index].operator_override, value);
         match value {
-            Some(Declared::Lost) => self.lose(now, index, Why::Declared),
-            Some(Declared::Well) => self.sites[index].state = State::Well,
-            Some(Declared::Hold) => {}
-            None if before == Some(Declared::Lost) => self.lose(now, index, Why::Silent),
+            Some(Override::Lost) => self.lose(now, index, LossCause::Declared),
+            Some(Override::Healthy) => self.sites[index].state = State::Healthy,
+            Some(Override::Hold) => {}
+            None if before == Some(Override::Lost) => self.lose(now, index, LossCause::Unresponsive),
             None => {}
         }
         Ok(())
     }
 
     /// Advances time and returns the new view if it has changed. To be called at least ten times a second.
-    pub fn look(&mut self, now: Micros, refused: &Refused) -> Option<View> {
+    pub fn poll(&mut self, now: Micros, refused: &Refused) -> Option<View> {
         self.fail_overdue(now);
         for site in 0..self.sites.len() {
-            if self.sites[site].state != State::Well {
+            if self.sites[site].state != State::Healthy {
                 self.sites[site].last_unhealthy = now;
             }
             self.check_listing(now, site);
@@ -486,13 +492,13 @@
         let mut own = self.workers.values().filter(|worker| worker.site == site);
         let ready = own.any(|worker| worker.ready);
         match (self.sites[site].state, ready) {
-            (State::Well | State::Returning { .. }, false) if self.sites[site].responses > 0 => {
-                self.lose(now, site, Why::Unlisted);
+            (State::Healthy | State::Recovering { .. }, false) if self.sites[site].responses > 0 => {
+                self.lose(now, site, LossCause::Unlisted);
             }
             // Listed again: it may be probed at once.
-            (State::Lost { since, why: Why::Unlisted, .. }, true) => {
-                let why = Why::Silent;
-                self.sites[site].state = State::Lost { since, why, probe_at: now, probe: None };
+            (State::Lost { since, cause: LossCause::Unlisted, .. }, true) => {
+                let cause = LossCause::Unresponsive;
+                self.sites[site].state = State::Lost { since, cause, probe_at: now, probe: None };
             }
             _ => {}
         }
@@ -500,39 +506,40 @@
 
     /// Moves a recovering site to the next or previous ramp step, or declares it lost.
     fn advance_ramp(&mut self, now: Micros, site: usize) {
-        let (figures, own) = (&self.figures, &mut self.sites[site]);
-        let State::Returning { share, since, responses, fails } = own.state else { return };
-        if now < since + figures.step
-            || responses + fails == 0
-            || own.operator_override == Some(Declared::Hold)
+        let (config, own) = (&self.config, &mut self.sites[site]);
+        let State::Recovering { share, since, responses, failures } = own.state else { return };
+        if now < since + config.ramp_step
+            || responses + failures == 0
+            || own.operator_override == Some(Override::Hold)
         {
             return;
         }
-        let failure_rate = f64::from(fails) / f64::from(responses + fails);
+        let failure_rate = f64::from(failures) / f64::from(responses + failures);
         // A single bad worker does not end the ramp.
-        if failure_rate > ADVANCE_MAX_FAILURES && responses + fails < MIN_STEP_ATTEMPTS {
+        if failure_rate > ADVANCE_MAX_FAILURES && responses + failures < MIN_STEP_ATTEMPTS {
             return;
         }
         let next = if failure_rate > RETREAT_MIN_FAILURES {
             share / 2.0
-        } else if failure_rate <= ADVANCE_MAX_FAILURES || now >= since + MAX_STEP_TIMES * figures.step {
+        } else if failure_rate <= ADVANCE_MAX_FAILURES || now >= since + MAX_STEP_TIMES * config.ramp_step {
             share * 2.0
         } else {
             return;
         };
         if next >= 1.0 {
-            own.state = State::Well;
-        } else if next < figures.first_share {
-            self.lose(now, site, Why::Silent);
+            own.state = State::Healthy;
+        } else if next < config.initial_share {
+            self.lose(now, site, LossCause::Unresponsive);
         } else {
-            own.state = State::Returning { share: next, since: now, responses: 0, fails: 0 };
+            own.state = State::Recovering { share: next, since: now, responses: 0, failures: 0 };
         }
     }
 
     /// Issues a new probe of a lost site when one is due.
     fn issue_probe(&mut self, now: Micros, site: usize) {
-        let gap = self.figures.probe_gap;
-        let State::Lost { why: Why::Silent, probe_at, probe, .. } = &mut self.sites[site].state else {
+        let gap = self.config.probe_interval;
+        let State::Lost { cause: LossCause::Unresponsive, probe_at, probe, .. } = &mut self.sites[site].state
+        else {
             return;
         };
         if now >= *probe_at {
@@ -555,54 +562,54 @@
 
     /// Whether a healthy site with ready workers can take the load that a recovering one does not get.
     fn any_healthy(&self) -> bool {
-        let well = |worker: &Worker| worker.ready && self.sites[worker.site].state == State::Well;
+        let well = |worker: &Worker| worker.ready && self.sites[worker.site].state == State::Healthy;
         self.workers.values().any(well)
     }
 
     fn admission(&self, site: usize, lost: &BTreeSet<usize>, any_healthy: bool) -> Admission {
         match self.sites[site].state {
             State::Lost { probe, .. } if lost.contains(&site) => Admission { share: 0.0, probe },
-            State::Returning { share, .. } if any_healthy => Admission { share, probe: None },
+            State::Recovering { share, .. } if any_healthy => Admission { share, probe: None },
             _ => Admission::ALL,
         }
     }
 
     /// Whether any site is lost or recovering.
-    pub fn troubled(&self) -> bool {
-        self.sites.iter().any(|own| own.state != State::Well)
+    pub fn is_degraded(&self) -> bool {
+        self.sites.iter().any(|own| own.state != State::Healthy)
     }
 
     /// Name, status and evidence of each site.
-    pub fn explain(&self, now: Micros) -> Vec<(&str, Standing, String)> {
+    pub fn explain(&self, now: Micros) -> Vec<(&str, SiteStatus, String)> {
         (0..self.sites.len())
-            .map(|site| (self.sites[site].name.as_str(), self.standing(now, site), self.evidence(now, site)))
+            .map(|site| (self.sites[site].name.as_str(), self.status(now, site), self.evidence(now, site)))
             .collect()
     }
 
     /// Status of a site.
-    fn standing(&self, now: Micros, site: usize) -> Standing {
+    fn status(&self, now: Micros, site: usize) -> SiteStatus {
         let own = &self.sites[site];
         match own.state {
-            State::Lost { since, why: Why::Silent, .. }
+            State::Lost { since, cause: LossCause::Unresponsive, .. }
                 if own.peer_responses.values().any(|at| *at > since + MIN_SILENCE) =>
             {
-                Standing::CutOff
+                SiteStatus::CutOff
             }
-            State::Lost { why, .. } => Standing::Lost(why),
-            State::Returning { share, .. } => Standing::Returning(share),
-            State::Well if self.cold(now, site) => Standing::Cold,
-            State::Well if self.slow(site) => Standing::Slow,
-            State::Well => Standing::Well,
+            State::Lost { cause, .. } => SiteStatus::Lost(cause),
+            State::Recovering { share, .. } => SiteStatus::Recovering(share),
+            State::Healthy if self.is_warming_up(now, site) => SiteStatus::WarmingUp,
+            State::Healthy if self.is_slow(site) => SiteStatus::Slow,
+            State::Healthy => SiteStatus::Healthy,
         }
     }
 
-    fn cold(&self, now: Micros, site: usize) -> bool {
+    fn is_warming_up(&self, now: Micros, site: usize) -> bool {
         let mut own = self.workers.values().filter(|worker| worker.site == site && worker.ready).peekable();
-        let new = |worker: &Worker| worker.started.is_some_and(|at| now < at + self.figures.cold_for);
+        let new = |worker: &Worker| worker.started.is_some_and(|at| now < at + self.config.warm_up);
         own.peek().is_some() && own.all(new)
     }
 
-    fn slow(&self, site: usize) -> bool {
+    fn is_slow(&self, site: usize) -> bool {
         let own = &self.sites[site];
         let others = self
             .sites
@@ -616,12 +623,12 @@
     fn evidence(&self, now: Micros, site: usize) -> String {
         let own = &self.sites[site];
         let (ready, failed) = self.workers_of(site);
-        let seen = match own.last_response {
+        let heard = match own.last_response {
             Some(at) => format!("heard {:.1} s ago", now.saturating_sub(at) as f64 / 1e6),
             None => "never heard".into(),
         };
         let mut text = format!(
-            "{seen}, {:.1} answers a second then, {:.1} at the most, {failed} of {ready} workers failed since",
+            "{heard}, {:.1} answers a second then, {:.1} at the most, {failed} of {ready} workers failed since",
             own.rate, own.peak_rate
         );
         if let State::Lost { since, probe_at, .. } = own.state {
@@ -632,14 +639,14 @@
                 of(probe_at)
             );
         }
-        if own.losses > 1 && own.state != State::Well {
+        if own.losses > 1 && own.state != State::Healthy {
             text += &format!(", lost {} times of late", own.losses);
         }
         if let Some(operator_override) = own.operator_override {
             text += match operator_override {
-                Declared::Lost => ", declared lost",
-                Declared::Well => ", declared well",
-                Declared::Hold => ", its return is held",
+                Override::Lost => ", declared lost",
+                Override::Healthy => ", declared well",
+                Override::Hold => ", its return is held",
             };
         }
         text
--- a/crates/failover/src/order.rs
+++ b/crates/failover/src/shedder.rs
@@ -1,7 +1,7 @@
 //! Priority load shedding by plan and class.
 //!
 //! Tiers of plan and class are ordered by the worth of a request per unit of work. The shedding level marks a position
-//! on that order: tiers below it are refused, and the tier at the level in part.
+//! on that shedder: tiers below it are refused, and the tier at the level in part.
 //!
 //! The level starts where the failover plan puts it and then follows measurements: requests without a free worker
 //! raise it in proportion to their work, windows without shortage lower it slowly. It is averaged with the levels of
@@ -36,9 +36,9 @@
 
 /// Requests of one plan and class, which are refused together.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Rung {
+pub struct Tier {
     /// Indexes of its plan and class.
-    pub of: (usize, usize),
+    pub key: (usize, usize),
     /// Worth of a request per unit of work; the lowest is refused first.
     pub worth: f64,
     /// Work per request, in any unit that all tiers share.
@@ -47,8 +47,8 @@
 
 /// Tiers by priority, and the shedding level.
 #[derive(Clone, Debug)]
-pub struct Order {
-    rungs: Vec<Rung>,
+pub struct Shedder {
+    tiers: Vec<Tier>,
     /// Average work requested of each tier per window.
     average_work: Vec<f64>,
     /// Requests to each tier in the current window.
@@ -64,13 +64,13 @@
     streaks: (u32, u32),
 }
 
-impl Order {
+impl Shedder {
     /// Creates a shedder that refuses nothing.
-    pub fn new(mut rungs: Vec<Rung>) -> Order {
-        rungs.sort_by(|a, b| a.worth.total_cmp(&b.worth).then(a.of.cmp(&b.of)));
-        let none = vec![0.0; rungs.len()];
-        Order {
-            rungs,
+    pub fn new(mut tiers: Vec<Tier>) -> Shedder {
+        tiers.sort_by(|a, b| a.worth.total_cmp(&b.worth).then(a.key.cmp(&b.key)));
+        let none = vec![0.0; tiers.len()];
+        Shedder {
+            tiers,
             average_work: none.clone(),
             window_requests: none,
             unserved: 0.0,
@@ -83,47 +83,47 @@
     }
 
     /// Records a request.
-    pub fn asks(&mut self, of: (usize, usize)) {
+    pub fn record_request(&mut self, key: (usize, usize)) {
         self.requests += 1.0;
-        if let Some(rung) = self.rungs.iter().position(|rung| rung.of == of) {
-            self.window_requests[rung] += 1.0;
+        if let Some(tier) = self.tiers.iter().position(|tier| tier.key == key) {
+            self.window_requests[tier] += 1.0;
         }
     }
 
     /// Records requests that found no free worker in time.
-    pub fn short(&mut self, requests: u64) {
+    pub fn record_unserved(&mut self, requests: u64) {
         self.unserved += requests as f64;
     }
 
     /// Records the level of another gateway.
-    pub fn other(&mut self, level: f64) {
-        if (0.0..=self.rungs.len() as f64).contains(&level) {
+    pub fn record_peer_level(&mut self, level: f64) {
+        if (0.0..=self.tiers.len() as f64).contains(&level) {
             self.peer_levels = (self.peer_levels.0 + level, self.peer_levels.1 + 1);
         }
     }
 
     /// The current level; `None` without tiers.
     pub fn level(&self) -> Option<f64> {
-        (!self.rungs.is_empty()).then_some(self.level)
+        (!self.tiers.is_empty()).then_some(self.level)
     }
 
     /// Raises the level to refuse at least this fraction of all work, as a failover plan demands; never lowers it.
-    pub fn at_least(&mut self, part: f64) {
-        self.level = self.level.max(self.above(0.0, part.clamp(0.0, MAX_SHED) * self.total_work()));
+    pub fn raise_to(&mut self, fraction: f64) {
+        self.level = self.level.max(self.above(0.0, fraction.clamp(0.0, MAX_SHED) * self.total_work()));
     }
 
     /// Advances time; moves the level at the end of a window. `troubled` says that a site is lost or recovering.
-    pub fn look(&mut self, now: Micros, troubled: bool) {
+    pub fn poll(&mut self, now: Micros, troubled: bool) {
         if now < self.window_end {
             return;
         }
         // A window that was polled late is not judged.
         let usable = self.window_end > 0 && now < self.window_end + WINDOW;
         self.window_end = now + WINDOW;
-        for ((average, requests), rung) in
-            self.average_work.iter_mut().zip(&mut self.window_requests).zip(&self.rungs)
+        for ((average, requests), tier) in
+            self.average_work.iter_mut().zip(&mut self.window_requests).zip(&self.tiers)
         {
-            let work = std::mem::take(requests) * rung.work;
+            let work = std::mem::take(requests) * tier.work;
             let weight = if *average == 0.0 { 1.0 } else { WORK_WEIGHT };
             *average += (work - *average) * weight;
         }
@@ -165,13 +165,13 @@
     /// The level that has this much more work below it.
     fn above(&self, from: f64, mut work: f64) -> f64 {
         let mut level = from;
-        while level < self.rungs.len() as f64 && work > 1e-9 {
-            let rung = level as usize;
-            let left = (rung as f64 + 1.0 - level) * self.average_work[rung];
+        while level < self.tiers.len() as f64 && work > 1e-9 {
+            let tier = level as usize;
+            let left = (tier as f64 + 1.0 - level) * self.average_work[tier];
             if left > work {
-                return level + work / self.average_work[rung];
+                return level + work / self.average_work[tier];
             }
-            (level, work) = (rung as f64 + 1.0, work - left);
+            (level, work) = (tier as f64 + 1.0, work - left);
         }
         // Tiers without requests have no work.
         level
@@ -181,20 +181,20 @@
     fn below(&self, from: f64, mut work: f64) -> f64 {
         let mut level = from;
         while level > 0.0 {
-            let rung = (level.ceil() as usize).saturating_sub(1);
-            let under = (level - rung as f64) * self.average_work[rung];
+            let tier = (level.ceil() as usize).saturating_sub(1);
+            let under = (level - tier as f64) * self.average_work[tier];
             if under > work {
-                return level - work / self.average_work[rung];
+                return level - work / self.average_work[tier];
             }
-            (level, work) = (rung as f64, work - under);
+            (level, work) = (tier as f64, work - under);
         }
         0.0
     }
 
     /// The refused fraction of each plan's and class's accounts.
     pub fn refused(&self) -> Refused {
-        let part = |(n, rung): (usize, &Rung)| (rung.of, (self.level - n as f64).clamp(0.0, 1.0));
-        self.rungs.iter().enumerate().map(part).filter(|(_, part)| *part > 0.0).collect()
+        let part = |(n, tier): (usize, &Tier)| (tier.key, (self.level - n as f64).clamp(0.0, 1.0));
+        self.tiers.iter().enumerate().map(part).filter(|(_, part)| *part > 0.0).collect()
     }
 }
 
@@ -206,50 +206,52 @@
     const ENTE: (usize, usize) = (1, 0);
     const PUSH: (usize, usize) = (1, 1);
 
-    fn order() -> Order {
-        let rung = |of, worth, work| Rung { of, worth, work };
-        Order::new(vec![rung(PUSH, 3.0, 3.0), rung(ENTE, 1.4, 1.0), rung(BASE, 0.5, 1.0)])
+    fn shedder() -> Shedder {
+        let tier = |key, worth, work| Tier { key, worth, work };
+        Shedder::new(vec![tier(PUSH, 3.0, 3.0), tier(ENTE, 1.4, 1.0), tier(BASE, 0.5, 1.0)])
     }
 
     /// Runs a window with these requests per tier, `short` of which find no worker.
-    fn window(order: &mut Order, n: &mut u64, asked: [(usize, (usize, usize)); 3], short: u64) {
+    fn window(shedder: &mut Shedder, n: &mut u64, asked: [(usize, (usize, usize)); 3], short: u64) {
         for (times, of) in asked {
-            (0..times).for_each(|_| order.asks(of));
+            (0..times).for_each(|_| shedder.record_request(of));
         }
-        order.short(short);
+        shedder.record_unserved(short);
         *n += 1;
-        order.look(*n * WINDOW, true);
+        shedder.poll(*n * WINDOW, true);
     }
 
     const USUAL: [(usize, (usize, usize)); 3] = [(100, BASE), (100, ENTE), (20, PUSH)];
 
     #[test]
     fn lowest_worth_is_refused_first() {
-        let (mut order, mut n) = (order(), 0);
-        (0..3).for_each(|_| window(&mut order, &mut n, USUAL, 0));
-        assert_eq!(order.level(), Some(0.0));
-        window(&mut order, &mut n, USUAL, 33);
-        let refused = order.refused();
+        let (mut shedder, mut n) = (shedder(), 0);
+        (0..3).for_each(|_| window(&mut shedder, &mut n, USUAL, 0));
+        assert_eq!(shedder.level(), Some(0.0));
+        window(&mut shedder, &mut n, USUAL, 33);
+        let refused = shedder.refused();
         // 33 of 220 requests found no worker: that fraction of 260 units of work is 39 of base's 100.
         assert!((refused[&BASE] - 0.39).abs() < 0.01, "{refused:?}");
         assert!(!refused.contains_key(&ENTE) && !refused.contains_key(&PUSH));
-        (0..3).for_each(|_| window(&mut order, &mut n, USUAL, 60));
-        let refused = order.refused();
+        (0..3).for_each(|_| window(&mut shedder, &mut n, USUAL, 60));
+        let refused = shedder.refused();
         assert_eq!(refused[&BASE], 1.0);
         assert!(refused[&ENTE] > 0.5 && refused[&ENTE] <= 1.0, "{refused:?}");
     }
 
     #[test]
     fn tiers_are_admitted_again_in_reverse_order() {
-        let (mut order, mut n) = (order(), 0);
-        window(&mut order, &mut n, USUAL, 0);
-        order.at_least(0.6);
-        let at = |order: &Order| (order.refused().get(&BASE).copied(), order.refused().get(&ENTE).copied());
-        assert!(at(&order).0 == Some(1.0) && at(&order).1.is_some());
+        let (mut shedder, mut n) = (shedder(), 0);
+        window(&mut shedder, &mut n, USUAL, 0);
+        shedder.raise_to(0.6);
+        let at = |shedder: &Shedder| {
+            (shedder.refused().get(&BASE).copied(), shedder.refused().get(&ENTE).copied())
+        };
+        assert!(at(&shedder).0 == Some(1.0) && at(&shedder).1.is_some());
         let mut seen = Vec::new();
-        while order.level > 0.0 {
-            window(&mut order, &mut n, USUAL, 0);
-            seen.push(at(&order));
+        while shedder.level > 0.0 {
+            window(&mut shedder, &mut n, USUAL, 0);
+            seen.push(at(&shedder));
         }
         let first_base = seen.iter().position(|(base, _)| *base != Some(1.0)).unwrap();
         let last_ente = seen.iter().rposition(|(_, ente)| ente.is_some()).unwrap();
@@ -259,78 +261,78 @@
 
     #[test]
     fn planned_level_applies_at_once_and_never_lowers() {
-        let (mut order, mut n) = (order(), 0);
-        window(&mut order, &mut n, USUAL, 0);
-        order.at_least(100.0 / 260.0);
-        assert!((order.level - 1.0).abs() < 1e-6);
-        order.at_least(0.1);
-        assert!((order.level - 1.0).abs() < 1e-6);
+        let (mut shedder, mut n) = (shedder(), 0);
+        window(&mut shedder, &mut n, USUAL, 0);
+        shedder.raise_to(100.0 / 260.0);
+        assert!((shedder.level - 1.0).abs() < 1e-6);
+        shedder.raise_to(0.1);
+        assert!((shedder.level - 1.0).abs() < 1e-6);
     }
 
     #[test]
     fn some_requests_are_always_admitted() {
-        let (mut order, mut n) = (order(), 0);
-        (0..50).for_each(|_| window(&mut order, &mut n, USUAL, 200));
-        let push = order.refused()[&PUSH];
+        let (mut shedder, mut n) = (shedder(), 0);
+        (0..50).for_each(|_| window(&mut shedder, &mut n, USUAL, 200));
+        let push = shedder.refused()[&PUSH];
         assert!(push < 1.0 && push > 0.7, "{push}");
     }
 
     #[test]
     fn levels_of_gateways_converge() {
-        let mut all = [order(), order(), order()];
+        let mut all = [shedder(), shedder(), shedder()];
         let mut n = [0; 3];
         (0..3).for_each(|g| window(&mut all[g], &mut n[g], USUAL, 0));
-        all[0].at_least(0.5);
+        all[0].raise_to(0.5);
         for _ in 0..6 {
-            let levels: Vec<f64> = all.iter().map(|order| order.level).collect();
+            let levels: Vec<f64> = all.iter().map(|shedder| shedder.level).collect();
             for g in 0..3 {
                 levels
                     .iter()
                     .enumerate()
                     .filter(|(other, _)| *other != g)
-                    .for_each(|(_, l)| all[g].other(*l));
+                    .for_each(|(_, l)| all[g].record_peer_level(*l));
                 window(&mut all[g], &mut n[g], USUAL, 6);
             }
         }
-        let levels: Vec<f64> = all.iter().map(|order| order.level).collect();
+        let levels: Vec<f64> = all.iter().map(|shedder| shedder.level).collect();
         let (least, most) = levels.iter().fold((f64::MAX, 0.0f64), |(a, b), l| (a.min(*l), b.max(*l)));
         assert!(most - least < 0.05 && least > 0.2, "{levels:?}");
-        all[0].other(99.0);
-        all[0].other(f64::NAN);
+        all[0].record_peer_level(99.0);
+        all[0].record_peer_level(f64::NAN);
         assert_eq!(all[0].peer_levels.1, 0, "levels out of range are ignored");
     }
 
     #[test]
     fn short_shortage_refuses_nothing_while_no_site_is_lost() {
-        let (mut order, mut n) = (order(), 0);
-        let mut calm = |order: &mut Order, short: u64| {
-            USUAL.iter().for_each(|(times, of)| (0..*times).for_each(|_| order.asks(*of)));
-            order.short(short);
+        let (mut shedder, mut n) = (shedder(), 0);
+        let mut calm = |shedder: &mut Shedder, short: u64| {
+            USUAL.iter().for_each(|(times, of)| (0..*times).for_each(|_| shedder.record_request(*of)));
+            shedder.record_unserved(short);
             n += 1;
-            order.look(n * WINDOW, false);
+            shedder.poll(n * WINDOW, false);
         };
-        calm(&mut order, 0);
-        (0..3).for_each(|_| calm(&mut order, 60));
-        assert_eq!(order.level(), Some(0.0), "for a second and a half");
-        calm(&mut order, 0);
-        (0..3).for_each(|_| calm(&mut order, 60));
-        assert_eq!(order.level(), Some(0.0), "the windows must be consecutive");
-        calm(&mut order, 60);
-        assert!(order.level > 0.5, "a lasting shortage is an overload");
+        calm(&mut shedder, 0);
+        (0..3).for_each(|_| calm(&mut shedder, 60));
+        assert_eq!(shedder.level(), Some(0.0), "for a second and a half");
+        calm(&mut shedder, 0);
+        (0..3).for_each(|_| calm(&mut shedder, 60));
+        assert_eq!(shedder.level(), Some(0.0), "the windows must be consecutive");
+        calm(&mut shedder, 60);
+        assert!(shedder.level > 0.5, "a lasting shortage is an overload");
     }
 
     #[test]
     fn shedder_without_tiers_or_requests_refuses_nothing() {
-        let mut none = Order::new(Vec::new());
-        none.asks(BASE);
-        none.at_least(0.5);
-        none.look(1, true);
-        none.look(WINDOW + 1, true);
+        let mut none = Shedder::new(Vec::new());
+        none.record_request(BASE);
+        none.raise_to(0.5);
+        none.poll(1, true);
+        none.poll(WINDOW + 1, true);
         assert!(none.refused().is_empty() && none.level().is_none());
-        let mut idle = order();
-        (0..20).for_each(|n| idle.look(n * WINDOW, true));
-        idle.at_least(0.5);
-        (20..60).for_each(|n| idle.look(n * WINDOW, true));
+        let mut idle = shedder();
+        (0..20).for_each(|n| idle.poll(n * WINDOW, true));
+        idle.raise_to(0.5);
+        (20..60).for_each(|n| idle.poll(n * WINDOW, true));
         assert_eq!(idle.level(), Some(0.0));
     }
 }
--- a/crates/failover/tests/fleets.rs
+++ b/crates/failover/tests/fleets.rs
@@ -33,10 +33,10 @@
 
 struct Fleet {
     rng: Rng,
-    beliefs: Vec<Belief>,
+    monitors: Vec<SiteMonitor>,
     views: Vec<View>,
     /// Attempts in flight: end time, gateway, worker and result.
-    in_flight: Vec<(Micros, usize, u64, Told)>,
+    in_flight: Vec<(Micros, usize, u64, AttemptEvidence)>,
     sites: usize,
     workers: usize,
     bad: Vec<bool>,
@@ -57,19 +57,19 @@
 }
 
 impl Fleet {
-    fn random(seed: u64, figures: &Figures) -> Fleet {
+    fn random(seed: u64, config: &MonitorConfig) -> Fleet {
         let mut rng = Rng::with_seed(seed);
         let gateways = [6, 12, 40, 300][rng.usize(..4)];
         let (sites, workers) = (rng.usize(3..=6), rng.usize(4..=30));
         // Every gateway knows all workers of each site.
-        let beliefs = (0..gateways).map(|_| {
-            let mut belief = Belief::new(figures.clone(), &[]);
+        let monitors = (0..gateways).map(|_| {
+            let mut monitor = SiteMonitor::new(config.clone(), &[]);
             for id in 0..sites * workers {
-                belief.listed(id as u64, &zone(id / workers), true, None);
+                monitor.upsert_worker(id as u64, &zone(id / workers), true, None);
             }
-            belief
+            monitor
         });
-        let beliefs: Vec<Belief> = beliefs.collect();
+        let monitors: Vec<SiteMonitor> = monitors.collect();
         let bad = (0..sites * workers).map(|_| rng.f64() < 0.125).collect();
         let mut losses = Vec::new();
         let mut at = 4 * S;
@@ -90,7 +90,7 @@
             }
             at += rng.u64(..8 * S);
         }
-        let n = beliefs.len();
+        let n = monitors.len();
         Fleet {
             rate: if n > 100 { 30.0 } else { 60.0 },
             views: vec![View::default(); n],
@@ -105,7 +105,7 @@
             closures: vec![vec![(0, 1.0, 0); sites]; n],
             wasted: 0,
             sent: 0,
-            beliefs,
+            monitors,
             rng,
         }
     }
@@ -123,21 +123,21 @@
         self.now += STEP;
         let now = self.now;
         let due: Vec<_> = self.in_flight.extract_if(.., |(at, ..)| *at <= now).collect();
-        for (_, gateway, worker, told) in due {
-            self.beliefs[gateway].ended(now, worker, told);
+        for (_, gateway, worker, evidence) in due {
+            self.monitors[gateway].attempt_finished(now, worker, evidence);
         }
-        for gateway in 0..self.beliefs.len() {
+        for gateway in 0..self.monitors.len() {
             if self.rng.f64() < self.rate * STEP as f64 / S as f64 {
                 self.send_request(gateway);
             }
             if now.is_multiple_of(50 * MS) {
-                self.look(gateway);
+                self.poll(gateway);
             }
         }
     }
 
-    fn look(&mut self, gateway: usize) {
-        if let Some(view) = self.beliefs[gateway].look(self.now, &Refused::new()) {
+    fn poll(&mut self, gateway: usize) {
+        if let Some(view) = self.monitors[gateway].poll(self.now, &Refused::new()) {
             self.views[gateway] = view;
         }
         for site in 0..self.sites {
@@ -166,16 +166,16 @@
 
     fn send(&mut self, gateway: usize, site: usize, worker: u64) {
         self.sent += 1;
-        self.beliefs[gateway].sent(self.now, worker);
+        self.monitors[gateway].attempt_sent(self.now, worker);
         let lost = self.lost(gateway, site).cloned();
         let well_into_loss = lost.as_ref().is_some_and(|loss| self.now > loss.span.start + 2 * S);
         self.wasted += usize::from(well_into_loss);
         let bad = self.bad[worker as usize] && self.rng.bool();
         let end = match lost.map(|loss| loss.kind).or(bad.then_some(LossKind::Refused)) {
-            Some(LossKind::Refused) => (self.now + MS, Told::Failed),
+            Some(LossKind::Refused) => (self.now + MS, AttemptEvidence::Failed),
             // Cancelled after some usual latencies, as the policy does.
-            Some(LossKind::Silent) => (self.now + 200 * MS, Told::Nothing),
-            None => (self.now + RESPONSE_TIME, Told::Answered(RESPONSE_TIME)),
+            Some(LossKind::Silent) => (self.now + 200 * MS, AttemptEvidence::Inconclusive),
+            None => (self.now + RESPONSE_TIME, AttemptEvidence::Responded(RESPONSE_TIME)),
         };
         self.in_flight.push((end.0, gateway, worker, end.1));
     }
@@ -186,8 +186,8 @@
 }
 
 /// Runs a seed and returns the first violated check.
-fn play(seed: u64, figures: &Figures) -> Result<(), String> {
-    let mut fleet = Fleet::random(seed, figures);
+fn play(seed: u64, config: &MonitorConfig) -> Result<(), String> {
+    let mut fleet = Fleet::random(seed, config);
     let losses_end = fleet.end_of_losses();
     let ends = losses_end + 45 * S;
     let mut previous: Vec<(Micros, f64)> = vec![(0, 0.0); fleet.sites];
@@ -195,8 +195,8 @@
         fleet.step();
         for (site, previous) in previous.iter_mut().enumerate() {
             // The sum of shares at most doubles per ramp step, unless the loss was too brief for a ramp.
-            let shares: f64 = (0..fleet.beliefs.len()).map(|g| fleet.closures[g][site].1).sum();
-            let all = fleet.beliefs.len() as f64;
+            let shares: f64 = (0..fleet.monitors.len()).map(|g| fleet.closures[g][site].1).sum();
+            let all = fleet.monitors.len() as f64;
             let lost_long = fleet.losses.iter().any(|loss| {
                 loss.site == site
                     && loss.gateways.is_empty()
@@ -221,7 +221,7 @@
         for (site, (times, _, last_full)) in sites.iter().enumerate() {
             // With a backoff of up to 30 s, a false loss right before the end may still last.
             if *last_full + 34 * S < fleet.now {
-                let evidence = fleet.beliefs[gateway].explain(fleet.now).swap_remove(site);
+                let evidence = fleet.monitors[gateway].explain(fleet.now).swap_remove(site);
                 return Err(format!("gateway {gateway}: {evidence:?} long after the last loss"));
             }
             let losses = fleet.losses.iter().filter(|loss| loss.site == site).count();
@@ -236,13 +236,13 @@
             false_closures += if losses == 0 && 3 * bad < fleet.workers { *times } else { 0 };
         }
     }
-    let pairs = fleet.beliefs.len() * fleet.sites;
+    let pairs = fleet.monitors.len() * fleet.sites;
     if false_closures * 4 > pairs {
         return Err(format!("{false_closures} sites were closed without a loss, of {pairs}"));
     }
     // Two seconds into a loss only probes go there: one per gateway in 250 ms.
     let probes = |loss: &Loss| {
-        let gateways = if loss.gateways.is_empty() { fleet.beliefs.len() } else { loss.gateways.len() };
+        let gateways = if loss.gateways.is_empty() { fleet.monitors.len() } else { loss.gateways.len() };
         gateways as f64 * (loss.span.end - loss.span.start).saturating_sub(2 * S) as f64 / 250e3
     };
     let probes: f64 = fleet.losses.iter().map(probes).sum();
@@ -261,32 +261,35 @@
 #[test]
 fn fleets_leave_lost_sites_and_ramp_back_up() {
     for seed in seeds(0..25) {
-        if let Err(what) = play(seed, &Figures::default()) {
+        if let Err(what) = play(seed, &MonitorConfig::default()) {
             panic!("seed {seed}: {what}");
         }
     }
 }
 
 /// The first seed that violates a check with these settings.
-fn first_violation(figures: &Figures) -> Option<(u64, String)> {
-    (0..20).find_map(|seed| play(seed, figures).err().map(|what| (seed, what)))
+fn first_violation(config: &MonitorConfig) -> Option<(u64, String)> {
+    (0..20).find_map(|seed| play(seed, config).err().map(|what| (seed, what)))
 }
 
 #[test]
 fn recovery_without_a_ramp_is_detected() {
-    let (_, what) = first_violation(&Figures { first_share: 1.0, ..Figures::default() }).unwrap();
+    let (_, what) =
+        first_violation(&MonitorConfig { initial_share: 1.0, ..MonitorConfig::default() }).unwrap();
     assert!(what.contains("at once"), "{what}");
 }
 
 #[test]
 fn missing_probes_are_detected() {
-    let (_, what) = first_violation(&Figures { probe_gap: 3_600 * S, ..Figures::default() }).unwrap();
+    let (_, what) =
+        first_violation(&MonitorConfig { probe_interval: 3_600 * S, ..MonitorConfig::default() }).unwrap();
     assert!(what.contains("long after the last loss"), "{what}");
 }
 
 #[test]
 fn unlimited_probing_is_detected() {
-    let figures = Figures { probe_gap: 0, hold_out: (0, 0), ..Figures::default() };
+    let config =
+        MonitorConfig { probe_interval: 0, min_backoff: 0, max_backoff: 0, ..MonitorConfig::default() };
     // Any response ends a loss: sites are closed again and again, or get all load back at once.
-    assert!(first_violation(&figures).is_some());
+    assert!(first_violation(&config).is_some());
 }
--- a/crates/failover/tests/beliefs.rs
+++ b/crates/failover/tests/monitor.rs
@@ -8,36 +8,36 @@
 
 /// Monitor of three sites with four workers each: 0 to 3 at a, 4 to 7 at b, 8 to 11 at c.
 struct Fixture {
-    belief: Belief,
+    monitor: SiteMonitor,
     now: Micros,
     view: View,
 }
 
 fn fixture() -> Fixture {
-    let mut belief = Belief::new(Figures::default(), &[]);
+    let mut monitor = SiteMonitor::new(MonitorConfig::default(), &[]);
     for id in 0..12 {
-        belief.listed(id, ["a", "b", "c"][id as usize / 4], true, None);
+        monitor.upsert_worker(id, ["a", "b", "c"][id as usize / 4], true, None);
     }
-    let mut fixture = Fixture { belief, now: 10 * S, view: View::default() };
+    let mut fixture = Fixture { monitor, now: 10 * S, view: View::default() };
     (0..12).for_each(|id| fixture.responds(id));
     fixture
 }
 
 impl Fixture {
     fn responds(&mut self, id: u64) {
-        self.belief.sent(self.now, id);
+        self.monitor.attempt_sent(self.now, id);
         self.now += 5 * MS;
-        self.belief.ended(self.now, id, Told::Answered(5 * MS));
+        self.monitor.attempt_finished(self.now, id, AttemptEvidence::Responded(5 * MS));
     }
 
     fn fails(&mut self, id: u64) {
-        self.belief.sent(self.now, id);
+        self.monitor.attempt_sent(self.now, id);
         self.now += MS;
-        self.belief.ended(self.now, id, Told::Failed);
+        self.monitor.attempt_finished(self.now, id, AttemptEvidence::Failed);
     }
 
-    fn look(&mut self) -> View {
-        self.view = self.belief.look(self.now, &Refused::new()).unwrap_or(self.view.clone());
+    fn poll(&mut self) -> View {
+        self.view = self.monitor.poll(self.now, &Refused::new()).unwrap_or(self.view.clone());
         self.view.clone()
     }
 
@@ -46,17 +46,17 @@
         let ends = self.now + span;
         while self.now < ends {
             self.now += 50 * MS;
-            self.look();
+            self.poll();
         }
-        self.look()
+        self.poll()
     }
 
     fn share(&mut self, site: &str) -> f64 {
-        self.look().admission(site).share
+        self.poll().admission(site).share
     }
 
-    fn standing(&self, site: &str) -> Standing {
-        self.belief.explain(self.now).into_iter().find(|(name, ..)| *name == site).unwrap().1
+    fn status(&self, site: &str) -> SiteStatus {
+        self.monitor.explain(self.now).into_iter().find(|(name, ..)| *name == site).unwrap().1
     }
 
     fn lose(&mut self, site: u64) {
@@ -77,7 +77,7 @@
     assert_eq!(fixture.share("b"), 1.0, "three failures are not enough");
     fixture.fails(4);
     assert_eq!((fixture.share("a"), fixture.share("b"), fixture.share("c")), (1.0, 0.0, 1.0));
-    assert_eq!(fixture.standing("b"), Standing::Lost(Why::Silent));
+    assert_eq!(fixture.status("b"), SiteStatus::Lost(LossCause::Unresponsive));
 }
 
 #[test]
@@ -99,7 +99,7 @@
 fn overdue_attempts_lose_the_site_before_they_end() {
     let mut fixture = fixture();
     for id in [4, 5, 6, 7] {
-        fixture.belief.sent(fixture.now, id);
+        fixture.monitor.attempt_sent(fixture.now, id);
     }
     fixture.pass(90 * MS);
     assert_eq!(fixture.share("b"), 1.0);
@@ -111,17 +111,17 @@
 fn slow_responses_do_not_lose_the_site() {
     let mut fixture = fixture();
     for id in [4, 5, 6, 7] {
-        fixture.belief.sent(fixture.now, id);
+        fixture.monitor.attempt_sent(fixture.now, id);
     }
     for n in 0..40 {
         fixture.pass(50 * MS);
         let id = 4 + n % 4;
-        fixture.belief.ended(fixture.now, id, Told::Answered(200 * MS));
-        fixture.belief.sent(fixture.now, id);
+        fixture.monitor.attempt_finished(fixture.now, id, AttemptEvidence::Responded(200 * MS));
+        fixture.monitor.attempt_sent(fixture.now, id);
     }
     assert_eq!(fixture.share("b"), 1.0);
     (0..8).for_each(|n| fixture.responds(n % 4));
-    assert_eq!(fixture.standing("b"), Standing::Slow);
+    assert_eq!(fixture.status("b"), SiteStatus::Slow);
 }
 
 #[test]
@@ -131,7 +131,7 @@
         fixture.responds(4);
         fixture.pass(50 * MS);
     }
-    let (_, _, evidence) = fixture.belief.explain(fixture.now).swap_remove(1);
+    let (_, _, evidence) = fixture.monitor.explain(fixture.now).swap_remove(1);
     assert!(evidence.contains("18.") || evidence.contains("19."), "one in 55 ms: {evidence}");
 }
 
@@ -140,9 +140,9 @@
     let mut fixture = fixture();
     for _ in 0..20 {
         for id in 4..8 {
-            fixture.belief.sent(fixture.now, id);
+            fixture.monitor.attempt_sent(fixture.now, id);
             fixture.now += MS;
-            fixture.belief.ended(fixture.now, id, Told::Nothing);
+            fixture.monitor.attempt_finished(fixture.now, id, AttemptEvidence::Inconclusive);
         }
     }
     fixture.pass(S);
@@ -153,9 +153,9 @@
 fn cancellations_after_a_long_wait_count_as_failures() {
     let mut fixture = fixture();
     for id in [4, 5, 6, 7] {
-        fixture.belief.sent(fixture.now, id);
+        fixture.monitor.attempt_sent(fixture.now, id);
         fixture.now += 150 * MS;
-        fixture.belief.ended(fixture.now, id, Told::Nothing);
+        fixture.monitor.attempt_finished(fixture.now, id, AttemptEvidence::Inconclusive);
     }
     assert_eq!(fixture.share("b"), 0.0);
 }
@@ -176,9 +176,9 @@
 
 #[test]
 fn the_only_site_is_never_closed() {
-    let mut belief = Belief::new(Figures::default(), &[]);
-    (0..4).for_each(|id| belief.listed(id, "", true, None));
-    let mut fixture = Fixture { belief, now: S, view: View::default() };
+    let mut monitor = SiteMonitor::new(MonitorConfig::default(), &[]);
+    (0..4).for_each(|id| monitor.upsert_worker(id, "", true, None));
+    let mut fixture = Fixture { monitor, now: S, view: View::default() };
     (0..4).for_each(|id| fixture.fails(id));
     assert_eq!(fixture.share(""), 1.0);
     fixture.pass(3 * S);
@@ -195,7 +195,7 @@
     assert_eq!((fixture.share("a"), fixture.share("b"), fixture.share("c")), (1.0, 0.0, 0.0));
     fixture.responds(4);
     assert_eq!((fixture.share("a"), fixture.share("b")), (1.0, 1.0));
-    while fixture.standing("a") != Standing::Well {
+    while fixture.status("a") != SiteStatus::Healthy {
         fixture.responds(0);
         fixture.pass(50 * MS);
     }
@@ -207,11 +207,11 @@
 fn lost_site_is_probed_at_the_configured_interval() {
     let mut fixture = fixture();
     fixture.lose(1);
-    assert!(fixture.look().probe("b").is_none(), "not at once");
+    assert!(fixture.poll().probe("b").is_none(), "not at once");
     let mut numbers = BTreeSet::new();
     for _ in 0..40 {
         fixture.now += 50 * MS;
-        numbers.extend(fixture.look().probe("b"));
+        numbers.extend(fixture.poll().probe("b"));
     }
     assert!((7..=8).contains(&numbers.len()), "one in 250 ms for 2 s: {numbers:?}");
 }
@@ -243,7 +243,7 @@
     }
     assert_eq!(seen, [0.0, 0.125, 0.25, 0.5, 1.0]);
     assert!(fixture.now - start >= 1_500 * MS, "three steps of half a second at the least");
-    assert_eq!(fixture.standing("b"), Standing::Well);
+    assert_eq!(fixture.status("b"), SiteStatus::Healthy);
 }
 
 #[test]
@@ -304,7 +304,7 @@
     for _ in 0..10 {
         fixture.lose(1);
         let lost = fixture.now;
-        while fixture.look().probe("b").is_none() {
+        while fixture.poll().probe("b").is_none() {
             fixture.now += 50 * MS;
         }
         waits.push((fixture.now - lost) / MS);
@@ -321,7 +321,7 @@
     fixture.pass(61 * S);
     fixture.lose(1);
     let lost = fixture.now;
-    while fixture.look().probe("b").is_none() {
+    while fixture.poll().probe("b").is_none() {
         fixture.now += 50 * MS;
     }
     assert!(fixture.now - lost <= 300 * MS, "a long healthy time resets the backoff");
@@ -330,14 +330,14 @@
 #[test]
 fn unlisted_site_is_lost_and_probed_at_once_when_listed_again() {
     let mut fixture = fixture();
-    (4..8).for_each(|id| fixture.belief.listed(id, "b", false, None));
-    assert_eq!((fixture.share("b"), fixture.standing("b")), (0.0, Standing::Lost(Why::Unlisted)));
+    (4..8).for_each(|id| fixture.monitor.upsert_worker(id, "b", false, None));
+    assert_eq!((fixture.share("b"), fixture.status("b")), (0.0, SiteStatus::Lost(LossCause::Unlisted)));
     fixture.pass(5 * S);
-    assert!(fixture.look().probe("b").is_none());
+    assert!(fixture.poll().probe("b").is_none());
     let restarted = Some(fixture.now);
-    (4..8).for_each(|id| fixture.belief.listed(id, "b", true, restarted));
-    assert!(fixture.look().probe("b").is_some());
-    assert_eq!(fixture.standing("b"), Standing::Lost(Why::Silent));
+    (4..8).for_each(|id| fixture.monitor.upsert_worker(id, "b", true, restarted));
+    assert!(fixture.poll().probe("b").is_some());
+    assert_eq!(fixture.status("b"), SiteStatus::Lost(LossCause::Unresponsive));
     fixture.probe_succeeds(4);
     assert_eq!(fixture.share("b"), 0.125, "restarted workers get the initial share, however short the loss");
 }
@@ -345,11 +345,11 @@
 #[test]
 fn restarted_workers_do_not_inherit_overdue_attempts() {
     let mut fixture = fixture();
-    (4..8).for_each(|id| fixture.belief.sent(fixture.now, id));
+    (4..8).for_each(|id| fixture.monitor.attempt_sent(fixture.now, id));
     let restarted = Some(fixture.now);
-    (4..8).for_each(|id| fixture.belief.listed(id, "b", true, restarted));
+    (4..8).for_each(|id| fixture.monitor.upsert_worker(id, "b", true, restarted));
     fixture.pass(S);
-    assert_eq!((fixture.share("b"), fixture.standing("b")), (1.0, Standing::Cold));
+    assert_eq!((fixture.share("b"), fixture.status("b")), (1.0, SiteStatus::WarmingUp));
 }
 
 #[test]
@@ -357,64 +357,69 @@
     let mut fixture = fixture();
     fixture.lose(1);
     fixture.pass(S);
-    fixture.belief.told(2, "b", fixture.now - 2 * S);
-    assert_eq!(fixture.standing("b"), Standing::Lost(Why::Silent), "they reached it before it was lost");
-    fixture.belief.told(2, "b", fixture.now);
-    fixture.belief.told(2, "nowhere", fixture.now);
-    assert_eq!(fixture.standing("b"), Standing::CutOff);
+    fixture.monitor.record_peer_response(2, "b", fixture.now - 2 * S);
+    assert_eq!(
+        fixture.status("b"),
+        SiteStatus::Lost(LossCause::Unresponsive),
+        "they reached it before it was lost"
+    );
+    fixture.monitor.record_peer_response(2, "b", fixture.now);
+    fixture.monitor.record_peer_response(2, "nowhere", fixture.now);
+    assert_eq!(fixture.status("b"), SiteStatus::CutOff);
     assert_eq!(fixture.share("b"), 0.0, "a site that only peers reach is closed as well");
 }
 
 #[test]
 fn operator_overrides_outrank_evidence() {
     let mut fixture = fixture();
-    let declare = |fixture: &mut Fixture, value| fixture.belief.declare(fixture.now, "b", value).unwrap();
-    declare(&mut fixture, Some(Declared::Lost));
+    let declare =
+        |fixture: &mut Fixture, value| fixture.monitor.set_override(fixture.now, "b", value).unwrap();
+    declare(&mut fixture, Some(Override::Lost));
     fixture.responds(4);
     fixture.pass(5 * S);
-    assert_eq!((fixture.share("b"), fixture.standing("b")), (0.0, Standing::Lost(Why::Declared)));
-    assert!(fixture.look().probe("b").is_none());
+    assert_eq!((fixture.share("b"), fixture.status("b")), (0.0, SiteStatus::Lost(LossCause::Declared)));
+    assert!(fixture.poll().probe("b").is_none());
     declare(&mut fixture, None);
     fixture.pass(300 * MS);
     fixture.probe_succeeds(4);
-    declare(&mut fixture, Some(Declared::Hold));
+    declare(&mut fixture, Some(Override::Hold));
     let share_on_hold = fixture.share("b");
     for _ in 0..20 {
         fixture.responds(4);
         fixture.pass(100 * MS);
     }
     assert_eq!(fixture.share("b"), share_on_hold);
-    declare(&mut fixture, Some(Declared::Well));
+    declare(&mut fixture, Some(Override::Healthy));
     (0..20).for_each(|n| fixture.fails(4 + n % 4));
     assert_eq!(fixture.share("b"), 1.0);
-    assert!(fixture.belief.declare(fixture.now, "z", None).unwrap_err().contains("no site `z`"));
+    assert!(fixture.monitor.set_override(fixture.now, "z", None).unwrap_err().contains("no site `z`"));
 }
 
 #[test]
 fn failover_plan_applies_to_exactly_its_lost_sites() {
     let mut fixture = fixture();
     let shares = |to: [f64; 3]| -> Shares { [((0, 0), to.to_vec())].into() };
-    let mut ahead = BTreeMap::new();
-    ahead.insert(BTreeSet::from([1]), shares([1.0, 0.0, 0.0]));
-    fixture.belief.go_by(ahead);
-    assert!(fixture.look().prefers("c", (0, 0), 5));
+    let mut shares_by_loss = BTreeMap::new();
+    shares_by_loss.insert(BTreeSet::from([1]), shares([1.0, 0.0, 0.0]));
+    fixture.monitor.set_shares(shares_by_loss);
+    assert!(fixture.poll().prefers("c", (0, 0), 5));
     fixture.lose(1);
-    let view = fixture.look();
+    let view = fixture.poll();
     assert!(view.prefers("a", (0, 0), 5) && !view.prefers("c", (0, 0), 5));
-    assert_eq!(fixture.belief.lost_sites(), [1].into());
+    assert_eq!(fixture.monitor.lost_sites(), [1].into());
     fixture.lose(2);
-    assert!(fixture.look().prefers("a", (0, 0), 5), "no plan for this pair");
+    assert!(fixture.poll().prefers("a", (0, 0), 5), "no plan for this pair");
 }
 
 #[test]
 fn removed_workers_are_forgotten_and_tables_are_bounded() {
     let mut fixture = fixture();
-    fixture.belief.keep_only(&(0..4).collect());
+    fixture.monitor.retain_workers(&(0..4).collect());
     (4..8).for_each(|id| fixture.fails(id));
-    assert_eq!(fixture.standing("b"), Standing::Well, "unknown workers are no evidence");
-    let mut many = Belief::new(Figures::default(), &[]);
+    assert_eq!(fixture.status("b"), SiteStatus::Healthy, "unknown workers are no evidence");
+    let mut many = SiteMonitor::new(MonitorConfig::default(), &[]);
     for id in 0..10_000 {
-        many.listed(id, &format!("z{}", id % 200), true, None);
+        many.upsert_worker(id, &format!("z{}", id % 200), true, None);
     }
     assert_eq!(many.explain(0).len(), 64);
 }
--- a/crates/gateway/src/fleet.rs
+++ b/crates/gateway/src/fleet.rs
@@ -6,7 +6,7 @@
 use crate::counter::{Asker, Counter};
 use crate::sites::Sites;
 use hingestage_dataplane::driver::Driver;
-use hingestage_failover::Word;
+use hingestage_failover::SiteReport;
 use hingestage_fleet::roll::Roll;
 use hingestage_fleet::table::{Message, Standing, Table, MESSAGE_MAX};
 use hingestage_operator::Fleet as Figures;
@@ -217,12 +217,12 @@
 
     /// What is told of sites along with a word.
     pub fn of_sites(&self) -> Option<String> {
-        Some(self.sites.to_tell(self.now()?).text())
+        Some(self.sites.to_tell(self.now()?).encode())
     }
 
     /// What another tells of sites. A spoilt word changes nothing.
     fn hear_of_sites(&self, from: u32, field: Option<&HeaderValue>) {
-        let word = field.and_then(|field| Word::read(field.to_str().ok()?).ok());
+        let word = field.and_then(|field| SiteReport::decode(field.to_str().ok()?).ok());
         if let (Some(word), Some(now)) = (word, self.now()) {
             self.sites.told(now, from, &word);
         }
--- a/crates/gateway/src/sites.rs
+++ b/crates/gateway/src/sites.rs
@@ -2,7 +2,10 @@
 //! `hingestage_failover`, and plans are made ahead in `hingestage_sites`; the decisions are told of each new view.
 
 use hingestage_dataplane::driver::Driver;
-use hingestage_failover::{Belief, Declared, Drift, Figures, Order, Standing, Told, Why, Word};
+use hingestage_failover::{
+    AttemptEvidence, LoadDrift, LossCause, MonitorConfig, Override, Shedder, SiteMonitor, SiteReport,
+    SiteStatus,
+};
 use hingestage_platform::Platform;
 use hingestage_policy::{
     Availability, ClassId, Event, ListScope, Micros, Outcome, PlanId, RuleFigures, WorkerId, WorkerInfo,
@@ -46,12 +49,12 @@
 pub struct Sites<P: Platform> {
     driver: Weak<Driver<P>>,
     platform: P,
-    belief: RefCell<Belief>,
-    order: RefCell<Order>,
+    belief: RefCell<SiteMonitor>,
+    order: RefCell<Shedder>,
     /// The part of all work that can't be served while some sites are lost, by the plan made ahead.
     refused: RefCell<BTreeMap<BTreeSet<usize>, f64>>,
     /// Loads against what plans were made for, and how to make others.
-    drift: RefCell<Drift>,
+    drift: RefCell<LoadDrift>,
     planned: RefCell<Option<Planned>>,
     lost: RefCell<BTreeSet<usize>>,
     looked: Cell<Micros>,
@@ -61,11 +64,11 @@
 }
 
 /// What an attempt's end tells of the worker's site.
-fn tells(outcome: Outcome, took: Micros) -> Told {
+fn tells(outcome: Outcome, took: Micros) -> AttemptEvidence {
     match outcome {
-        Outcome::Ok | Outcome::Error | Outcome::Full | Outcome::Spoilt => Told::Answered(took),
-        Outcome::ConnectFailed | Outcome::Reset | Outcome::Timeout => Told::Failed,
-        Outcome::Cancelled | Outcome::NotSent => Told::Nothing,
+        Outcome::Ok | Outcome::Error | Outcome::Full | Outcome::Spoilt => AttemptEvidence::Responded(took),
+        Outcome::ConnectFailed | Outcome::Reset | Outcome::Timeout => AttemptEvidence::Failed,
+        Outcome::Cancelled | Outcome::NotSent => AttemptEvidence::Inconclusive,
     }
 }
 
@@ -77,19 +80,20 @@
         gateways: u32,
         rules: &RuleFigures,
     ) -> Rc<Self> {
-        let figures = Figures::default();
-        let gap = figures.probe_gap * Micros::from(gateways.div_ceil(PROBERS).max(1));
-        let figures = Figures { probe_gap: gap.min(PROBE_GAP_MAX), cold_for: rules.cold_for, ..figures };
+        let figures = MonitorConfig::default();
+        let gap = figures.probe_interval * Micros::from(gateways.div_ceil(PROBERS).max(1));
+        let figures =
+            MonitorConfig { probe_interval: gap.min(PROBE_GAP_MAX), warm_up: rules.cold_for, ..figures };
         let ahead = planned.as_ref().map_or_else(Ahead::default, |planned| planned.ahead.clone());
-        let mut belief = Belief::new(figures, &ahead.sites);
-        belief.go_by(ahead.shares);
+        let mut belief = SiteMonitor::new(figures, &ahead.sites);
+        belief.set_shares(ahead.shares);
         Rc::new(Sites {
             driver: Rc::downgrade(driver),
             platform: driver.platform.clone(),
             belief: RefCell::new(belief),
-            order: RefCell::new(Order::new(ahead.rungs)),
+            order: RefCell::new(Shedder::new(ahead.tiers)),
             refused: RefCell::new(ahead.refused),
-            drift: RefCell::new(Drift::new(ahead.asked, driver.micros())),
+            drift: RefCell::new(LoadDrift::new(ahead.asked, driver.micros())),
             planned: RefCell::new(planned),
             lost: RefCell::default(),
             looked: Cell::new(0),
@@ -109,10 +113,10 @@
             return self.platform.log(format_args!("sites: other sites take a restart; the old plans stay"));
         }
         let Some(Planned { ahead, .. }) = planned.clone() else { return };
-        self.belief.borrow_mut().go_by(ahead.shares);
-        *self.order.borrow_mut() = Order::new(ahead.rungs);
+        self.belief.borrow_mut().set_shares(ahead.shares);
+        *self.order.borrow_mut() = Shedder::new(ahead.tiers);
         *self.refused.borrow_mut() = ahead.refused;
-        *self.drift.borrow_mut() = Drift::new(ahead.asked, driver.micros());
+        *self.drift.borrow_mut() = LoadDrift::new(ahead.asked, driver.micros());
         *self.planned.borrow_mut() = planned;
         // What is lost is refused anew, by the new plan.
         self.lost.borrow_mut().clear();
@@ -133,14 +137,14 @@
     pub fn listed(&self, workers: &[WorkerInfo], scope: ListScope) {
         let mut belief = self.belief.borrow_mut();
         if !matches!(scope, ListScope::Delta | ListScope::Failed) {
-            belief.keep_only(&workers.iter().map(|worker| worker.id.0).collect());
+            belief.retain_workers(&workers.iter().map(|worker| worker.id.0).collect());
         }
         for worker in workers {
             match worker.availability {
-                Availability::Gone => belief.unlisted(worker.id.0),
+                Availability::Gone => belief.remove_worker(worker.id.0),
                 state => {
                     let ready = state == Availability::Ready;
-                    belief.listed(worker.id.0, &worker.zone.0, ready, worker.started);
+                    belief.upsert_worker(worker.id.0, &worker.zone.0, ready, worker.started);
                 }
             }
         }
@@ -149,19 +153,19 @@
     /// Somebody asks.
     pub fn asks(&self, plan: Option<PlanId>, class: ClassId) {
         if let Some(plan) = plan {
-            self.order.borrow_mut().asks((plan.0, class.0));
-            self.drift.borrow_mut().asks((plan.0, class.0));
+            self.order.borrow_mut().record_request((plan.0, class.0));
+            self.drift.borrow_mut().record_request((plan.0, class.0));
         }
     }
 
     /// An attempt goes out whole.
     pub fn sent(&self, now: Micros, worker: WorkerId) {
-        self.belief.borrow_mut().sent(now, worker.0);
+        self.belief.borrow_mut().attempt_sent(now, worker.0);
     }
 
     /// An attempt ended.
     pub fn ended(self: &Rc<Self>, now: Micros, worker: WorkerId, outcome: Outcome, took: Duration) {
-        self.belief.borrow_mut().ended(now, worker.0, tells(outcome, took.as_micros() as Micros));
+        self.belief.borrow_mut().attempt_finished(now, worker.0, tells(outcome, took.as_micros() as Micros));
         if now >= self.looked.get() + LOOK {
             self.driver.upgrade().into_iter().for_each(|driver| self.look(&driver));
         }
@@ -173,12 +177,12 @@
         self.looked.set(now);
         let short = driver.short();
         let mut order = self.order.borrow_mut();
-        order.short(short.saturating_sub(self.short.replace(short)));
-        order.look(now, self.belief.borrow().troubled());
+        order.record_unserved(short.saturating_sub(self.short.replace(short)));
+        order.poll(now, self.belief.borrow().is_degraded());
         let lost = self.belief.borrow().lost_sites();
         if lost != *self.lost.borrow() {
             let part = self.refused.borrow().get(&lost).copied().unwrap_or(0.0);
-            order.at_least(part);
+            order.raise_to(part);
             self.platform.log(format_args!(
                 "sites: {} lost; {:.0}% of the work refused at first",
                 lost.len(),
@@ -188,7 +192,7 @@
         }
         let refused = order.refused();
         drop(order);
-        let view = self.belief.borrow_mut().look(now, &refused);
+        let view = self.belief.borrow_mut().poll(now, &refused);
         self.say(now);
         self.plan_again(now);
         if let Some(view) = view {
@@ -199,7 +203,7 @@
     /// Has plans made anew where loads have moved; the last ones are gone by until there are others.
     fn plan_again(self: &Rc<Self>, now: Micros) {
         let Some(again) = self.planned.borrow().as_ref().map(|planned| planned.again.clone()) else { return };
-        let Some(times) = self.drift.borrow_mut().look(now) else { return };
+        let Some(times) = self.drift.borrow_mut().poll(now) else { return };
         let (sites, plans) = (self.clone(), again(times));
         self.platform.spawn(async move {
             let Some(ahead) = plans.await else {
@@ -213,7 +217,7 @@
                 return;
             }
             sites.platform.log(format_args!("sites: plans made anew for the load of now"));
-            sites.belief.borrow_mut().go_by(ahead.shares);
+            sites.belief.borrow_mut().set_shares(ahead.shares);
             *sites.refused.borrow_mut() = ahead.refused;
         });
     }
@@ -245,30 +249,32 @@
     /// What is wrong with it.
     pub fn declare(self: &Rc<Self>, site: &str, what: &str) -> Result<(), String> {
         let what = match what {
-            "lost" => Some(Declared::Lost),
-            "well" => Some(Declared::Well),
-            "hold" => Some(Declared::Hold),
+            "lost" => Some(Override::Lost),
+            "well" => Some(Override::Healthy),
+            "hold" => Some(Override::Hold),
             "nothing" => None,
             other => return Err(format!("`{other}` is none of lost, well, hold and nothing")),
         };
         let driver = self.driver.upgrade().ok_or("the gateway ends")?;
-        self.belief.borrow_mut().declare(driver.micros(), site, what)?;
+        self.belief.borrow_mut().set_override(driver.micros(), site, what)?;
         self.look(&driver);
         Ok(())
     }
 
     /// What other gateways are told.
-    pub fn to_tell(&self, now: Micros) -> Word {
+    pub fn to_tell(&self, now: Micros) -> SiteReport {
         let belief = self.belief.borrow();
-        let heard = belief.to_tell(now).into_iter().map(|(name, ago)| (name.to_owned(), ago)).collect();
-        Word { heard, level: self.order.borrow().level() }
+        let heard = belief.response_ages(now).into_iter().map(|(name, ago)| (name.to_owned(), ago)).collect();
+        SiteReport { response_ages: heard, level: self.order.borrow().level() }
     }
 
     /// What another gateway tells.
-    pub fn told(&self, now: Micros, from: u32, word: &Word) {
+    pub fn told(&self, now: Micros, from: u32, word: &SiteReport) {
         let mut belief = self.belief.borrow_mut();
-        word.heard.iter().for_each(|(name, ago)| belief.told(from, name, now.saturating_sub(*ago)));
-        word.level.into_iter().for_each(|level| self.order.borrow_mut().other(level));
+        word.response_ages
+            .iter()
+            .for_each(|(name, ago)| belief.record_peer_response(from, name, now.saturating_sub(*ago)));
+        word.level.into_iter().for_each(|level| self.order.borrow_mut().record_peer_level(level));
     }
 
     /// What is believed, for operators.
@@ -276,7 +282,7 @@
         let mut text = String::new();
         for (name, standing, evidence) in self.belief.borrow().explain(now) {
             let _ = match standing {
-                Standing::Returning(share) => {
+                SiteStatus::Recovering(share) => {
                     writeln!(text, "site `{name}`: returning, {:.0}% of its load: {evidence}", share * 100.0)
                 }
                 standing => writeln!(text, "site `{name}`: {}: {evidence}", word(standing)),
@@ -296,15 +302,15 @@
     }
 }
 
-fn word(standing: Standing) -> &'static str {
+fn word(standing: SiteStatus) -> &'static str {
     match standing {
-        Standing::Well => "well",
-        Standing::Slow => "slow",
-        Standing::Cold => "cold",
-        Standing::Lost(Why::Silent) => "lost",
-        Standing::Lost(Why::Unlisted) => "lost, none of its workers is listed",
-        Standing::Lost(Why::Declared) => "lost by an operator's word",
-        Standing::CutOff => "cut off from here",
-        Standing::Returning(_) => "returning",
+        SiteStatus::Healthy => "well",
+        SiteStatus::Slow => "slow",
+        SiteStatus::WarmingUp => "cold",
+        SiteStatus::Lost(LossCause::Unresponsive) => "lost",
+        SiteStatus::Lost(LossCause::Unlisted) => "lost, none of its workers is listed",
+        SiteStatus::Lost(LossCause::Declared) => "lost by an operator's word",
+        SiteStatus::CutOff => "cut off from here",
+        SiteStatus::Recovering(_) => "returning",
     }
 }
--- a/crates/sites/src/ahead.rs
+++ b/crates/sites/src/ahead.rs
@@ -2,7 +2,7 @@
 
 use crate::model::{Load, Sites};
 use crate::plan::plan;
-use hingestage_failover::{Rung, Shares};
+use hingestage_failover::{Shares, Tier};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Maximum number of sites a gateway plans for: 55 plans of a few ms each.
@@ -20,7 +20,7 @@
     /// Configured requests per second of one gateway, by plan and class: all gateways get an equal part.
     pub asked: BTreeMap<(usize, usize), f64>,
     /// Shedding tiers: plans and classes with their worth per unit of work.
-    pub rungs: Vec<Rung>,
+    pub tiers: Vec<Tier>,
 }
 
 /// The gateway that plans are made for.
@@ -54,7 +54,7 @@
         let keys = file.loads.iter().map(key_of).collect::<Result<Vec<_>, _>>()?;
         let mut ahead = Ahead {
             sites: file.sites.iter().map(|site| (site.name.clone(), site.zones.clone())).collect(),
-            rungs: rungs(file, &keys),
+            tiers: tiers(file, &keys),
             ..Ahead::default()
         };
         let own = file.home(who.number, &who.zone).map(|home| &file.sites[home]);
@@ -98,7 +98,7 @@
     places.iter().map(|capacity| 1.0 / capacity).sum::<f64>() / places.len().max(1) as f64
 }
 
-fn rungs(file: &Sites, keys: &[(usize, usize)]) -> Vec<Rung> {
+fn tiers(file: &Sites, keys: &[(usize, usize)]) -> Vec<Tier> {
     // Sums of worth, work and rate per plan and class.
     let mut sums: BTreeMap<(usize, usize), (f64, f64, f64)> = BTreeMap::new();
     for (load, key) in file.loads.iter().zip(keys) {
@@ -106,12 +106,12 @@
         let sum = sums.entry(*key).or_default();
         *sum = (sum.0 + rate * load.worth, sum.1 + rate * work(file, load), sum.2 + rate);
     }
-    let rung = |(of, (worth, work, rate)): ((usize, usize), (f64, f64, f64))| Rung {
-        of,
+    let tier = |(of, (worth, work, rate)): ((usize, usize), (f64, f64, f64))| Tier {
+        key: of,
         worth: worth / work.max(f64::MIN_POSITIVE),
         work: work / rate,
     };
-    sums.into_iter().map(rung).collect()
+    sums.into_iter().map(tier).collect()
 }
 
 #[cfg(test)]
@@ -150,10 +150,10 @@
     fn lowest_worth_per_work_is_the_lowest_tier() {
         let ahead =
             Ahead::new(&example(), &who("a"), &names(&["base", "ente"]), &names(&["pull", "push"])).unwrap();
-        let mut rungs = ahead.rungs.clone();
-        rungs.sort_by(|a, b| a.worth.total_cmp(&b.worth));
-        let order: Vec<(usize, usize)> = rungs.iter().map(|rung| rung.of).collect();
-        assert_eq!(order[0], (0, 0), "pulls of base first: {rungs:?}");
+        let mut tiers = ahead.tiers.clone();
+        tiers.sort_by(|a, b| a.worth.total_cmp(&b.worth));
+        let order: Vec<(usize, usize)> = tiers.iter().map(|tier| tier.key).collect();
+        assert_eq!(order[0], (0, 0), "pulls of base first: {tiers:?}");
     }
 
     #[test]
@@ -170,7 +170,7 @@
         let ahead =
             Ahead::new(&example(), &who("z"), &names(&["base", "ente"]), &names(&["pull", "push"])).unwrap();
         assert!(ahead.shares.values().all(BTreeMap::is_empty));
-        assert_eq!(ahead.rungs.len(), 3);
+        assert_eq!(ahead.tiers.len(), 3);
         assert_eq!(ahead.asked[&(0, 0)], 100.0, "a quarter of all pulls of base");
     }
 
