--- a/crates/gateway/src/sites.rs
+++ b/crates/gateway/src/sites.rs
@@ -8,7 +8,7 @@
 };
 use hingestage_platform::Platform;
 use hingestage_policy::{
-    Availability, ClassId, Event, ListScope, Micros, Outcome, PlanId, RuleFigures, WorkerId, WorkerInfo,
+    Availability, ClassId, Event, ListScope, Micros, Outcome, PlanId, WarmUpRules, WorkerId, WorkerInfo,
 };
 use hingestage_sites::Ahead;
 use std::cell::{Cell, RefCell};
@@ -66,7 +66,7 @@
 /// What an attempt's end tells of the worker's site.
 fn tells(outcome: Outcome, took: Micros) -> AttemptEvidence {
     match outcome {
-        Outcome::Ok | Outcome::Error | Outcome::Full | Outcome::Spoilt => AttemptEvidence::Responded(took),
+        Outcome::Ok | Outcome::Error | Outcome::Full | Outcome::Unusable => AttemptEvidence::Responded(took),
         Outcome::ConnectFailed | Outcome::Reset | Outcome::Timeout => AttemptEvidence::Failed,
         Outcome::Cancelled | Outcome::NotSent => AttemptEvidence::Inconclusive,
     }
@@ -78,12 +78,12 @@
         driver: &Rc<Driver<P>>,
         planned: Option<Planned>,
         gateways: u32,
-        rules: &RuleFigures,
+        rules: &WarmUpRules,
     ) -> Rc<Self> {
         let figures = MonitorConfig::default();
         let gap = figures.probe_interval * Micros::from(gateways.div_ceil(PROBERS).max(1));
         let figures =
-            MonitorConfig { probe_interval: gap.min(PROBE_GAP_MAX), warm_up: rules.cold_for, ..figures };
+            MonitorConfig { probe_interval: gap.min(PROBE_GAP_MAX), warm_up: rules.warm_up_time, ..figures };
         let ahead = planned.as_ref().map_or_else(Ahead::default, |planned| planned.ahead.clone());
         let mut belief = SiteMonitor::new(figures, &ahead.sites);
         belief.set_shares(ahead.shares);
@@ -175,7 +175,7 @@
     fn look(self: &Rc<Self>, driver: &Rc<Driver<P>>) {
         let now = driver.micros();
         self.looked.set(now);
-        let short = driver.short();
+        let short = driver.requests_without_worker();
         let mut order = self.order.borrow_mut();
         order.record_unserved(short.saturating_sub(self.short.replace(short)));
         order.poll(now, self.belief.borrow().is_degraded());
--- a/crates/turns/src/lib.rs
+++ b/crates/turns/src/lib.rs
@@ -18,7 +18,7 @@
 pub mod message;
 pub mod pace;
 
-use hingestage_policy::{draw, fnv};
+use hingestage_policy::{fnv, rendezvous_weight};
 
 pub use hingestage_policy::Micros;
 
@@ -27,7 +27,7 @@
 /// With `n` gateways each owns about 1/`n` of the names, and one that joins or leaves moves only its own names.
 pub fn owner(name: &str, candidates: impl Iterator<Item = u32>) -> Option<u32> {
     let hash = fnv(name.as_bytes());
-    candidates.min_by_key(|gateway| (draw(hash, *gateway), *gateway))
+    candidates.min_by_key(|gateway| (rendezvous_weight(hash, *gateway), *gateway))
 }
 
 #[cfg(test)]
--- a/crates/turns/tests/common/mod.rs
+++ b/crates/turns/tests/common/mod.rs
@@ -202,14 +202,14 @@
 
 fn settings(scenario: &Scenario, me: u32) -> Settings {
     let (rate, burst) = scenario.quota;
-    let usual = Plan { rate, burst, over_cost: 1.0, ..Plan::default() };
+    let usual = Plan { rate, burst, over_quota_cost: 1.0, ..Plan::default() };
     let ceiling = Plan {
         ceiling_rate: CEILING_RATE * rate,
         ceiling_burst: CEILING_BURST * burst,
         ceiling_slack: CEILING_SLACK,
         // Requests beyond the quota earn their full value: only the ceiling limits them.
-        over_earns: 1.0,
-        over_cost: 0.0,
+        over_quota_value: 1.0,
+        over_quota_cost: 0.0,
         ..usual.clone()
     };
     Settings {
@@ -218,7 +218,7 @@
         resolution: MS,
         counter: true,
         counter_timeout: TIMEOUT,
-        most_units: 4.0,
+        max_units: 4.0,
         classes: vec![Class {
             aim: 500 * MS,
             deadline: 2 * S,
@@ -231,14 +231,14 @@
             second_copies: false,
             cancel: false,
             max_retry_after: S,
-            retries_saved: 0.0,
+            max_retry_budget: 0.0,
             refusals_promise: false,
         },
-        rules: RuleFigures {
-            cold_from: COLD_FRACTION,
-            cold_for: WARM_UP,
-            fall_multiple: OVERLOAD_FACTOR,
-            fall_after: OVERLOAD_WINDOW,
+        rules: WarmUpRules {
+            initial_capacity: COLD_FRACTION,
+            warm_up_time: WARM_UP,
+            overload_multiple: OVERLOAD_FACTOR,
+            overload_window: OVERLOAD_WINDOW,
         },
         ..Settings::default()
     }
@@ -324,7 +324,7 @@
 
     fn listed(&self, id: u64) -> WorkerInfo {
         let started = self.cold.get(&id).map(|cold| cold.started);
-        WorkerInfo { started, mark: fnv(&id.to_le_bytes()), ..WorkerInfo::ready(WorkerId(id)) }
+        WorkerInfo { started, hash: fnv(&id.to_le_bytes()), ..WorkerInfo::ready(WorkerId(id)) }
     }
 
     /// Restarts a worker and notifies all live gateways.
