--- a/crates/failover/src/monitor.rs
+++ b/crates/failover/src/monitor.rs
@@ -33,9 +33,9 @@
 const MIN_FAILED_WORKERS: usize = 3;
 /// Failures in all that a loss takes.
 const MIN_FAILURES: u32 = 4;
-/// One more worker must have failed for each so many ready workers of the site.
+/// One more failed worker is required per this many ready workers of the site.
 const READY_PER_EXTRA_FAILED: usize = 24;
-/// Upper bound of that number: in a large fleet a gateway uses only a few workers of each site.
+/// Upper bound of the failed workers required: in a large fleet a gateway uses only a few workers of each site.
 const MAX_FAILED_WORKERS: usize = 5;
 /// Weight of a new latency in the moving average.
 const LATENCY_WEIGHT: f64 = 0.05;
--- a/crates/failover/src/view.rs
+++ b/crates/failover/src/view.rs
@@ -64,9 +64,9 @@
         self.zones.get(zone).and_then(|site| self.sites.get(*site)).copied().unwrap_or(Admission::ALL)
     }
 
-    /// Whether a request may go to a zone. `bits` are the same for all attempts of a request, so that a growing share only
-    /// adds requests. `probed` is the last probe that was used. Only requests with `may_probe`, first attempts that are
-    /// safe to repeat elsewhere, may be probes.
+    /// Whether a request may go to a zone. `bits` are the same for all attempts of a request, so that a growing share
+    /// only adds requests. `probed` is the last probe that was used. Only requests with `may_probe`, first attempts
+    /// that are safe to repeat elsewhere, may be probes.
     pub fn admits(&self, zone: &str, bits: u64, may_probe: bool, probed: u64) -> bool {
         if self.unrestricted {
             return true;
@@ -88,8 +88,8 @@
         self.admission(zone).probe.map(|probe| probe.number)
     }
 
-    /// Whether a request's load is assigned to a zone's site, drawn by the request's bits from the shares of the failover
-    /// plan. Without a plan every zone is preferred.
+    /// Whether a request's load is assigned to a zone's site, drawn by the request's bits from the shares of the
+    /// failover plan. Without a plan every zone is preferred.
     pub fn prefers(&self, zone: &str, of: (usize, usize), bits: u64) -> bool {
         let Some(shares) = self.shares.get(&of).filter(|_| !self.unrestricted) else { return true };
         let Some(site) = self.zones.get(zone) else { return false };
@@ -105,8 +105,8 @@
         all <= 0.0
     }
 
-    /// Whether an account's request is refused. `account` is a hash of its name alone, so gateways with the same fraction
-    /// refuse the same accounts. The refused accounts rotate every ten seconds, each at its own offset.
+    /// Whether an account's request is refused. `account` is a hash of its name alone, so gateways with the same
+    /// fraction refuse the same accounts. The refused accounts rotate every ten seconds, each at its own offset.
     pub fn refuses(&self, of: (usize, usize), account: u64, now: Micros) -> bool {
         let Some(part) = self.refused.get(&of).copied().filter(|part| *part > 0.0) else { return false };
         let period = (now + account % REFUSAL_PERIOD) / REFUSAL_PERIOD;
--- a/crates/gateway/src/sites.rs
+++ b/crates/gateway/src/sites.rs
@@ -10,7 +10,7 @@
 use hingestage_policy::{
     Availability, ClassId, Event, ListScope, Micros, Outcome, PlanId, WarmUpRules, WorkerId, WorkerInfo,
 };
-use hingestage_sites::Ahead;
+use hingestage_sites::FailoverPlans;
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt::Write;
@@ -31,7 +31,7 @@
 const TOLD_AGAIN: Micros = 10_000_000;
 
 /// Plans made for loads so many times as high as the file says, by plan and class; none where none can be made.
-pub type Plans = Pin<Box<dyn Future<Output = Option<Ahead>>>>;
+pub type Plans = Pin<Box<dyn Future<Output = Option<FailoverPlans>>>>;
 
 /// Makes plans for such multiples of the file's loads.
 pub type Again = Rc<dyn Fn(BTreeMap<(usize, usize), f64>) -> Plans>;
@@ -40,7 +40,7 @@
 #[derive(Clone)]
 pub struct Planned {
     /// Those of the file's own loads.
-    pub ahead: Ahead,
+    pub ahead: FailoverPlans,
     /// Makes others.
     pub again: Again,
 }
@@ -84,7 +84,7 @@
         let gap = figures.probe_interval * Micros::from(gateways.div_ceil(PROBERS).max(1));
         let figures =
             MonitorConfig { probe_interval: gap.min(PROBE_GAP_MAX), warm_up: rules.warm_up_time, ..figures };
-        let ahead = planned.as_ref().map_or_else(Ahead::default, |planned| planned.ahead.clone());
+        let ahead = planned.as_ref().map_or_else(FailoverPlans::default, |planned| planned.ahead.clone());
         let mut belief = SiteMonitor::new(figures, &ahead.sites);
         belief.set_shares(ahead.shares);
         Rc::new(Sites {
@@ -93,7 +93,7 @@
             belief: RefCell::new(belief),
             order: RefCell::new(Shedder::new(ahead.tiers)),
             refused: RefCell::new(ahead.refused),
-            drift: RefCell::new(LoadDrift::new(ahead.asked, driver.micros())),
+            drift: RefCell::new(LoadDrift::new(ahead.rates, driver.micros())),
             planned: RefCell::new(planned),
             lost: RefCell::default(),
             looked: Cell::new(0),
@@ -116,7 +116,7 @@
         self.belief.borrow_mut().set_shares(ahead.shares);
         *self.order.borrow_mut() = Shedder::new(ahead.tiers);
         *self.refused.borrow_mut() = ahead.refused;
-        *self.drift.borrow_mut() = LoadDrift::new(ahead.asked, driver.micros());
+        *self.drift.borrow_mut() = LoadDrift::new(ahead.rates, driver.micros());
         *self.planned.borrow_mut() = planned;
         // What is lost is refused anew, by the new plan.
         self.lost.borrow_mut().clear();
--- a/crates/operator/src/lib.rs
+++ b/crates/operator/src/lib.rs
@@ -56,7 +56,7 @@
                 "policy" if operator.policy.is_some() => return Err(section.error("policy", "given twice")),
                 "policy" => operator.policy = Some(policy::read(&section)?),
                 "sites" if operator.sites.is_some() => return Err(section.error("sites", "given twice")),
-                "sites" => operator.sites = Some(hingestage_sites::read_section(&section)?),
+                "sites" => operator.sites = Some(hingestage_sites::parse_section(&section)?),
                 other => {
                     let what = "no such section; there are `srv`, `fleet`, `policy` and `sites`";
                     return Err(section.error(other, what));
--- a/crates/sites/examples/plan_cost.rs
+++ b/crates/sites/examples/plan_cost.rs
@@ -2,7 +2,7 @@
 //!
 //! `cargo run --release -p hingestage-sites --example plan_cost`
 
-use hingestage_sites::{greedy, plan, worth, Load, Site, Sites};
+use hingestage_sites::{greedy, plan, total_worth, Load, Site, Sites};
 use std::time::Instant;
 
 /// Random instances per size.
@@ -21,7 +21,7 @@
             workers: 10,
             capacity,
             reserve: 0.1,
-            to,
+            fallbacks: to,
             ..Site::default()
         });
         for (at, class, worth) in
@@ -43,8 +43,8 @@
             let start = Instant::now();
             let Ok(made) = plan(&sites) else { continue };
             took.push(start.elapsed());
-            let fixed = worth(&sites, &greedy(&sites));
-            let gap = 1.0 - fixed / made.worth.0;
+            let fixed = total_worth(&sites, &greedy(&sites));
+            let gap = 1.0 - fixed / made.served_worth;
             more += gap / INSTANCES as f64;
             most = most.max(gap);
         }
--- a/crates/sites/src/ahead.rs
+++ b/crates/sites/src/failover_plans.rs
@@ -10,7 +10,7 @@
 
 /// Failover plans for the gateways of one site.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Ahead {
+pub struct FailoverPlans {
     /// Site names and zones, in the order of the file.
     pub sites: Vec<(String, Vec<String>)>,
     /// Load shares of the gateways' own site, by the set of lost sites.
@@ -18,14 +18,14 @@
     /// Fraction of all work that can't be served, by the set of lost sites.
     pub refused: BTreeMap<BTreeSet<usize>, f64>,
     /// Configured requests per second of one gateway, by plan and class: all gateways get an equal part.
-    pub asked: BTreeMap<(usize, usize), f64>,
+    pub rates: BTreeMap<(usize, usize), f64>,
     /// Shedding tiers: plans and classes with their worth per unit of work.
     pub tiers: Vec<Tier>,
 }
 
 /// The gateway that plans are made for.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Who {
+pub struct GatewayIdentity {
     /// Its number.
     pub number: u32,
     /// Number of gateways in the fleet.
@@ -34,12 +34,17 @@
     pub zone: String,
 }
 
-impl Ahead {
+impl FailoverPlans {
     /// Makes all plans for a gateway, with the plan and class names of the settings.
     ///
     /// # Errors
     /// A plan or class that the settings do not name, too many sites, or a linear program without a solution.
-    pub fn new(file: &Sites, who: &Who, plans: &[String], classes: &[String]) -> Result<Ahead, String> {
+    pub fn new(
+        file: &Sites,
+        gateway: &GatewayIdentity,
+        plans: &[String],
+        classes: &[String],
+    ) -> Result<FailoverPlans, String> {
         if file.sites.len() > MAX_SITES {
             let n = file.sites.len();
             return Err(format!("field `sites.site`: {n} are too many for a gateway, {MAX_SITES} at most"));
@@ -52,14 +57,14 @@
             Ok((place("plan", plans, &load.plan)?, place("class", classes, &load.class)?))
         };
         let keys = file.loads.iter().map(key_of).collect::<Result<Vec<_>, _>>()?;
-        let mut ahead = Ahead {
+        let mut failover = FailoverPlans {
             sites: file.sites.iter().map(|site| (site.name.clone(), site.zones.clone())).collect(),
             tiers: tiers(file, &keys),
-            ..Ahead::default()
+            ..FailoverPlans::default()
         };
-        let own = file.home(who.number, &who.zone).map(|home| &file.sites[home]);
+        let own = file.home(gateway.number, &gateway.zone).map(|home| &file.sites[home]);
         for (load, key) in file.loads.iter().zip(&keys) {
-            *ahead.asked.entry(*key).or_default() += load.rate / f64::from(who.gateways.max(1));
+            *failover.rates.entry(*key).or_default() += load.rate / f64::from(gateway.gateways.max(1));
         }
         for lost in losses(file.sites.len()) {
             let names: Vec<String> = lost.iter().map(|site| file.sites[*site].name.clone()).collect();
@@ -67,19 +72,19 @@
             let made = plan(&left)?;
             let mut shares = Shares::new();
             let (mut asked, mut refused) = (0.0, 0.0);
-            for (part, key) in made.parts.iter().zip(&keys) {
-                let load = &file.loads[part.load];
+            for (placement, key) in made.placements.iter().zip(&keys) {
+                let load = &file.loads[placement.load];
                 let work = load.rate * work(file, load);
-                (asked, refused) = (asked + work, refused + work * part.refused);
+                (asked, refused) = (asked + work, refused + work * placement.refused);
                 if own.is_some_and(|own| own.name == load.site) {
                     let all = shares.entry(*key).or_insert_with(|| vec![0.0; file.sites.len()]);
-                    part.shares.iter().for_each(|(place, share)| all[*place] += share);
+                    placement.shares.iter().for_each(|(place, share)| all[*place] += share);
                 }
             }
-            ahead.shares.insert(lost.clone(), shares);
-            ahead.refused.insert(lost, if asked > 0.0 { refused / asked } else { 0.0 });
+            failover.shares.insert(lost.clone(), shares);
+            failover.refused.insert(lost, if asked > 0.0 { refused / asked } else { 0.0 });
         }
-        Ok(ahead)
+        Ok(failover)
     }
 }
 
@@ -117,14 +122,14 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::file::read;
+    use crate::file::parse;
 
     fn example() -> Sites {
-        read(include_str!("../../../deploy/sites.example.lisp")).unwrap()
+        parse(include_str!("../../../deploy/sites.example.lisp")).unwrap()
     }
 
-    fn who(zone: &str) -> Who {
-        Who { number: 0, gateways: 4, zone: zone.into() }
+    fn who(zone: &str) -> GatewayIdentity {
+        GatewayIdentity { number: 0, gateways: 4, zone: zone.into() }
     }
 
     fn names(list: &[&str]) -> Vec<String> {
@@ -133,24 +138,26 @@
 
     #[test]
     fn every_single_and_double_loss_has_a_plan() {
-        let ahead =
-            Ahead::new(&example(), &who("b"), &names(&["base", "ente"]), &names(&["pull", "push"])).unwrap();
-        assert_eq!(ahead.shares.len(), 7, "the empty set, three sites and three pairs");
-        let none = &ahead.shares[&BTreeSet::new()];
+        let failover =
+            FailoverPlans::new(&example(), &who("b"), &names(&["base", "ente"]), &names(&["pull", "push"]))
+                .unwrap();
+        assert_eq!(failover.shares.len(), 7, "the empty set, three sites and three pairs");
+        let none = &failover.shares[&BTreeSet::new()];
         assert!(none.values().all(|shares| shares[1] > 0.99), "nothing lost, nothing leaves: {none:?}");
-        assert!(ahead.refused[&BTreeSet::new()] < 1e-6);
-        let without_b = &ahead.shares[&BTreeSet::from([1])];
+        assert!(failover.refused[&BTreeSet::new()] < 1e-6);
+        let without_b = &failover.shares[&BTreeSet::from([1])];
         assert!(without_b.values().all(|shares| shares[1] == 0.0));
         assert!(without_b[&(1, 1)].iter().sum::<f64>() > 0.99, "no push of ente is refused");
-        let pair = ahead.refused[&BTreeSet::from([0, 1])];
-        assert!(pair > ahead.refused[&BTreeSet::from([1])] && pair < 1.0);
+        let pair = failover.refused[&BTreeSet::from([0, 1])];
+        assert!(pair > failover.refused[&BTreeSet::from([1])] && pair < 1.0);
     }
 
     #[test]
     fn lowest_worth_per_work_is_the_lowest_tier() {
-        let ahead =
-            Ahead::new(&example(), &who("a"), &names(&["base", "ente"]), &names(&["pull", "push"])).unwrap();
-        let mut tiers = ahead.tiers.clone();
+        let failover =
+            FailoverPlans::new(&example(), &who("a"), &names(&["base", "ente"]), &names(&["pull", "push"]))
+                .unwrap();
+        let mut tiers = failover.tiers.clone();
         tiers.sort_by(|a, b| a.worth.total_cmp(&b.worth));
         let order: Vec<(usize, usize)> = tiers.iter().map(|tier| tier.key).collect();
         assert_eq!(order[0], (0, 0), "pulls of base first: {tiers:?}");
@@ -159,7 +166,7 @@
     #[test]
     fn unknown_plans_and_classes_are_rejected() {
         let of = |plans: &[&str], classes: &[&str]| {
-            Ahead::new(&example(), &who("a"), &names(plans), &names(classes)).unwrap_err()
+            FailoverPlans::new(&example(), &who("a"), &names(plans), &names(classes)).unwrap_err()
         };
         assert!(of(&["base"], &["pull", "push"]).contains("no plan `ente`"));
         assert!(of(&["base", "ente"], &["pull"]).contains("no class `push`"));
@@ -167,18 +174,19 @@
 
     #[test]
     fn gateway_without_a_site_has_no_shares() {
-        let ahead =
-            Ahead::new(&example(), &who("z"), &names(&["base", "ente"]), &names(&["pull", "push"])).unwrap();
-        assert!(ahead.shares.values().all(BTreeMap::is_empty));
-        assert_eq!(ahead.tiers.len(), 3);
-        assert_eq!(ahead.asked[&(0, 0)], 100.0, "a quarter of all pulls of base");
+        let failover =
+            FailoverPlans::new(&example(), &who("z"), &names(&["base", "ente"]), &names(&["pull", "push"]))
+                .unwrap();
+        assert!(failover.shares.values().all(BTreeMap::is_empty));
+        assert_eq!(failover.tiers.len(), 3);
+        assert_eq!(failover.rates[&(0, 0)], 100.0, "a quarter of all pulls of base");
     }
 
     #[test]
     fn scaled_load_refuses_more() {
         let (plans, classes) = (names(&["base", "ente"]), names(&["pull", "push"]));
         let lost = BTreeSet::from([1]);
-        let of = |file: &Sites| Ahead::new(file, &who("a"), &plans, &classes).unwrap().refused[&lost];
+        let of = |file: &Sites| FailoverPlans::new(file, &who("a"), &plans, &classes).unwrap().refused[&lost];
         let doubled = example().scaled(&[(("base".into(), "pull".into()), 2.0)].into());
         assert!(of(&doubled) > of(&example()) + 0.1);
     }
--- a/crates/sites/src/file.rs
+++ b/crates/sites/src/file.rs
@@ -19,21 +19,21 @@
 ///
 /// # Errors
 /// One message that names the field and its place.
-pub fn read(text: &str) -> Result<Sites, String> {
-    read_section(&hingestage_form::read(text)?.sole("sites")?)
+pub fn parse(text: &str) -> Result<Sites, String> {
+    parse_section(&hingestage_form::read(text)?.sole("sites")?)
 }
 
 /// Reads and checks the list `(sites ...)` where a file holds others beside it.
 ///
 /// # Errors
-/// As [`read`].
-pub fn read_section(section: &Form) -> Result<Sites, String> {
+/// As [`parse`].
+pub fn parse_section(section: &Form) -> Result<Sites, String> {
     let mut sites = Sites::default();
     for field in section.rest()? {
         match field.head()?.as_str() {
             "site" => sites.sites.push(parse_site(&field, &sites)?),
             "load" => sites.loads.push(parse_load(&field)?),
-            "stays" => sites.stays.extend(parse_texts(&field.rest()?, "stays")?),
+            "stays" => sites.pinned_classes.extend(parse_texts(&field.rest()?, "stays")?),
             other => return Err(field.error(other, "no such field")),
         }
     }
@@ -55,7 +55,9 @@
         return fault("site.counter", "the counter is at one site".into());
     }
     for site in &sites.sites {
-        if let Some(unknown) = site.to.iter().find(|name| sites.site(name).is_none() || **name == site.name) {
+        if let Some(unknown) =
+            site.fallbacks.iter().find(|name| sites.site(name).is_none() || **name == site.name)
+        {
             return fault("site.to", format!("site `{}`: `{unknown}` is no other site", site.name));
         }
         if let Some(duplicate) = site.gateways.iter().find(|gateway| !gateways.insert(**gateway)) {
@@ -102,7 +104,7 @@
         let (head, place, field) = field?;
         match head.as_str() {
             "zones" => site.zones = parse_texts(&field.rest()?, &place)?,
-            "to" => site.to = parse_texts(&field.rest()?, &place)?,
+            "to" => site.fallbacks = parse_texts(&field.rest()?, &place)?,
             "gateways" => {
                 for number in field.rest()? {
                     site.gateways.insert(number.whole(&place, 0.0, MAX_GATEWAY)? as u32);
@@ -158,10 +160,10 @@
 
     #[test]
     fn all_fields_are_parsed() {
-        let sites = read(USUAL).unwrap();
+        let sites = parse(USUAL).unwrap();
         let a = sites.site("a").unwrap();
         assert_eq!(
-            (a.workers, a.reserve, a.to.as_slice(), a.zones.len()),
+            (a.workers, a.reserve, a.fallbacks.as_slice(), a.zones.len()),
             (4, 0.1, ["b".to_owned()].as_slice(), 2)
         );
         assert_eq!(
@@ -170,12 +172,12 @@
         );
         assert!(a.counter && a.gateways == [0, 1].into());
         assert_eq!((sites.home(1, "b"), sites.home(7, "b"), sites.home(7, "z")), (Some(0), Some(1), None));
-        assert_eq!((sites.loads[0].rate, sites.loads[0].worth, sites.stays.len()), (120.0, 1.4, 1));
+        assert_eq!((sites.loads[0].rate, sites.loads[0].worth, sites.pinned_classes.len()), (120.0, 1.4, 1));
     }
 
     #[test]
     fn shipped_example_is_valid() {
-        assert_eq!(read(include_str!("../../../deploy/sites.example.lisp")).unwrap().sites.len(), 3);
+        assert_eq!(parse(include_str!("../../../deploy/sites.example.lisp")).unwrap().sites.len(), 3);
     }
 
     #[test]
@@ -199,10 +201,10 @@
             ("120 1.4", "120", "a site, a plan, a class, requests a second and their worth"),
             ("(stays \"push\")", "(load \"a\" \"ente\" \"pull\" 1 1)", "ente pull at `a` is given twice"),
         ] {
-            let error = read(&USUAL.replace(from, to)).unwrap_err();
+            let error = parse(&USUAL.replace(from, to)).unwrap_err();
             assert!(error.contains(wanted), "{error}, wanted: {wanted}");
         }
-        assert!(read("(sites)").unwrap_err().contains("field `site`: missing"));
-        assert!(read("(zones)").unwrap_err().contains("begins with `sites`"));
+        assert!(parse("(sites)").unwrap_err().contains("field `site`: missing"));
+        assert!(parse("(zones)").unwrap_err().contains("begins with `sites`"));
     }
 }
--- a/crates/sites/src/lib.rs
+++ b/crates/sites/src/lib.rs
@@ -3,16 +3,16 @@
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
-mod ahead;
+mod failover_plans;
 mod file;
 mod greedy;
 mod model;
 mod page;
 mod plan;
 
-pub use ahead::{Ahead, Who};
-pub use file::{read, read_section};
-pub use greedy::{greedy, worth};
+pub use failover_plans::{FailoverPlans, GatewayIdentity};
+pub use file::{parse, parse_section};
+pub use greedy::{greedy, total_worth};
 pub use model::{Load, Site, Sites};
 pub use page::page;
-pub use plan::{plan, Part, Plan, Refusal};
+pub use plan::{plan, Placement, Plan, Refusal};
--- a/crates/sites/src/page.rs
+++ b/crates/sites/src/page.rs
@@ -45,10 +45,10 @@
         let factor = MIN_LOAD + (MAX_LOAD - MIN_LOAD) * n as f64 / (LOAD_POINTS - 1) as f64;
         let left = sites.without(lost, factor);
         let mut sums: BTreeMap<String, (f64, f64)> = BTreeMap::new();
-        for part in plan(&left)?.parts {
-            let load = &left.loads[part.load];
+        for placement in plan(&left)?.placements {
+            let load = &left.loads[placement.load];
             let sum = sums.entry(format!("{} of {}", load.class, load.plan)).or_default();
-            *sum = (sum.0 + part.refused * load.rate, sum.1 + load.rate);
+            *sum = (sum.0 + placement.refused * load.rate, sum.1 + load.rate);
         }
         for (name, (refused, asked)) in sums {
             curves.entry(name).or_default().push((factor, refused / asked.max(f64::MIN_POSITIVE)));
@@ -70,19 +70,19 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::file::read;
+    use crate::file::parse;
 
     #[test]
     fn page_has_a_plot_for_every_loss_and_escapes_names() {
         let text = include_str!("../../../deploy/sites.example.lisp").replace("\"c\"", "\"c<b>\"");
-        let page = page(&read(&text).unwrap()).unwrap();
+        let page = page(&parse(&text).unwrap()).unwrap();
         assert_eq!((page.matches("<svg").count(), page.matches("<h2>").count()), (4, 4));
         assert!(page.contains("<h2>c&lt;b&gt; lost</h2>") && !page.contains("<b>"));
     }
 
     #[test]
     fn refusals_grow_with_load_lowest_worth_first() {
-        let sites = read(include_str!("../../../deploy/sites.example.lisp")).unwrap();
+        let sites = parse(include_str!("../../../deploy/sites.example.lisp")).unwrap();
         let curves = curves(&sites, &["a".to_owned()]).unwrap();
         for (name, points) in &curves {
             assert!(points.windows(2).all(|two| two[1].1 >= two[0].1 - 1e-6), "{name}: {points:?}");
--- a/crates/sites/src/plan.rs
+++ b/crates/sites/src/plan.rs
@@ -21,7 +21,7 @@
 
 /// Placement of a load.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Part {
+pub struct Placement {
     /// Index of the load.
     pub load: usize,
     /// Shares of the load, by site.
@@ -36,20 +36,22 @@
     /// Index of the load.
     pub load: usize,
     /// Factor on the configured load from which on some of it is refused; `None` if above the highest that is searched.
-    pub from: Option<f64>,
+    pub threshold: Option<f64>,
 }
 
 /// Placement of all loads.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Plan {
     /// Placement of each load.
-    pub parts: Vec<Part>,
-    /// Worth per second that is served, and that is requested.
-    pub worth: (f64, f64),
+    pub placements: Vec<Placement>,
+    /// Worth per second that is served.
+    pub served_worth: f64,
+    /// Worth per second that is requested.
+    pub requested_worth: f64,
     /// Used fraction of each site.
     pub used: Vec<f64>,
     /// Worth per second that one more worker at each site would add; 0 if the site is not full.
-    pub one_more: Vec<f64>,
+    pub marginal_worth: Vec<f64>,
 }
 
 /// Computes the plan.
@@ -57,37 +59,37 @@
 /// # Errors
 /// The linear program has no solution, because an input is not a finite number.
 pub fn plan(sites: &Sites) -> Result<Plan, String> {
-    let (parts, worth) = solve(sites)?;
+    let (placements, served_worth) = solve(sites)?;
     let mut used = vec![0.0; sites.sites.len()];
-    for part in &parts {
-        let load = &sites.loads[part.load];
-        for (place, share) in sites.places(load) {
-            let served = part.shares.iter().find(|(at, _)| *at == place).map_or(0.0, |(_, of)| *of);
-            used[place] += served * load.rate * share;
+    for placement in &placements {
+        let load = &sites.loads[placement.load];
+        for (site, share) in sites.candidates(load) {
+            let served = placement.shares.iter().find(|(at, _)| *at == site).map_or(0.0, |(_, of)| *of);
+            used[site] += served * load.rate * share;
         }
     }
-    let mut one_more = vec![0.0; sites.sites.len()];
-    for (place, site) in sites.sites.iter().enumerate() {
-        if site.workers > 0 && used[place] > sites.room(place) - EPSILON.sqrt() {
+    let mut marginal_worth = vec![0.0; sites.sites.len()];
+    for (index, site) in sites.sites.iter().enumerate() {
+        if site.workers > 0 && used[index] > sites.usable_fraction(index) - EPSILON.sqrt() {
             let mut larger = sites.clone();
             let factor = (site.workers + 1) as f64 / site.workers as f64;
-            larger.sites[place].capacity.values_mut().for_each(|capacity| *capacity *= factor);
-            one_more[place] = (solve(&larger)?.1 - worth).max(0.0);
+            larger.sites[index].capacity.values_mut().for_each(|capacity| *capacity *= factor);
+            marginal_worth[index] = (solve(&larger)?.1 - served_worth).max(0.0);
         }
     }
-    let asked = sites.loads.iter().map(|load| load.rate * load.worth).sum();
-    Ok(Plan { parts, worth: (worth, asked), used, one_more })
+    let requested_worth = sites.loads.iter().map(|load| load.rate * load.worth).sum();
+    Ok(Plan { placements, served_worth, requested_worth, used, marginal_worth })
 }
 
 /// Placements, and the worth served per second.
-fn solve(sites: &Sites) -> Result<(Vec<Part>, f64), String> {
+fn solve(sites: &Sites) -> Result<(Vec<Placement>, f64), String> {
     let mut variables = variables!();
     let mut flows: Vec<Vec<(usize, f64, Variable)>> = Vec::new();
     for load in &sites.loads {
-        let places = sites.places(load);
+        let places = sites.candidates(load);
         let flow = places
             .into_iter()
-            .map(|(place, share)| (place, share, variables.add(good_lp::variable().min(0.0))));
+            .map(|(site, share)| (site, share, variables.add(good_lp::variable().min(0.0))));
         flows.push(flow.collect());
     }
     let mut objective = Expression::from(0.0);
@@ -112,25 +114,25 @@
         let served: Expression = slices.iter().map(|slice| Expression::from(*slice)).sum();
         model = model.with(constraint!(all == served));
     }
-    for place in 0..sites.sites.len() {
-        let here = flows.iter().flatten().filter(|(at, ..)| *at == place);
+    for site in 0..sites.sites.len() {
+        let here = flows.iter().flatten().filter(|(at, ..)| *at == site);
         let all: Expression = here.map(|(_, share, rate)| *share * *rate).sum();
-        model = model.with(constraint!(all <= sites.room(place)));
+        model = model.with(constraint!(all <= sites.usable_fraction(site)));
     }
     let solution = model.solve().map_err(|e| e.to_string())?;
     let mut worth = 0.0;
-    let mut parts = Vec::new();
+    let mut placements = Vec::new();
     for (index, (load, flow)) in sites.loads.iter().zip(&flows).enumerate() {
         let rate = load.rate.max(f64::MIN_POSITIVE);
         let shares =
-            flow.iter().map(|(place, _, flow)| (*place, (solution.value(*flow) / rate).clamp(0.0, 1.0)));
+            flow.iter().map(|(site, _, flow)| (*site, (solution.value(*flow) / rate).clamp(0.0, 1.0)));
         let shares: Vec<(usize, f64)> = shares.filter(|(_, share)| *share > EPSILON).collect();
         let served: f64 = shares.iter().map(|(_, share)| share).sum();
         worth += served * load.rate * load.worth;
         let refused = if served > 1.0 - EPSILON || load.rate == 0.0 { 0.0 } else { 1.0 - served };
-        parts.push(Part { load: index, shares, refused });
+        placements.push(Placement { load: index, shares, refused });
     }
-    Ok((parts, worth))
+    Ok((placements, worth))
 }
 
 impl Plan {
@@ -145,8 +147,9 @@
             if let Some(known) = refused_by_factor.get(&factor.to_bits()) {
                 return Ok(known[load]);
             }
-            let (parts, _) = solve(&sites.without(&[], factor))?;
-            let all: Vec<bool> = parts.iter().map(|part| part.refused > EPSILON.sqrt()).collect();
+            let (placements, _) = solve(&sites.without(&[], factor))?;
+            let all: Vec<bool> =
+                placements.iter().map(|placement| placement.refused > EPSILON.sqrt()).collect();
             let found = all[load];
             refused_by_factor.insert(factor.to_bits(), all);
             Ok(found)
@@ -162,9 +165,9 @@
                     false => low = mid,
                 }
             }
-            refusals.push(Refusal { load, from: refused_at_all.then_some(high) });
+            refusals.push(Refusal { load, threshold: refused_at_all.then_some(high) });
         }
-        refusals.sort_by(|a, b| a.from.unwrap_or(f64::MAX).total_cmp(&b.from.unwrap_or(f64::MAX)));
+        refusals.sort_by(|a, b| a.threshold.unwrap_or(f64::MAX).total_cmp(&b.threshold.unwrap_or(f64::MAX)));
         Ok(refusals)
     }
 }
--- a/crates/turns/tests/common/mod.rs
+++ b/crates/turns/tests/common/mod.rs
@@ -92,7 +92,8 @@
     pub ceiling_overdraft: f64,
     /// Largest load of a cold worker, as a fraction of the load that overloads it.
     pub cold_overload: f64,
-    /// Units that a policy would forward within and beyond quotas if gateways saw each other's sends half a second late.
+    /// Units that a policy would forward within and beyond quotas if gateways saw each other's sends half a second
+    /// late.
     pub delayed_reference: (f64, f64),
     /// Calls to the counter, and batches between gateways.
     pub calls: u64,
@@ -338,7 +339,8 @@
         }
     }
 
-    /// Marks the roll at the counter and feeds changed views to the gatekeeper. Gateways see each other only by the roll.
+    /// Marks the roll at the counter and feeds changed views to the gatekeeper. Gateways see each other only by the
+    /// roll.
     fn update_view(&mut self, by: usize) {
         if !self.scenario.views {
             return;
--- a/src/sites.rs
+++ b/src/sites.rs
@@ -6,7 +6,7 @@
 use hingestage_gateway::sites::{Planned, Plans};
 use hingestage_keep::call::Way;
 use hingestage_print::say;
-use hingestage_sites::{greedy, plan, read, worth, Ahead, Plan, Sites, Who};
+use hingestage_sites::{greedy, parse, plan, total_worth, FailoverPlans, GatewayIdentity, Plan, Sites};
 use hyper::{Method, StatusCode};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -96,16 +96,18 @@
 /// The plans of a gateway's file, and the way to make them anew: on a thread of their own.
 pub fn planned(file: Sites, config: &Config) -> Result<Planned, String> {
     let settings = &config.settings;
-    let who = Who { number: settings.me, gateways: settings.instances, zone: settings.zone.0.clone() };
+    let who =
+        GatewayIdentity { number: settings.me, gateways: settings.instances, zone: settings.zone.0.clone() };
     let (plans, classes) = (config.names.plans.clone(), config.names.classes.clone());
-    let ahead = Ahead::new(&file, &who, &plans, &classes)?;
+    let ahead = FailoverPlans::new(&file, &who, &plans, &classes)?;
     let again = move |times: BTreeMap<(usize, usize), f64>| -> Plans {
         let named = |((plan, class), times): ((usize, usize), f64)| {
             Some(((plans.get(plan)?.clone(), classes.get(class)?.clone()), times))
         };
         let scaled = file.scaled(&times.into_iter().filter_map(named).collect());
         let (who, plans, classes) = (who.clone(), plans.clone(), classes.clone());
-        let made = tokio::task::spawn_blocking(move || Ahead::new(&scaled, &who, &plans, &classes).ok());
+        let made =
+            tokio::task::spawn_blocking(move || FailoverPlans::new(&scaled, &who, &plans, &classes).ok());
         Box::pin(async move { made.await.ok().flatten() })
     };
     Ok(Planned { ahead, again: Rc::new(again) })
@@ -113,7 +115,7 @@
 
 /// Does it.
 pub fn run(task: Task) -> Result<(), Failed> {
-    let load = |file: &Path| hingestage_form::load(file, read).map_err(Failed::Asked);
+    let load = |file: &Path| hingestage_form::load(file, parse).map_err(Failed::Asked);
     match task {
         Task::Check { file } => {
             let sites = load(&file)?;
@@ -185,8 +187,8 @@
         }
         say!(
             "  a fixed order would serve {:.1}% of the worth, this plan {:.1}%",
-            part(&made, worth(&left, &greedy(&left))) * 100.0,
-            part(&made, made.worth.0) * 100.0
+            part(&made, total_worth(&left, &greedy(&left))) * 100.0,
+            part(&made, made.served_worth) * 100.0
         );
     }
     Ok(())
@@ -194,11 +196,11 @@
 
 /// A part of what is asked, in worth.
 fn part(made: &Plan, worth: f64) -> f64 {
-    worth / made.worth.1.max(f64::MIN_POSITIVE)
+    worth / made.requested_worth.max(f64::MIN_POSITIVE)
 }
 
 fn helps(made: &Plan, place: usize) -> String {
-    match made.one_more[place] {
+    match made.marginal_worth[place] {
         more if more > 0.0 => format!("; one worker more there would serve {more:.1} of worth a second"),
         _ => String::new(),
     }
@@ -207,7 +209,7 @@
 /// What is refused by plan and class, in a line.
 fn summary(sites: &Sites, made: &Plan) -> String {
     let mut sums: Vec<(String, f64, f64)> = Vec::new();
-    for part in &made.parts {
+    for part in &made.placements {
         let load = &sites.loads[part.load];
         let name = format!("{} of `{}`", load.class, load.plan);
         if !sums.iter().any(|(known, ..)| *known == name) {
@@ -233,7 +235,7 @@
 fn what_if(sites: &Sites, lose: &[String], times: f64) -> Result<(), String> {
     let left = sites.without(lose, times);
     let made = plan(&left)?;
-    say!("{}; {:.1}% of the worth is served", summary(&left, &made), part(&made, made.worth.0) * 100.0);
+    say!("{}; {:.1}% of the worth is served", summary(&left, &made), part(&made, made.served_worth) * 100.0);
     say!(
         "{:<10} {:<10} {:<8} {:>8}  {:<32} {:>8}",
         "site",
@@ -243,7 +245,7 @@
         "goes to",
         "refused"
     );
-    for part in &made.parts {
+    for part in &made.placements {
         let load = &left.loads[part.load];
         let goes: Vec<String> = part
             .shares
@@ -266,7 +268,7 @@
     say!("refused first, as load grows from this:");
     for refusal in Plan::refusals(&left)? {
         let load = &left.loads[refusal.load];
-        match refusal.from {
+        match refusal.threshold {
             Some(from) => {
                 say!("  {} of `{}` at `{}`, from {from:.2} times on", load.class, load.plan, load.site)
             }
