--- a/crates/failover/src/drift.rs
+++ b/crates/failover/src/drift.rs
@@ -6,6 +6,8 @@
 
 /// Time constant of the load average, µs.
 const AVERAGING_WINDOW_US: f64 = 10e6;
+/// Shortest interval that a rate is measured over, µs.
+const MIN_SAMPLE_US: f64 = 500_000.0;
 /// Ratio between measured and planned load from which on it has drifted.
 const DRIFT_RATIO: f64 = 1.25;
 /// Minimum duration of a drift, µs: shorter bursts are ignored.
@@ -60,7 +62,7 @@
     /// Advances time; returns the load factors to replan for when a replan is due.
     pub fn poll(&mut self, now: Micros) -> Option<BTreeMap<(usize, usize), f64>> {
         let span = now.saturating_sub(self.last_poll) as f64;
-        if span < 500_000.0 {
+        if span < MIN_SAMPLE_US {
             return None;
         }
         self.last_poll = now;
--- a/crates/failover/src/monitor.rs
+++ b/crates/failover/src/monitor.rs
@@ -300,7 +300,7 @@
 
     /// Records the result of an attempt.
     pub fn attempt_finished(&mut self, now: Micros, id: u64, evidence: AttemptEvidence) {
-        let given_up = self.usual_times(CANCELLED_FACTOR, MIN_CANCELLED_WAIT);
+        let cancelled_wait = self.usual_times(CANCELLED_FACTOR, MIN_CANCELLED_WAIT);
         let Some(worker) = self.workers.get_mut(&id) else { return };
         worker.in_flight = worker.in_flight.saturating_sub(1);
         let site = worker.site;
@@ -320,7 +320,7 @@
                 // Cancelled attempts count as failures only after a long wait.
                 let waited = worker.awaiting_since.map_or(0, |since| now.saturating_sub(since));
                 worker.awaiting_since = worker.awaiting_since.filter(|_| worker.in_flight > 0);
-                if waited > given_up {
+                if waited > cancelled_wait {
                     worker.failed = true;
                     self.record_failure(now, site);
                 }
@@ -331,20 +331,20 @@
     fn record_response(&mut self, now: Micros, site: usize, latency: Micros) {
         // Skips the scan in the usual case without failures.
         if self.sites[site].failures > 0 {
-            let own = self.workers.values_mut().filter(|worker| worker.site == site);
-            own.for_each(|worker| worker.failed = false);
+            let workers = self.workers.values_mut().filter(|worker| worker.site == site);
+            workers.for_each(|worker| worker.failed = false);
         }
         let latency = latency as f64;
         self.usual_latency += (latency - self.usual_latency) * LATENCY_WEIGHT;
         let (config, workers) = (&self.config, &self.workers);
-        let own = &mut self.sites[site];
-        own.responses = own.responses.saturating_add(1);
-        own.latency += (latency - own.latency) * LATENCY_WEIGHT.max(1.0 / f64::from(own.responses));
-        let idle = own.last_response.map_or(f64::MAX, |at| now.saturating_sub(at) as f64);
-        own.rate = own.rate * (-idle / RATE_WINDOW_US).exp() + 1e6 / RATE_WINDOW_US;
-        own.peak_rate = own.peak_rate.max(own.rate);
-        (own.failures, own.last_response) = (0, Some(now));
-        match &mut own.state {
+        let record = &mut self.sites[site];
+        record.responses = record.responses.saturating_add(1);
+        record.latency += (latency - record.latency) * LATENCY_WEIGHT.max(1.0 / f64::from(record.responses));
+        let idle = record.last_response.map_or(f64::MAX, |at| now.saturating_sub(at) as f64);
+        record.rate = record.rate * (-idle / RATE_WINDOW_US).exp() + 1e6 / RATE_WINDOW_US;
+        record.peak_rate = record.peak_rate.max(record.rate);
+        (record.failures, record.last_response) = (0, Some(now));
+        match &mut record.state {
             State::Healthy => {}
             State::Recovering { responses, .. } => *responses += 1,
             // An operator override outranks responses.
@@ -354,7 +354,7 @@
                 let new = |worker: &Worker| worker.started.is_some_and(|at| at >= since);
                 let restarted = workers.values().any(|worker| worker.site == site && new(worker));
                 let brief = now < since + config.max_blip && !restarted;
-                own.state = match brief {
+                record.state = match brief {
                     true => State::Healthy,
                     false => State::Recovering {
                         share: config.initial_share,
@@ -391,8 +391,8 @@
 
     /// Number of a site's ready workers, and of those that failed since its last response.
     fn workers_of(&self, site: usize) -> (usize, usize) {
-        let own = self.workers.values().filter(|worker| worker.site == site && worker.ready);
-        own.fold((0, 0), |(ready, failed), worker| (ready + 1, failed + usize::from(worker.failed)))
+        let workers = self.workers.values().filter(|worker| worker.site == site && worker.ready);
+        workers.fold((0, 0), |(ready, failed), worker| (ready + 1, failed + usize::from(worker.failed)))
     }
 
     /// A multiple of the usual latency, but at least `min`.
@@ -402,32 +402,32 @@
 
     fn lose(&mut self, now: Micros, site: usize, cause: LossCause) {
         let (reset, min, max) = (self.config.backoff_reset, self.config.min_backoff, self.config.max_backoff);
-        let own = &mut self.sites[site];
-        if now > own.last_unhealthy.saturating_add(reset) {
-            own.losses = 0;
+        let record = &mut self.sites[site];
+        if now > record.last_unhealthy.saturating_add(reset) {
+            record.losses = 0;
         }
         // Exponential backoff for a flapping site.
-        let exponent = own.losses.min(16);
+        let exponent = record.losses.min(16);
         let backoff = if exponent == 0 { 0 } else { min.saturating_mul(1 << (exponent - 1)).min(max) };
-        own.losses = own.losses.saturating_add(u32::from(cause == LossCause::Unresponsive));
-        own.last_unhealthy = now;
+        record.losses = record.losses.saturating_add(u32::from(cause == LossCause::Unresponsive));
+        record.last_unhealthy = now;
         let probe_at = now + backoff.max(self.config.probe_interval);
-        own.state = State::Lost { since: now, cause, probe_at, probe: None };
+        record.state = State::Lost { since: now, cause, probe_at, probe: None };
     }
 
     /// Records when, by the local clock, a peer last received a response from a site.
     pub fn record_peer_response(&mut self, from: u32, site: &str, at: Micros) {
-        let Some(own) = self.sites.iter_mut().find(|own| own.name == site) else { return };
-        if own.peer_responses.len() < MAX_PEERS || own.peer_responses.contains_key(&from) {
-            let last = own.peer_responses.entry(from).or_insert(at);
+        let Some(record) = self.sites.iter_mut().find(|record| record.name == site) else { return };
+        if record.peer_responses.len() < MAX_PEERS || record.peer_responses.contains_key(&from) {
+            let last = record.peer_responses.entry(from).or_insert(at);
             *last = at.max(*last);
         }
     }
 
     /// Time since the last response of each site that ever responded, to report to peers.
     pub fn response_ages(&self, now: Micros) -> Vec<(&str, Micros)> {
-        let since = |own: &Site| own.last_response.map(|at| now.saturating_sub(at));
-        self.sites.iter().filter_map(|own| Some((own.name.as_str(), since(own)?))).collect()
+        let since = |record: &Site| record.last_response.map(|at| now.saturating_sub(at));
+        self.sites.iter().filter_map(|record| Some((record.name.as_str(), since(record)?))).collect()
     }
 
     /// Sets or, with `None`, clears an operator's override of a site.
@@ -435,7 +435,7 @@
     /// # Errors
     /// There is no such site.
     pub fn set_override(&mut self, now: Micros, site: &str, value: Option<Override>) -> Result<(), String> {
-        let index = self.sites.iter().position(|own| own.name == site);
+        let index = self.sites.iter().position(|record| record.name == site);
         let index = index.ok_or_else(|| format!("there is no site `{site}`"))?;
         let before = std::mem::replace(&mut self.sites[index].operator_override, value);
         match value {
@@ -489,8 +489,8 @@
     }
 
     fn check_listing(&mut self, now: Micros, site: usize) {
-        let mut own = self.workers.values().filter(|worker| worker.site == site);
-        let ready = own.any(|worker| worker.ready);
+        let mut workers = self.workers.values().filter(|worker| worker.site == site);
+        let ready = workers.any(|worker| worker.ready);
         match (self.sites[site].state, ready) {
             (State::Healthy | State::Recovering { .. }, false) if self.sites[site].responses > 0 => {
                 self.lose(now, site, LossCause::Unlisted);
@@ -506,11 +506,11 @@
 
     /// Moves a recovering site to the next or previous ramp step, or declares it lost.
     fn advance_ramp(&mut self, now: Micros, site: usize) {
-        let (config, own) = (&self.config, &mut self.sites[site]);
-        let State::Recovering { share, since, responses, failures } = own.state else { return };
+        let (config, record) = (&self.config, &mut self.sites[site]);
+        let State::Recovering { share, since, responses, failures } = record.state else { return };
         if now < since + config.ramp_step
             || responses + failures == 0
-            || own.operator_override == Some(Override::Hold)
+            || record.operator_override == Some(Override::Hold)
         {
             return;
         }
@@ -527,11 +527,11 @@
             return;
         };
         if next >= 1.0 {
-            own.state = State::Healthy;
+            record.state = State::Healthy;
         } else if next < config.initial_share {
             self.lose(now, site, LossCause::Unresponsive);
         } else {
-            own.state = State::Recovering { share: next, since: now, responses: 0, failures: 0 };
+            record.state = State::Recovering { share: next, since: now, responses: 0, failures: 0 };
         }
     }
 
@@ -550,7 +550,7 @@
 
     /// Lost sites that are closed; none if no ready worker would remain.
     pub fn lost_sites(&self) -> BTreeSet<usize> {
-        let lost = |own: &Site| matches!(own.state, State::Lost { .. });
+        let lost = |record: &Site| matches!(record.state, State::Lost { .. });
         let all: BTreeSet<usize> = (0..self.sites.len()).filter(|site| lost(&self.sites[*site])).collect();
         let remaining = self.workers.values().any(|worker| worker.ready && !all.contains(&worker.site));
         if remaining {
@@ -562,8 +562,8 @@
 
     /// Whether a healthy site with ready workers can take the load that a recovering one does not get.
     fn any_healthy(&self) -> bool {
-        let well = |worker: &Worker| worker.ready && self.sites[worker.site].state == State::Healthy;
-        self.workers.values().any(well)
+        let healthy = |worker: &Worker| worker.ready && self.sites[worker.site].state == State::Healthy;
+        self.workers.values().any(healthy)
     }
 
     fn admission(&self, site: usize, lost: &BTreeSet<usize>, any_healthy: bool) -> Admission {
@@ -576,7 +576,7 @@
 
     /// Whether any site is lost or recovering.
     pub fn is_degraded(&self) -> bool {
-        self.sites.iter().any(|own| own.state != State::Healthy)
+        self.sites.iter().any(|record| record.state != State::Healthy)
     }
 
     /// Name, status and evidence of each site.
@@ -588,10 +588,10 @@
 
     /// Status of a site.
     fn status(&self, now: Micros, site: usize) -> SiteStatus {
-        let own = &self.sites[site];
-        match own.state {
+        let record = &self.sites[site];
+        match record.state {
             State::Lost { since, cause: LossCause::Unresponsive, .. }
-                if own.peer_responses.values().any(|at| *at > since + MIN_SILENCE) =>
+                if record.peer_responses.values().any(|at| *at > since + MIN_SILENCE) =>
             {
                 SiteStatus::CutOff
             }
@@ -604,34 +604,37 @@
     }
 
     fn is_warming_up(&self, now: Micros, site: usize) -> bool {
-        let mut own = self.workers.values().filter(|worker| worker.site == site && worker.ready).peekable();
+        let mut workers =
+            self.workers.values().filter(|worker| worker.site == site && worker.ready).peekable();
         let new = |worker: &Worker| worker.started.is_some_and(|at| now < at + self.config.warm_up);
-        own.peek().is_some() && own.all(new)
+        workers.peek().is_some() && workers.all(new)
     }
 
     fn is_slow(&self, site: usize) -> bool {
-        let own = &self.sites[site];
+        let record = &self.sites[site];
         let others = self
             .sites
             .iter()
             .enumerate()
             .filter(|(n, other)| *n != site && other.responses >= MIN_LATENCY_SAMPLES);
         let fastest = others.map(|(_, other)| other.latency).fold(f64::MAX, f64::min);
-        own.responses >= MIN_LATENCY_SAMPLES && fastest < f64::MAX && own.latency > SLOW_FACTOR * fastest
+        record.responses >= MIN_LATENCY_SAMPLES
+            && fastest < f64::MAX
+            && record.latency > SLOW_FACTOR * fastest
     }
 
     fn evidence(&self, now: Micros, site: usize) -> String {
-        let own = &self.sites[site];
+        let record = &self.sites[site];
         let (ready, failed) = self.workers_of(site);
-        let heard = match own.last_response {
+        let heard = match record.last_response {
             Some(at) => format!("heard {:.1} s ago", now.saturating_sub(at) as f64 / 1e6),
             None => "never heard".into(),
         };
         let mut text = format!(
             "{heard}, {:.1} answers a second then, {:.1} at the most, {failed} of {ready} workers failed since",
-            own.rate, own.peak_rate
+            record.rate, record.peak_rate
         );
-        if let State::Lost { since, probe_at, .. } = own.state {
+        if let State::Lost { since, probe_at, .. } = record.state {
             let of = |at: Micros| at.saturating_sub(now) as f64 / 1e6;
             text += &format!(
                 ", lost for {:.1} s, next probe in {:.1} s",
@@ -639,10 +642,10 @@
                 of(probe_at)
             );
         }
-        if own.losses > 1 && own.state != State::Healthy {
-            text += &format!(", lost {} times of late", own.losses);
+        if record.losses > 1 && record.state != State::Healthy {
+            text += &format!(", lost {} times of late", record.losses);
         }
-        if let Some(operator_override) = own.operator_override {
+        if let Some(operator_override) = record.operator_override {
             text += match operator_override {
                 Override::Lost => ", declared lost",
                 Override::Healthy => ", declared well",
--- a/crates/failover/src/shedder.rs
+++ b/crates/failover/src/shedder.rs
@@ -211,29 +211,29 @@
         Shedder::new(vec![tier(PUSH, 3.0, 3.0), tier(ENTE, 1.4, 1.0), tier(BASE, 0.5, 1.0)])
     }
 
-    /// Runs a window with these requests per tier, `short` of which find no worker.
-    fn window(shedder: &mut Shedder, n: &mut u64, asked: [(usize, (usize, usize)); 3], short: u64) {
-        for (times, of) in asked {
-            (0..times).for_each(|_| shedder.record_request(of));
+    /// Runs a window with these requests per tier, `unserved` of which find no worker.
+    fn window(shedder: &mut Shedder, n: &mut u64, load: [(usize, (usize, usize)); 3], unserved: u64) {
+        for (count, key) in load {
+            (0..count).for_each(|_| shedder.record_request(key));
         }
-        shedder.record_unserved(short);
+        shedder.record_unserved(unserved);
         *n += 1;
         shedder.poll(*n * WINDOW, true);
     }
 
-    const USUAL: [(usize, (usize, usize)); 3] = [(100, BASE), (100, ENTE), (20, PUSH)];
+    const NORMAL_LOAD: [(usize, (usize, usize)); 3] = [(100, BASE), (100, ENTE), (20, PUSH)];
 
     #[test]
     fn lowest_worth_is_refused_first() {
         let (mut shedder, mut n) = (shedder(), 0);
-        (0..3).for_each(|_| window(&mut shedder, &mut n, USUAL, 0));
+        (0..3).for_each(|_| window(&mut shedder, &mut n, NORMAL_LOAD, 0));
         assert_eq!(shedder.level(), Some(0.0));
-        window(&mut shedder, &mut n, USUAL, 33);
+        window(&mut shedder, &mut n, NORMAL_LOAD, 33);
         let refused = shedder.refused();
         // 33 of 220 requests found no worker: that fraction of 260 units of work is 39 of base's 100.
         assert!((refused[&BASE] - 0.39).abs() < 0.01, "{refused:?}");
         assert!(!refused.contains_key(&ENTE) && !refused.contains_key(&PUSH));
-        (0..3).for_each(|_| window(&mut shedder, &mut n, USUAL, 60));
+        (0..3).for_each(|_| window(&mut shedder, &mut n, NORMAL_LOAD, 60));
         let refused = shedder.refused();
         assert_eq!(refused[&BASE], 1.0);
         assert!(refused[&ENTE] > 0.5 && refused[&ENTE] <= 1.0, "{refused:?}");
@@ -242,7 +242,7 @@
     #[test]
     fn tiers_are_admitted_again_in_reverse_order() {
         let (mut shedder, mut n) = (shedder(), 0);
-        window(&mut shedder, &mut n, USUAL, 0);
+        window(&mut shedder, &mut n, NORMAL_LOAD, 0);
         shedder.raise_to(0.6);
         let at = |shedder: &Shedder| {
             (shedder.refused().get(&BASE).copied(), shedder.refused().get(&ENTE).copied())
@@ -250,7 +250,7 @@
         assert!(at(&shedder).0 == Some(1.0) && at(&shedder).1.is_some());
         let mut seen = Vec::new();
         while shedder.level > 0.0 {
-            window(&mut shedder, &mut n, USUAL, 0);
+            window(&mut shedder, &mut n, NORMAL_LOAD, 0);
             seen.push(at(&shedder));
         }
         let first_base = seen.iter().position(|(base, _)| *base != Some(1.0)).unwrap();
@@ -262,7 +262,7 @@
     #[test]
     fn planned_level_applies_at_once_and_never_lowers() {
         let (mut shedder, mut n) = (shedder(), 0);
-        window(&mut shedder, &mut n, USUAL, 0);
+        window(&mut shedder, &mut n, NORMAL_LOAD, 0);
         shedder.raise_to(100.0 / 260.0);
         assert!((shedder.level - 1.0).abs() < 1e-6);
         shedder.raise_to(0.1);
@@ -272,7 +272,7 @@
     #[test]
     fn some_requests_are_always_admitted() {
         let (mut shedder, mut n) = (shedder(), 0);
-        (0..50).for_each(|_| window(&mut shedder, &mut n, USUAL, 200));
+        (0..50).for_each(|_| window(&mut shedder, &mut n, NORMAL_LOAD, 200));
         let push = shedder.refused()[&PUSH];
         assert!(push < 1.0 && push > 0.7, "{push}");
     }
@@ -281,7 +281,7 @@
     fn levels_of_gateways_converge() {
         let mut all = [shedder(), shedder(), shedder()];
         let mut n = [0; 3];
-        (0..3).for_each(|g| window(&mut all[g], &mut n[g], USUAL, 0));
+        (0..3).for_each(|g| window(&mut all[g], &mut n[g], NORMAL_LOAD, 0));
         all[0].raise_to(0.5);
         for _ in 0..6 {
             let levels: Vec<f64> = all.iter().map(|shedder| shedder.level).collect();
@@ -291,7 +291,7 @@
                     .enumerate()
                     .filter(|(other, _)| *other != g)
                     .for_each(|(_, l)| all[g].record_peer_level(*l));
-                window(&mut all[g], &mut n[g], USUAL, 6);
+                window(&mut all[g], &mut n[g], NORMAL_LOAD, 6);
             }
         }
         let levels: Vec<f64> = all.iter().map(|shedder| shedder.level).collect();
@@ -305,19 +305,21 @@
     #[test]
     fn short_shortage_refuses_nothing_while_no_site_is_lost() {
         let (mut shedder, mut n) = (shedder(), 0);
-        let mut calm = |shedder: &mut Shedder, short: u64| {
-            USUAL.iter().for_each(|(times, of)| (0..*times).for_each(|_| shedder.record_request(*of)));
-            shedder.record_unserved(short);
+        let mut run_window = |shedder: &mut Shedder, unserved: u64| {
+            NORMAL_LOAD
+                .iter()
+                .for_each(|(count, key)| (0..*count).for_each(|_| shedder.record_request(*key)));
+            shedder.record_unserved(unserved);
             n += 1;
             shedder.poll(n * WINDOW, false);
         };
-        calm(&mut shedder, 0);
-        (0..3).for_each(|_| calm(&mut shedder, 60));
+        run_window(&mut shedder, 0);
+        (0..3).for_each(|_| run_window(&mut shedder, 60));
         assert_eq!(shedder.level(), Some(0.0), "for a second and a half");
-        calm(&mut shedder, 0);
-        (0..3).for_each(|_| calm(&mut shedder, 60));
+        run_window(&mut shedder, 0);
+        (0..3).for_each(|_| run_window(&mut shedder, 60));
         assert_eq!(shedder.level(), Some(0.0), "the windows must be consecutive");
-        calm(&mut shedder, 60);
+        run_window(&mut shedder, 60);
         assert!(shedder.level > 0.5, "a lasting shortage is an overload");
     }
 
--- a/crates/failover/src/view.rs
+++ b/crates/failover/src/view.rs
@@ -90,32 +90,34 @@
 
     /// Whether a request's load is assigned to a zone's site, drawn by the request's bits from the shares of the
     /// failover plan. Without a plan every zone is preferred.
-    pub fn prefers(&self, zone: &str, of: (usize, usize), bits: u64) -> bool {
-        let Some(shares) = self.shares.get(&of).filter(|_| !self.unrestricted) else { return true };
+    pub fn prefers(&self, zone: &str, key: (usize, usize), bits: u64) -> bool {
+        let Some(shares) = self.shares.get(&key).filter(|_| !self.unrestricted) else { return true };
         let Some(site) = self.zones.get(zone) else { return false };
         // Shares sum to the served fraction, so the draw is scaled by it.
-        let all: f64 = shares.iter().sum();
-        let mut left = unit(bits.rotate_left(32)) * all;
-        for (place, share) in shares.iter().enumerate() {
+        let total: f64 = shares.iter().sum();
+        let mut left = unit(bits.rotate_left(32)) * total;
+        for (index, share) in shares.iter().enumerate() {
             left -= share;
             if left < 0.0 {
-                return place == *site;
+                return index == *site;
             }
         }
-        all <= 0.0
+        total <= 0.0
     }
 
     /// Whether an account's request is refused. `account` is a hash of its name alone, so gateways with the same
     /// fraction refuse the same accounts. The refused accounts rotate every ten seconds, each at its own offset.
-    pub fn refuses(&self, of: (usize, usize), account: u64, now: Micros) -> bool {
-        let Some(part) = self.refused.get(&of).copied().filter(|part| *part > 0.0) else { return false };
+    pub fn refuses(&self, key: (usize, usize), account: u64, now: Micros) -> bool {
+        let Some(fraction) = self.refused.get(&key).copied().filter(|fraction| *fraction > 0.0) else {
+            return false;
+        };
         let period = (now + account % REFUSAL_PERIOD) / REFUSAL_PERIOD;
-        (unit(account) + period as f64 * GOLDEN_FRACTION).fract() < part
+        (unit(account) + period as f64 * GOLDEN_FRACTION).fract() < fraction
     }
 
     /// The refused fraction of a plan's and class's accounts.
-    pub fn refused(&self, of: (usize, usize)) -> f64 {
-        self.refused.get(&of).copied().unwrap_or(0.0)
+    pub fn refused(&self, key: (usize, usize)) -> f64 {
+        self.refused.get(&key).copied().unwrap_or(0.0)
     }
 }
 
@@ -127,7 +129,7 @@
         [("a1", 0), ("a2", 0), ("b", 1), ("c", 2)].map(|(zone, site)| (zone.to_owned(), site)).into()
     }
 
-    fn of(shares: [f64; 3]) -> View {
+    fn view_with(shares: [f64; 3]) -> View {
         let sites = shares.map(|share| Admission { share, probe: None }).to_vec();
         View::new(zones(), sites, Shares::new(), Refused::new())
     }
@@ -141,14 +143,14 @@
 
     #[test]
     fn growing_share_only_adds_requests() {
-        let went = |share: f64| -> Vec<u64> {
-            (0..10_000).filter(|bits| of([share, 1.0, 1.0]).admits("a2", *bits, true, 0)).collect()
+        let admitted = |share: f64| -> Vec<u64> {
+            (0..10_000).filter(|bits| view_with([share, 1.0, 1.0]).admits("a2", *bits, true, 0)).collect()
         };
-        let (few, more) = (went(0.125), went(0.5));
+        let (few, more) = (admitted(0.125), admitted(0.5));
         assert!((few.len() as f64 - 1_250.0).abs() < 120.0, "{}", few.len());
         assert!((more.len() as f64 - 5_000.0).abs() < 200.0, "{}", more.len());
         assert!(few.iter().all(|bits| more.contains(bits)));
-        assert!(went(0.0).is_empty());
+        assert!(admitted(0.0).is_empty());
     }
 
     #[test]
--- a/crates/turns/tests/common/mod.rs
+++ b/crates/turns/tests/common/mod.rs
@@ -196,7 +196,7 @@
     totals: BTreeMap<String, f64>,
     /// When the counter has worked off its queue.
     counter_busy_until: f64,
-    named: u64,
+    last_request_id: u64,
     open: BTreeMap<String, (usize, usize, f64)>,
     pub metrics: Metrics,
 }
@@ -271,7 +271,7 @@
             batches: Vec::new(),
             totals: BTreeMap::new(),
             counter_busy_until: START as f64,
-            named: 0,
+            last_request_id: 0,
             open: BTreeMap::new(),
             metrics: Metrics::default(),
         };
@@ -445,8 +445,8 @@
         }
         let gateway = up[self.rng.usize(..up.len())];
         let units = 1.0 + self.rng.u64(..3) as f64;
-        self.named += 1;
-        let id = format!("{}", self.named);
+        self.last_request_id += 1;
+        let id = format!("{}", self.last_request_id);
         self.metrics.requested += if self.ceiling(account) { 0.0 } else { units };
         self.open.insert(id.clone(), (account, gateway, units));
         self.handle_event(
@@ -471,7 +471,7 @@
             match action {
                 Action::Send { request, worker, .. } => {
                     self.judge_outcome(&request.0, true);
-                    self.judge_cold(worker.0);
+                    self.check_cold_load(worker.0);
                     let incarnation = self.gateways[gateway].incarnation;
                     self.after(SERVICE_TIME, SimEvent::Done(gateway, incarnation, request.0));
                 }
@@ -492,7 +492,7 @@
         let Some((account, gateway, units)) = self.open.remove(request) else { return };
         if self.ceiling(account) {
             return if sent {
-                self.judge_ceiling(account, units)
+                self.check_ceiling(account, units)
             };
         }
         let (rate, burst) = self.scenario.quota;
@@ -519,7 +519,7 @@
         }
     }
 
-    fn judge_ceiling(&mut self, account: usize, units: f64) {
+    fn check_ceiling(&mut self, account: usize, units: f64) {
         let (rate, burst) = self.scenario.quota;
         let store = &mut self.accounts[account];
         let span = self.now - std::mem::replace(&mut store.at, self.now);
@@ -529,7 +529,7 @@
     }
 
     /// Compares a cold worker's recent load with what overloads it.
-    fn judge_cold(&mut self, worker: u64) {
+    fn check_cold_load(&mut self, worker: u64) {
         let Some(cold) = self.cold.get_mut(&worker) else { return };
         let age = self.now - cold.started;
         if age >= WARM_UP {
@@ -541,9 +541,9 @@
         }
         let capacity =
             1e6 / SERVICE_TIME as f64 * (COLD_FRACTION + (1.0 - COLD_FRACTION) * age as f64 / WARM_UP as f64);
-        let may = capacity * OVERLOAD_FACTOR * OVERLOAD_WINDOW as f64 / 1e6;
-        let topples = may + 3.0 * may.sqrt() + 3.0;
-        self.metrics.cold_overload = self.metrics.cold_overload.max(cold.sent.len() as f64 / topples);
+        let allowed = capacity * OVERLOAD_FACTOR * OVERLOAD_WINDOW as f64 / 1e6;
+        let overload = allowed + 3.0 * allowed.sqrt() + 3.0;
+        self.metrics.cold_overload = self.metrics.cold_overload.max(cold.sent.len() as f64 / overload);
     }
 
     fn count(&mut self, by: usize, increment: Increment) {
