--- a/crates/sites/src/lib.rs
+++ b/crates/sites/src/lib.rs
@@ -1,18 +1,18 @@
-//! Plans for the loss of a site, made ahead: for every single loss what share of each load goes where, what is
-//! refused, in which order and from what load on. Nothing here reads a clock or a file.
+//! Failover plans for the loss of sites, made in advance: where each load goes, what is refused, in which order and
+//! from which load on. Does no I/O and reads no clock.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
-mod ahead;
+mod failover_plans;
 mod file;
 mod greedy;
 mod model;
 mod page;
 mod plan;
 
-pub use ahead::{Ahead, Who};
-pub use file::{read, read_section};
-pub use greedy::{greedy, worth};
+pub use failover_plans::{FailoverPlans, GatewayIdentity};
+pub use file::{parse, parse_section};
+pub use greedy::{greedy, total_worth};
 pub use model::{Load, Site, Sites};
 pub use page::page;
-pub use plan::{plan, Part, Plan, Refusal};
+pub use plan::{plan, Placement, Plan, Refusal};
