--- a/crates/control-tool/src/arguments.rs
+++ b/crates/control-tool/src/arguments.rs
@@ -1,4 +1,4 @@
-//! The command line.
+//! Command-line arguments.
 
 use std::net::SocketAddr;
 
--- a/crates/control-tool/src/commands.rs
+++ b/crates/control-tool/src/commands.rs
@@ -1,41 +1,41 @@
-//! What each command does.
+//! Implementation of the commands.
 
 use crate::arguments::{Explain, HingestageCtlCmd, Status, Trial};
-use crate::lines;
+use crate::format;
 use crate::survey::{self, Node};
 use hingestage_rpc::status::Explanation;
 use std::io::Write;
 use std::process::ExitCode;
 
-/// How a command ends that did its work.
+/// Result of a command that ran to its end; determines the exit code.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// All is well, or something was found and everybody answered.
-    Well,
-    /// A node has a problem or is unreachable, or nothing was found.
+    /// All processes answered, and no problem was found or the query had a result.
+    Success,
+    /// A process has a problem or is unreachable, or nothing was found.
     Problem,
 }
 
 impl From<Outcome> for ExitCode {
     fn from(outcome: Outcome) -> ExitCode {
         match outcome {
-            Outcome::Well => ExitCode::SUCCESS,
+            Outcome::Success => ExitCode::SUCCESS,
             Outcome::Problem => ExitCode::FAILURE,
         }
     }
 }
 
 impl Outcome {
-    fn well_if(well: bool) -> Outcome {
-        if well {
-            Outcome::Well
+    fn success_if(success: bool) -> Outcome {
+        if success {
+            Outcome::Success
         } else {
             Outcome::Problem
         }
     }
 }
 
-/// Runs the command that the command line names.
+/// Runs a command.
 pub async fn run(command: HingestageCtlCmd) -> eyre::Result<Outcome> {
     match command {
         HingestageCtlCmd::Status(arguments) => status(&arguments).await,
@@ -49,51 +49,51 @@
     if arguments.json {
         write_lines(&[serde_json::to_string_pretty(&survey)?])?;
     } else {
-        write_lines(&lines::of_survey(&survey))?;
+        write_lines(&format::survey(&survey))?;
     }
-    Ok(Outcome::well_if(survey.is_well()))
+    Ok(Outcome::success_if(survey.is_healthy()))
 }
 
 async fn explain(arguments: &Explain) -> eyre::Result<Outcome> {
-    let asked_for = &arguments.id_or_tenant;
-    let (registries, proxies) = survey::explain(arguments.registry, asked_for).await;
+    let id_or_tenant = &arguments.id_or_tenant;
+    let (registries, proxies) = survey::explain(arguments.registry, id_or_tenant).await;
     let mut found = Vec::new();
     for node in &proxies {
         if let Some(explanation) = &node.state {
-            found.extend(lines::of_explanation(&node.name, asked_for, explanation));
+            found.extend(format::explanation(&node.name, id_or_tenant, explanation));
         }
     }
     write_lines(&found)?;
     let all_answered =
-        report_silent("registry", &registries) & report_silent::<Explanation>("proxy", &proxies);
+        report_unreachable("registry", &registries) & report_unreachable::<Explanation>("proxy", &proxies);
     if found.is_empty() {
-        eprintln!("nothing is remembered of {asked_for}");
+        eprintln!("nothing is remembered of {id_or_tenant}");
     }
-    Ok(Outcome::well_if(all_answered && !found.is_empty()))
+    Ok(Outcome::success_if(all_answered && !found.is_empty()))
 }
 
 async fn trial(arguments: &Trial) -> eyre::Result<Outcome> {
     let found = survey::trial(arguments.registry, &arguments.tenant).await;
-    let mut told = Vec::new();
+    let mut output = Vec::new();
     for node in &found.stores {
         let entries = node.state.iter().flatten();
-        told.extend(entries.map(|entry| lines::of_audit(&node.name, entry)));
+        output.extend(entries.map(|entry| format::audit_entry(&node.name, entry)));
     }
     for node in &found.proxies {
-        told.extend(node.state.iter().flatten().map(|view| lines::of_trial(&node.name, view)));
+        output.extend(node.state.iter().flatten().map(|view| format::trial_view(&node.name, view)));
     }
-    write_lines(&told)?;
-    let all_answered = report_silent("registry", &found.registries)
-        & report_silent("store", &found.stores)
-        & report_silent("proxy", &found.proxies);
-    if told.is_empty() {
+    write_lines(&output)?;
+    let all_answered = report_unreachable("registry", &found.registries)
+        & report_unreachable("store", &found.stores)
+        & report_unreachable("proxy", &found.proxies);
+    if output.is_empty() {
         eprintln!("{} has no trial", arguments.tenant);
     }
-    Ok(Outcome::well_if(all_answered && !told.is_empty()))
+    Ok(Outcome::success_if(all_answered && !output.is_empty()))
 }
 
-/// Names the processes that did not answer; true where there are none.
-fn report_silent<State>(kind: &str, nodes: &[Node<State>]) -> bool {
+/// Prints the processes that did not answer to stderr. Returns whether all answered.
+fn report_unreachable<State>(kind: &str, nodes: &[Node<State>]) -> bool {
     for node in nodes {
         if let Some(error) = &node.error {
             eprintln!("{kind} {} {}: {error}", node.name, node.addr);
@@ -103,9 +103,9 @@
 }
 
 fn write_lines(lines: &[String]) -> eyre::Result<()> {
-    let mut output = std::io::stdout().lock();
+    let mut stdout = std::io::stdout().lock();
     for line in lines {
-        writeln!(output, "{line}")?;
+        writeln!(stdout, "{line}")?;
     }
     Ok(())
 }
--- a/crates/control-tool/src/lines.rs
+++ b/crates/control-tool/src/format.rs
@@ -1,4 +1,4 @@
-//! States as lines of text.
+//! Formats statuses as lines of text.
 
 use crate::health::Health;
 use crate::survey::{Node, Survey};
@@ -12,29 +12,30 @@
 use std::collections::BTreeMap;
 use std::time::{Duration, UNIX_EPOCH};
 
-/// One line for each process.
-pub fn of_survey(survey: &Survey) -> Vec<String> {
-    let registries = survey.registries.iter().map(|node| of_node("registry", node, registry));
-    let stores = survey.stores.iter().map(|node| of_node("store", node, store));
-    let proxies = survey.proxies.iter().map(|node| of_node("proxy", node, proxy));
+/// One line per process.
+pub fn survey(survey: &Survey) -> Vec<String> {
+    let registries = survey.registries.iter().map(|node| node_line("registry", node, registry));
+    let stores = survey.stores.iter().map(|node| node_line("store", node, store));
+    let proxies = survey.proxies.iter().map(|node| node_line("proxy", node, proxy));
     registries.chain(stores).chain(proxies).collect()
 }
 
-/// What a proxy tells of a request or tenant, one line for each request.
-pub fn of_explanation(proxy: &str, asked_for: &str, explanation: &Explanation) -> Vec<String> {
-    let tenant = explanation.tenant.iter().map(|tenant| format!("{proxy}  {}", of_tenant(asked_for, tenant)));
-    let requests = explanation.requests.iter().map(|request| format!("{proxy}  {}", of_request(request)));
+/// A proxy's records of a request or tenant: the tenant's counters, then one line per request.
+pub fn explanation(proxy: &str, id_or_tenant: &str, explanation: &Explanation) -> Vec<String> {
+    let tenant =
+        explanation.tenant.iter().map(|tenant| format!("{proxy}  {}", tenant_counters(id_or_tenant, tenant)));
+    let requests = explanation.requests.iter().map(|request| format!("{proxy}  {}", request_record(request)));
     tenant.chain(requests).collect()
 }
 
-/// A step of a trial as a store took it in.
-pub fn of_audit(store: &str, entry: &AuditEntry) -> String {
+/// An entry of a store's trial audit log.
+pub fn audit_entry(store: &str, entry: &AuditEntry) -> String {
     let at = humantime::format_rfc3339_millis(UNIX_EPOCH + Duration::from_millis(entry.at));
     format!("{store}  {at}  {}", position(Some(entry.position)))
 }
 
-/// How a proxy judges a trial.
-pub fn of_trial(proxy: &str, view: &TrialView) -> String {
+/// A proxy's view of a trial.
+pub fn trial_view(proxy: &str, view: &TrialView) -> String {
     let names = ["refused last", "ordinary", "deferred"];
     let counts = names.iter().zip(&view.counts).map(|(name, count)| {
         let TrialCount { passed, slowed, ended, unknown } = count;
@@ -54,7 +55,7 @@
         .map_or("none".to_owned(), |position| format!("version {} step {}", position.version, position.step))
 }
 
-fn of_node<State: Health>(kind: &str, node: &Node<State>, text: fn(&State) -> String) -> String {
+fn node_line<State: Health>(kind: &str, node: &Node<State>, text: fn(&State) -> String) -> String {
     let name = if node.name.is_empty() { "?" } else { node.name.as_str() };
     let state = node.state.as_ref().map(text).unwrap_or_default();
     let problem = node.problem().map(|problem| format!("  PROBLEM: {problem}")).unwrap_or_default();
@@ -62,12 +63,12 @@
 }
 
 fn registry(state: &RegistryStatus) -> String {
-    let duty = match state.fence {
+    let reader = match state.fence {
         Some(fence) => format!("reads the list under fence {fence}"),
         None => "leaves the list to another".to_owned(),
     };
     format!(
-        "  zone {}  version {}  fresh {}  {duty}  list {}.{} of {}  proxies {}  limits {}  workers {}{}",
+        "  zone {}  version {}  fresh {}  {reader}  list {}.{} of {}  proxies {}  limits {}  workers {}{}",
         state.member.zone,
         version(state.config),
         age(state.fresh_age),
@@ -123,7 +124,7 @@
     )
 }
 
-fn of_tenant(name: &str, tenant: &TenantCounters) -> String {
+fn tenant_counters(name: &str, tenant: &TenantCounters) -> String {
     let last = tenant.last_refusal.map(|reason| format!(" (the last: {reason})")).unwrap_or_default();
     format!(
         "tenant {name}: {} served, {} refused{last}, {} failed",
@@ -131,7 +132,7 @@
     )
 }
 
-fn of_request(request: &RequestRecord) -> String {
+fn request_record(request: &RequestRecord) -> String {
     let status = request.status.map_or("no answer".to_owned(), |status| status.to_string());
     let attempts: Vec<String> =
         request.attempts.iter().map(|attempt| format!("{} ({})", attempt.worker, attempt.outcome)).collect();
@@ -163,7 +164,7 @@
     }
 }
 
-/// Workers by zone, over all services.
+/// Worker counts by zone, summed over all services.
 fn workers(groups: &[WorkerGroup]) -> String {
     let mut zones: BTreeMap<&CompactString, [u32; 3]> = BTreeMap::new();
     for group in groups {
--- a/crates/control-tool/src/health.rs
+++ b/crates/control-tool/src/health.rs
@@ -1,11 +1,11 @@
-//! What is wrong with a process, by what it tells.
+//! Health checks on the status of a process.
 
 use crate::survey::{Node, Survey};
 use hingestage_rpc::status::{KeyLease, ProxyState, RegistryStatus, StoreStatus};
 
-/// A state that may have a problem.
+/// A status that can be checked for problems.
 pub trait Health {
-    /// What is wrong, if anything is.
+    /// The problem, if there is one.
     fn problem(&self) -> Option<&'static str>;
 }
 
@@ -46,7 +46,7 @@
 }
 
 impl<State: Health> Node<State> {
-    /// What is wrong, if anything is.
+    /// The problem, if there is one.
     pub fn problem(&self) -> Option<&str> {
         match &self.state {
             Some(state) => state.problem(),
@@ -56,8 +56,8 @@
 }
 
 impl Survey {
-    /// Whether every process answers and has no problem.
-    pub fn is_well(&self) -> bool {
+    /// Whether every process answered without a problem.
+    pub fn is_healthy(&self) -> bool {
         self.registries.iter().all(|node| node.problem().is_none())
             && self.stores.iter().all(|node| node.problem().is_none())
             && self.proxies.iter().all(|node| node.problem().is_none())
--- a/crates/control-tool/src/main.rs
+++ b/crates/control-tool/src/main.rs
@@ -1,19 +1,19 @@
-//! `hingestage-ctl`: tells operators the state of a running system, and what became of requests.
+//! `hingestage-ctl`: shows operators the state of a running system and the outcome of requests.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
 mod arguments;
 mod commands;
+mod format;
 mod health;
-mod lines;
 mod survey;
 
 use arguments::HingestageCtl;
 use std::process::ExitCode;
 use tokio::task::LocalSet;
 
-/// The exit code for bad usage, or where the tool itself fails.
-const FAILURE: u8 = 2;
+/// Exit code for invalid usage or a failure of the tool itself.
+const FAILURE_EXIT_CODE: u8 = 2;
 
 fn main() -> ExitCode {
     let arguments = HingestageCtl::from_env_or_exit();
@@ -21,7 +21,7 @@
         Ok(outcome) => outcome.into(),
         Err(report) => {
             eprintln!("{report:#}");
-            ExitCode::from(FAILURE)
+            ExitCode::from(FAILURE_EXIT_CODE)
         }
     }
 }
--- a/crates/control-tool/src/survey.rs
+++ b/crates/control-tool/src/survey.rs
@@ -1,4 +1,4 @@
-//! Asks every process of the system that any registry or store knows.
+//! Queries every process that any registry or store knows.
 
 use compact_str::CompactString;
 use hingestage_rpc::messages::{RegistryAnswer, RegistryRequest, StoreAnswer, StoreRequest};
@@ -14,28 +14,28 @@
 use std::time::Duration;
 use tokio::task::spawn_local;
 
-/// How long one answer may take.
-const ANSWER_WITHIN: Duration = Duration::from_secs(2);
-/// Processes that are asked at a time.
-const AT_A_TIME: usize = 64;
+/// Timeout of one request.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(2);
+/// Maximum number of concurrent requests.
+const CONCURRENT_REQUESTS_MAX: usize = 64;
 
-/// Names of processes by address.
+/// Process names by address.
 pub type Names = BTreeMap<SocketAddr, CompactString>;
 
-/// A process, and what it answered.
+/// A process and its answer.
 #[derive(Debug, Serialize)]
 pub struct Node<State> {
-    /// Name of its machine, where it is known.
+    /// Name of its machine; empty if unknown.
     pub name: CompactString,
-    /// Where it is asked.
+    /// RPC address.
     pub addr: SocketAddr,
-    /// What it answered.
+    /// The answer, if it answered.
     pub state: Option<State>,
-    /// Why it did not.
+    /// The error, if it did not answer.
     pub error: Option<String>,
 }
 
-/// The state of a whole system.
+/// The status of all processes of a system.
 #[derive(Debug, Serialize)]
 pub struct Survey {
     /// Registries.
@@ -46,65 +46,65 @@
     pub proxies: Vec<Node<ProxyState>>,
 }
 
-/// Asks all processes for their states.
+/// Queries the status of all processes.
 pub async fn survey(registry: SocketAddr) -> Survey {
-    let registries = ask_registries(registry).await;
-    let stores = ask_stores(&registries).await;
-    let proxies = ask_all(proxy_names(&registries), &ProxyRequest::Status, proxy_state).await;
+    let registries = query_registries(registry).await;
+    let stores = query_stores(&registries).await;
+    let proxies = query_all(proxy_names(&registries), &ProxyRequest::Status, proxy_state).await;
     Survey { registries, stores, proxies }
 }
 
-/// Asks all proxies what became of a request or of a tenant's requests. Gives the registries' answers as well: a
-/// registry that does not answer may know proxies that no other knows.
+/// Queries all proxies for a request or a tenant's requests. Also returns the registries' answers, because an
+/// unreachable registry may know further proxies.
 pub async fn explain(
     registry: SocketAddr,
     id_or_tenant: &str,
 ) -> (Vec<Node<RegistryStatus>>, Vec<Node<Explanation>>) {
-    let registries = ask_registries(registry).await;
+    let registries = query_registries(registry).await;
     let request = ProxyRequest::Explain { id_or_tenant: id_or_tenant.into() };
-    let proxies = ask_all(proxy_names(&registries), &request, explanation).await;
+    let proxies = query_all(proxy_names(&registries), &request, explanation).await;
     (registries, proxies)
 }
 
-/// What is known of a tenant's trial.
+/// All answers about a tenant's trial.
 pub struct TrialSurvey {
     /// Registries.
     pub registries: Vec<Node<RegistryStatus>>,
-    /// Steps that each store took in.
+    /// The audit log of each store.
     pub stores: Vec<Node<Vec<AuditEntry>>>,
-    /// How each proxy judges it; none where it knows of none.
+    /// The view of each proxy; none if it knows no trial.
     pub proxies: Vec<Node<Option<TrialView>>>,
 }
 
-/// Asks all stores and proxies about a tenant's trial.
+/// Queries all stores and proxies for a tenant's trial.
 pub async fn trial(registry: SocketAddr, tenant: &str) -> TrialSurvey {
-    let registries = ask_registries(registry).await;
-    let stores = ask_stores(&registries).await;
+    let registries = query_registries(registry).await;
+    let stores = query_stores(&registries).await;
     let names = stores.into_iter().map(|node| (node.addr, node.name)).collect();
     let request = StoreRequest::TrialAudit { tenant: tenant.into() };
-    let stores = ask_all(names, &request, trial_audit).await;
+    let stores = query_all(names, &request, trial_audit).await;
     let request = ProxyRequest::Trial { tenant: tenant.into() };
-    let proxies = ask_all(proxy_names(&registries), &request, trial_view).await;
+    let proxies = query_all(proxy_names(&registries), &request, trial_view).await;
     TrialSurvey { registries, stores, proxies }
 }
 
-async fn ask_registries(first: SocketAddr) -> Vec<Node<RegistryStatus>> {
+async fn query_registries(first: SocketAddr) -> Vec<Node<RegistryStatus>> {
     let first = Names::from([(first, CompactString::default())]);
     let known = |state: &RegistryStatus| {
         let members = state.registries.iter();
         members.map(|member| (member.addr, member.id.node.clone())).collect()
     };
-    ask_and_follow(first, &RegistryRequest::Status, registry_state, known).await
+    query_transitively(first, &RegistryRequest::Status, registry_state, known).await
 }
 
-async fn ask_stores(registries: &[Node<RegistryStatus>]) -> Vec<Node<StoreStatus>> {
+async fn query_stores(registries: &[Node<RegistryStatus>]) -> Vec<Node<StoreStatus>> {
     let states = registries.iter().filter_map(|node| node.state.as_ref());
     let first = states.map(|state| (state.store, state.member.id.node.clone())).collect();
     let known = |state: &StoreStatus| {
         let members = state.members.iter();
         members.map(|member| (member.addr, member.name.clone())).collect()
     };
-    ask_and_follow(first, &StoreRequest::Status, store_state, known).await
+    query_transitively(first, &StoreRequest::Status, store_state, known).await
 }
 
 fn proxy_names(registries: &[Node<RegistryStatus>]) -> Names {
@@ -113,11 +113,11 @@
     proxies.map(|proxy| (proxy.peer, proxy.id.node.clone())).collect()
 }
 
-/// Asks some processes, then those that they know, until all have been asked.
-async fn ask_and_follow<Request, Answer, State>(
+/// Queries processes, then those that they know, until no new process is found.
+async fn query_transitively<Request, Answer, State>(
     first: Names,
     request: &Request,
-    state_of: fn(Answer) -> Option<State>,
+    extract: fn(Answer) -> Option<State>,
     known: impl Fn(&State) -> Names,
 ) -> Vec<Node<State>>
 where
@@ -129,11 +129,11 @@
     let mut names = first.clone();
     let mut next = first;
     while !next.is_empty() {
-        let asked = ask_all(next, request, state_of).await;
-        for state in asked.iter().filter_map(|node| node.state.as_ref()) {
+        let answered = query_all(next, request, extract).await;
+        for state in answered.iter().filter_map(|node| node.state.as_ref()) {
             names.extend(known(state));
         }
-        nodes.extend(asked);
+        nodes.extend(answered);
         let is_new = |addr: &SocketAddr| nodes.iter().all(|node| node.addr != *addr);
         next =
             names.iter().filter(|(addr, _)| is_new(addr)).map(|(addr, name)| (*addr, name.clone())).collect();
@@ -145,11 +145,11 @@
     nodes
 }
 
-/// Asks processes, some at a time.
-async fn ask_all<Request, Answer, State>(
+/// Queries processes with bounded concurrency.
+async fn query_all<Request, Answer, State>(
     names: Names,
     request: &Request,
-    state_of: fn(Answer) -> Option<State>,
+    extract: fn(Answer) -> Option<State>,
 ) -> Vec<Node<State>>
 where
     Request: Clone + Serialize + 'static,
@@ -158,26 +158,26 @@
 {
     let all: Vec<(SocketAddr, CompactString)> = names.into_iter().collect();
     let mut nodes = Vec::with_capacity(all.len());
-    for some in all.chunks(AT_A_TIME) {
-        let asked: Vec<_> = some
+    for chunk in all.chunks(CONCURRENT_REQUESTS_MAX) {
+        let answered: Vec<_> = chunk
             .iter()
-            .map(|(addr, name)| spawn_local(ask(*addr, name.clone(), request.clone(), state_of)))
+            .map(|(addr, name)| spawn_local(query(*addr, name.clone(), request.clone(), extract)))
             .collect();
-        for node in asked {
+        for node in answered {
             nodes.extend(node.await);
         }
     }
     nodes
 }
 
-async fn ask<Request: Serialize, Answer: DeserializeOwned, State>(
+async fn query<Request: Serialize, Answer: DeserializeOwned, State>(
     addr: SocketAddr,
     name: CompactString,
     request: Request,
-    state_of: fn(Answer) -> Option<State>,
+    extract: fn(Answer) -> Option<State>,
 ) -> Node<State> {
-    let answer = Client::<Request, Answer>::new(addr).call(&request, ANSWER_WITHIN).await;
-    match answer.and_then(|answer| state_of(answer).ok_or(CallError::Unreadable)) {
+    let answer = Client::<Request, Answer>::new(addr).call(&request, REQUEST_TIMEOUT).await;
+    match answer.and_then(|answer| extract(answer).ok_or(CallError::Unreadable)) {
         Ok(state) => Node { name, addr, state: Some(state), error: None },
         Err(error) => Node { name, addr, state: None, error: Some(error.to_string()) },
     }
--- a/crates/control-tool/tests/tool.rs
+++ b/crates/control-tool/tests/tool.rs
@@ -1,4 +1,4 @@
-//! The tool as a process, beside registries, stores and proxies that are played by the test.
+//! Runs the tool as a process against registries, stores and proxies served by the test.
 
 use hingestage_fixtures::{
     block_on as run, listener, proxy_status, registry_member, store_member, ToolRun as Run,
@@ -19,9 +19,10 @@
 use tokio::task::{spawn_blocking, spawn_local};
 
 const VERSION: Option<ConfigVersion> = Some(ConfigVersion { serial: 0x2a, digest: 1 });
-const STEP: TrialPosition = TrialPosition { version: 3, digest: 9, step: 2 };
-const LIST: WorkersVersion = WorkersVersion { fence: 3, reader: 1, number: 17 };
+const NEWEST_STEP: TrialPosition = TrialPosition { version: 3, digest: 9, step: 2 };
+const LIST_VERSION: WorkersVersion = WorkersVersion { fence: 3, reader: 1, number: 17 };
 
+/// Answers every request with one status.
 struct Registry(RegistryStatus);
 struct Store(StoreStatus);
 struct Proxy(ProxyState, Explanation);
@@ -42,7 +43,7 @@
     async fn handle(self: Rc<Self>, _from: SocketAddr, request: StoreRequest) -> StoreAnswer {
         match request {
             StoreRequest::TrialAudit { tenant } if tenant == "beta" => {
-                StoreAnswer::TrialAudit(vec![AuditEntry { at: 0, tenant, position: STEP }])
+                StoreAnswer::TrialAudit(vec![AuditEntry { at: 0, tenant, position: NEWEST_STEP }])
             }
             StoreRequest::TrialAudit { .. } => StoreAnswer::TrialAudit(Vec::new()),
             _ => StoreAnswer::Status(Box::new(self.0.clone())),
@@ -66,15 +67,15 @@
     }
 }
 
-/// A proxy that knows of a step and judges by the one before.
+/// The view of a proxy that still enforces the step before the newest one.
 fn trial_view() -> TrialView {
     let counts = [
         TrialCount { passed: 7, ..TrialCount::default() },
         TrialCount { slowed: 5, ..TrialCount::default() },
         TrialCount::default(),
     ];
-    let in_effect = TrialPosition { step: 1, ..STEP };
-    TrialView { in_effect: Some(in_effect), newest: Some(STEP), lease_left: 3_400, counts }
+    let in_effect = TrialPosition { step: 1, ..NEWEST_STEP };
+    TrialView { in_effect: Some(in_effect), newest: Some(NEWEST_STEP), lease_left: 3_400, counts }
 }
 
 fn store_status(name: &str, addr: SocketAddr, members: Vec<StoreMember>) -> StoreStatus {
@@ -103,7 +104,7 @@
         part_left: Some(10_700),
         settled: true,
         members: 1,
-        workers_version: LIST,
+        workers_version: LIST_VERSION,
         workers: vec![WorkerGroup { ready: 2, cold: 1, ..WorkerGroup::new("blue", "north-1") }],
         drained: vec!["south-1".into()],
         peers: vec!["edge-1".into()],
@@ -131,8 +132,8 @@
     }
 }
 
-/// A system of two registries, two stores and one proxy. The tool is told of the first registry only; the second
-/// store is known to the first store alone.
+/// Two registries, two stores and one proxy. The tool is given the first registry's address; only the first store
+/// knows the second one.
 struct System {
     registry: SocketAddr,
     second_registry: SocketAddr,
@@ -140,7 +141,7 @@
     proxy: SocketAddr,
 }
 
-/// What is wrong with a system.
+/// Fault injected into the system.
 #[derive(Clone, Copy, PartialEq)]
 enum Fault {
     None,
@@ -165,7 +166,7 @@
             config: VERSION,
             fresh_age: Some(200),
             fence: Some(3),
-            workers_version: LIST,
+            workers_version: LIST_VERSION,
             workers_age: 800,
             workers: vec![WorkerGroup { ready: 3, ..WorkerGroup::new("blue", "north-1") }],
             drained: Vec::new(),
@@ -212,7 +213,7 @@
 }
 
 #[test]
-fn status_has_a_line_for_every_process_that_any_knows() {
+fn status_prints_one_line_per_known_process() {
     run(async {
         let system = System::start(Fault::None).await;
         let run = status(&system).await;
@@ -237,7 +238,7 @@
 }
 
 #[test]
-fn status_as_json_has_all_states() {
+fn json_status_contains_all_processes() {
     run(async {
         let system = System::start(Fault::None).await;
         let run = tool(&["status", "--registry", &system.registry.to_string(), "--json"]).await;
@@ -250,7 +251,7 @@
 }
 
 #[test]
-fn a_problem_is_named_on_its_line_and_by_the_exit_code() {
+fn problem_is_printed_on_its_line_and_sets_the_exit_code() {
     run(async {
         let faults = [
             (Fault::RecoveringStore, "store core-2", "PROBLEM: recovering"),
@@ -268,7 +269,7 @@
 }
 
 #[test]
-fn a_process_that_does_not_answer_keeps_its_line_and_its_name() {
+fn unreachable_process_is_printed_with_its_name() {
     run(async {
         for (fault, node) in [(Fault::NoProxy, "proxy edge-1"), (Fault::NoSecondRegistry, "registry core-2")]
         {
@@ -286,7 +287,7 @@
 }
 
 #[test]
-fn explain_tells_a_tenants_counts_and_the_workers_of_each_request() {
+fn explain_prints_tenant_counters_and_attempts() {
     run(async {
         let run = explain(&System::start(Fault::None).await, "beta").await;
         let counts =
@@ -299,7 +300,7 @@
 }
 
 #[test]
-fn explain_ends_with_1_where_nothing_is_found_or_a_process_is_silent() {
+fn explain_exits_with_1_if_nothing_is_found_or_a_process_is_unreachable() {
     run(async {
         let run = explain(&System::start(Fault::None).await, "gamma").await;
         assert_eq!((run.code, run.output.as_str()), (Some(1), ""));
@@ -311,7 +312,7 @@
 }
 
 #[test]
-fn trial_tells_when_stores_took_a_step_in_and_how_each_proxy_judges() {
+fn trial_prints_audit_entries_and_proxy_views() {
     run(async {
         let system = System::start(Fault::None).await;
         let registry = system.registry.to_string();
@@ -327,7 +328,7 @@
 }
 
 #[test]
-fn bad_usage_ends_with_2() {
+fn invalid_usage_exits_with_2() {
     run(async {
         for arguments in
             [&["status"][..], &["explain", "--registry", "127.0.0.1:1"], &["status", "--registry", "x"]]
--- a/crates/rpc/src/client.rs
+++ b/crates/rpc/src/client.rs
@@ -1,4 +1,4 @@
-//! The calling side: one connection to a peer, made when it is needed and again after it broke.
+//! RPC client: one connection per peer, opened on demand and reopened after a failure.
 
 use crate::frame::{self, Frame, FrameError};
 use bytes::Bytes;
@@ -17,24 +17,24 @@
 use tokio::task::{spawn_local, AbortHandle};
 use tokio::time::timeout;
 
-/// How long a connection may take to come up. A machine without power gives no answer, and the system repeats the
-/// first packet only after a second: giving up early and asking anew finds it sooner once it is back.
+/// Connect timeout. Shorter than the kernel's one-second SYN retransmission, so that a restarted machine is found
+/// sooner by a new attempt.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
-/// How long written bytes may stay unacknowledged before the system gives a connection up.
-const UNACKNOWLEDGED_MAX: Duration = Duration::from_millis(1_500);
-/// Calls that may wait to be written.
-const QUEUE: usize = 256;
+/// Time that written bytes may stay unacknowledged before the kernel closes the connection (`TCP_USER_TIMEOUT`).
+const TCP_USER_TIMEOUT: Duration = Duration::from_millis(1_500);
+/// Encoded calls that may wait to be written.
+const WRITE_QUEUE_MAX: usize = 256;
 
-/// Why a call has no answer.
+/// Why a call failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallError {
-    /// No connection came up: the peer did not get the call.
+    /// No connection was established: the peer did not receive the call.
     Unreachable,
-    /// The connection broke: the peer may have got it.
+    /// The connection broke: the peer may have received the call.
     Broken,
-    /// No answer in time: the peer may have got it.
+    /// The call timed out: the peer may have received it.
     Timeout,
-    /// The answer can't be read.
+    /// The answer can't be decoded.
     Unreadable,
 }
 
@@ -49,11 +49,12 @@
     }
 }
 
-type Waiting = Rc<RefCell<HashMap<u64, oneshot::Sender<Frame>>>>;
+/// Calls without an answer yet, by call number.
+type PendingCalls = RefCell<HashMap<u64, oneshot::Sender<Frame>>>;
 
 struct Connection {
     queue: mpsc::Sender<Bytes>,
-    waiting: Waiting,
+    pending: Rc<PendingCalls>,
     writer: AbortHandle,
     reader: AbortHandle,
 }
@@ -65,92 +66,97 @@
     }
 }
 
-/// A peer that can be called.
+/// Client for one peer.
 pub struct Client<Request, Answer> {
     addr: SocketAddr,
-    next: Cell<u64>,
+    next_call: Cell<u64>,
     connection: tokio::sync::Mutex<Option<Rc<Connection>>>,
     messages: PhantomData<(Request, Answer)>,
 }
 
 impl<Request: Serialize, Answer: DeserializeOwned> Client<Request, Answer> {
-    /// A peer at an address. Nothing is connected yet.
+    /// Creates a client without connecting.
     pub fn new(addr: SocketAddr) -> Self {
-        Client { addr, next: Cell::new(1), connection: tokio::sync::Mutex::new(None), messages: PhantomData }
+        Client {
+            addr,
+            next_call: Cell::new(1),
+            connection: tokio::sync::Mutex::new(None),
+            messages: PhantomData,
+        }
     }
 
-    /// Where the peer is.
+    /// The peer's address.
     pub fn addr(&self) -> SocketAddr {
         self.addr
     }
 
-    /// Makes a call. A call that is not answered in time ends its connection: the peer may be frozen or cut
-    /// off, and the next call is to find out by a new one.
+    /// Sends a request and waits for its answer. A timeout closes the connection, because the peer may be frozen or
+    /// partitioned; the next call connects again.
     ///
     /// # Errors
-    /// No answer; see [`CallError`].
+    /// The call failed; see [`CallError`].
     pub async fn call(&self, request: &Request, within: Duration) -> Result<Answer, CallError> {
-        let connection = self.connected().await?;
-        let number = self.next.replace(self.next.get() + 1);
+        let connection = self.connect_or_reuse().await?;
+        let number = self.next_call.replace(self.next_call.get() + 1);
         let (reply, answer) = oneshot::channel();
-        connection.waiting.borrow_mut().insert(number, reply);
+        connection.pending.borrow_mut().insert(number, reply);
         if connection.queue.send(Frame::encode(number, request)).await.is_err() {
-            self.forget(&connection).await;
+            self.discard(&connection).await;
             return Err(CallError::Broken);
         }
         match timeout(within, answer).await {
             Ok(Ok(frame)) => frame.decode().map_err(|_| CallError::Unreadable),
             Ok(Err(_)) => {
-                self.forget(&connection).await;
+                self.discard(&connection).await;
                 Err(CallError::Broken)
             }
             Err(_) => {
-                self.forget(&connection).await;
+                self.discard(&connection).await;
                 Err(CallError::Timeout)
             }
         }
     }
 
-    async fn connected(&self) -> Result<Rc<Connection>, CallError> {
+    async fn connect_or_reuse(&self) -> Result<Rc<Connection>, CallError> {
         let mut slot = self.connection.lock().await;
         if let Some(connection) = slot.as_ref().filter(|connection| connection.is_open()) {
             return Ok(connection.clone());
         }
         let connected = timeout(CONNECT_TIMEOUT, TcpStream::connect(self.addr)).await;
         let Ok(Ok(stream)) = connected else { return Err(CallError::Unreachable) };
-        tune(&stream);
+        set_socket_options(&stream);
         let connection = Rc::new(Connection::start(stream));
         *slot = Some(connection.clone());
         Ok(connection)
     }
 
-    /// Ends a connection, unless a newer one has taken its place.
-    async fn forget(&self, broken: &Rc<Connection>) {
+    /// Fails the pending calls of a broken connection and drops it from the slot, unless it was already replaced.
+    async fn discard(&self, broken: &Rc<Connection>) {
         let mut slot = self.connection.lock().await;
         if slot.as_ref().is_some_and(|current| Rc::ptr_eq(current, broken)) {
             *slot = None;
         }
-        broken.waiting.borrow_mut().clear();
+        broken.pending.borrow_mut().clear();
     }
 }
 
-/// Small messages are sent at once, and a silent peer is noticed.
-pub(crate) fn tune(stream: &TcpStream) {
+/// Disables Nagle's algorithm and sets the timeout for unacknowledged data.
+pub(crate) fn set_socket_options(stream: &TcpStream) {
     let _ = stream.set_nodelay(true);
-    let _ = SockRef::from(stream).set_tcp_user_timeout(Some(UNACKNOWLEDGED_MAX));
+    let _ = SockRef::from(stream).set_tcp_user_timeout(Some(TCP_USER_TIMEOUT));
 }
 
 impl Connection {
     fn start(stream: TcpStream) -> Connection {
         let (read, write) = stream.into_split();
-        let (queue, frames) = mpsc::channel(QUEUE);
-        let waiting = Waiting::default();
+        let (queue, frames) = mpsc::channel(WRITE_QUEUE_MAX);
+        let pending = Rc::<PendingCalls>::default();
         let writer = spawn_local(write_frames(write, frames)).abort_handle();
-        let reader = spawn_local(read_answers(read, Rc::downgrade(&waiting))).abort_handle();
-        Connection { queue, waiting, writer, reader }
+        let reader = spawn_local(read_answers(read, Rc::downgrade(&pending))).abort_handle();
+        Connection { queue, pending, writer, reader }
     }
 
-    /// Whether a call may be answered here, as far as is known: neither side has ended.
+    /// Whether both the reader and the writer task are still running.
     fn is_open(&self) -> bool {
         !self.queue.is_closed() && !self.reader.is_finished()
     }
@@ -164,28 +170,28 @@
     }
 }
 
-async fn read_answers(mut read: OwnedReadHalf, waiting: Weak<RefCell<HashMap<u64, oneshot::Sender<Frame>>>>) {
+async fn read_answers(mut read: OwnedReadHalf, pending: Weak<PendingCalls>) {
     let mut read = tokio::io::BufReader::new(&mut read);
     loop {
         let next = frame::read(&mut read).await;
-        let Some(waiting) = waiting.upgrade() else { return };
+        let Some(pending) = pending.upgrade() else { return };
         match next {
             Ok(frame) => {
-                let reply = waiting.borrow_mut().remove(&frame.call);
-                // Whoever asked may have given up.
-                reply.into_iter().for_each(|reply| drop(reply.send(frame_of(&frame))));
+                let reply = pending.borrow_mut().remove(&frame.call);
+                // The caller may have timed out.
+                reply.into_iter().for_each(|reply| drop(reply.send(copy_frame(&frame))));
             }
             Err(error) => {
                 if !matches!(error, FrameError::Io(_)) {
                     log::warn!("a peer's answer: {error}");
                 }
-                waiting.borrow_mut().clear();
+                pending.borrow_mut().clear();
                 return;
             }
         }
     }
 }
 
-fn frame_of(frame: &Frame) -> Frame {
+fn copy_frame(frame: &Frame) -> Frame {
     Frame { call: frame.call, body: frame.body.clone() }
 }
--- a/crates/rpc/src/frame.rs
+++ b/crates/rpc/src/frame.rs
@@ -1,4 +1,4 @@
-//! Frames: length, version of the protocol, number of the call, message.
+//! Wire frames: message length, protocol version, call number, message.
 
 use bytes::{Buf, BufMut, Bytes, BytesMut};
 use serde::{de::DeserializeOwned, Serialize};
@@ -6,21 +6,21 @@
 use std::io;
 use tokio::io::{AsyncRead, AsyncReadExt, AsyncWrite, AsyncWriteExt};
 
-/// Version of the messages. Processes of different versions don't talk.
+/// Version of the message types. Peers with different versions reject each other's frames.
 pub const PROTOCOL_VERSION: u8 = 4;
-/// The longest message, bytes: a configuration of the largest size with room to spare.
-const MESSAGE_MAX: usize = 64 << 20;
-/// Bytes ahead of a message: length, version, number of the call.
-const HEAD: usize = 4 + 1 + 8;
+/// Maximum message length in bytes; larger than any valid configuration.
+const MESSAGE_BYTES_MAX: usize = 64 << 20;
+/// Length of the frame header in bytes: message length, protocol version, call number.
+const HEADER_BYTES: usize = 4 + 1 + 8;
 
-/// Why a frame can't be read.
+/// Why a frame could not be read.
 #[derive(Debug)]
 pub enum FrameError {
-    /// The connection failed or ended.
+    /// The connection failed or was closed.
     Io(io::Error),
-    /// The peer speaks another version.
+    /// The peer uses another protocol version.
     Version(u8),
-    /// The peer names a length beyond the limit.
+    /// The announced message length exceeds the maximum.
     TooLong(usize),
     /// The message can't be decoded.
     Message(bincode::error::DecodeError),
@@ -43,17 +43,17 @@
     }
 }
 
-/// A message with its number.
+/// An encoded message and its call number.
 pub(crate) struct Frame {
     pub call: u64,
     pub body: Bytes,
 }
 
 impl Frame {
-    /// Encodes a message.
+    /// Encodes a message with its frame header.
     pub fn encode<M: Serialize>(call: u64, message: &M) -> Bytes {
         let body = bincode::serde::encode_to_vec(message, bincode::config::standard()).unwrap_or_default();
-        let mut frame = BytesMut::with_capacity(HEAD + body.len());
+        let mut frame = BytesMut::with_capacity(HEADER_BYTES + body.len());
         frame.put_u32_le(body.len() as u32);
         frame.put_u8(PROTOCOL_VERSION);
         frame.put_u64_le(call);
@@ -69,31 +69,31 @@
     }
 }
 
-/// A message with its frame's head, as it goes over a connection: what it costs in bytes.
+/// Encodes a message as a frame with call number 0; used to measure messages and to carry them without a socket.
 pub fn encoded<M: Serialize>(message: &M) -> Bytes {
     Frame::encode(0, message)
 }
 
-/// Reads the message back from what [`encoded`] gave.
+/// Decodes a frame made by [`encoded`].
 ///
 /// # Errors
 /// The message can't be decoded.
 pub fn decoded<M: DeserializeOwned>(framed: &Bytes) -> Result<M, FrameError> {
-    Frame { call: 0, body: framed.slice(HEAD.min(framed.len())..) }.decode()
+    Frame { call: 0, body: framed.slice(HEADER_BYTES.min(framed.len())..) }.decode()
 }
 
 /// Reads the next frame.
 pub(crate) async fn read(stream: &mut (impl AsyncRead + Unpin)) -> Result<Frame, FrameError> {
-    let mut head = [0; HEAD];
-    stream.read_exact(&mut head).await?;
-    let mut head = &head[..];
-    let length = head.get_u32_le() as usize;
-    let version = head.get_u8();
-    let call = head.get_u64_le();
+    let mut header = [0; HEADER_BYTES];
+    stream.read_exact(&mut header).await?;
+    let mut header = &header[..];
+    let length = header.get_u32_le() as usize;
+    let version = header.get_u8();
+    let call = header.get_u64_le();
     if version != PROTOCOL_VERSION {
         return Err(FrameError::Version(version));
     }
-    if length > MESSAGE_MAX {
+    if length > MESSAGE_BYTES_MAX {
         return Err(FrameError::TooLong(length));
     }
     let mut body = BytesMut::zeroed(length);
@@ -101,7 +101,7 @@
     Ok(Frame { call, body: body.freeze() })
 }
 
-/// Writes a frame that has been encoded.
+/// Writes an encoded frame.
 pub(crate) async fn write(stream: &mut (impl AsyncWrite + Unpin), frame: &[u8]) -> io::Result<()> {
     stream.write_all(frame).await?;
     stream.flush().await
--- a/crates/rpc/src/lib.rs
+++ b/crates/rpc/src/lib.rs
@@ -1,7 +1,7 @@
-//! Calls between the processes of the system: typed messages, framing, connections.
+//! RPC between the processes of the system: message types, framing, client and server.
 //!
-//! A call is one request and one answer; many can be under way on one connection. A server may take its time
-//! with an answer (a watch), so news needs no second kind of message.
+//! A call is one request and one answer; a connection multiplexes many calls. A server may delay an answer until
+//! there is a change to report (long polling).
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/crates/rpc/src/messages.rs
+++ b/crates/rpc/src/messages.rs
@@ -1,4 +1,4 @@
-//! What the processes of the system say to each other.
+//! Message types of the RPC protocol between stores, registries and proxies.
 
 use crate::digest;
 use crate::status::{RegistryStatus, StoreStatus};
@@ -10,50 +10,50 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// The longest document, bytes.
+/// Maximum length of a configuration document in bytes.
 pub const DOCUMENT_MAX: usize = 48 << 20;
 
-/// Milliseconds, a span.
+/// A duration in milliseconds.
 pub type Millis = u64;
 
-/// A version of the configuration: its serial, and a digest that tells two contents under one serial apart.
+/// Version of the configuration. The digest distinguishes different documents with the same serial.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct ConfigVersion {
-    /// The operator's serial.
+    /// Serial chosen by the operator.
     pub serial: u64,
     /// Digest of the document.
     pub digest: u64,
 }
 
-/// A configuration as the operator sent it.
+/// The operator's configuration document.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ConfigDocument {
-    /// Its version.
+    /// Version of the document.
     pub version: ConfigVersion,
-    /// The document, JSON.
+    /// The document as JSON.
     pub json: Vec<u8>,
 }
 
 impl ConfigDocument {
-    /// A document under a serial.
+    /// Creates a document with the given serial.
     pub fn new(serial: u64, json: Vec<u8>) -> ConfigDocument {
         ConfigDocument { version: ConfigVersion { serial, digest: digest(&json) }, json }
     }
 }
 
-/// A configuration on its way to a proxy.
+/// A configuration in transfer form: complete, or as a change to a version that the receiver has.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ConfigTransfer {
-    /// Its version.
+    /// Version of the document.
     pub version: ConfigVersion,
-    /// The version that it is a change to; none where it is whole.
+    /// The version that the change applies to; none for a complete document.
     pub base: Option<ConfigVersion>,
-    /// The document, or the change, packed.
+    /// The compressed document or change.
     pub packed: Vec<u8>,
 }
 
 impl ConfigTransfer {
-    /// Packs a document, whole or as a change to one that the receiver has.
+    /// Packs a document, as a change if a base is given.
     pub fn new(document: &ConfigDocument, base: Option<&ConfigDocument>) -> ConfigTransfer {
         let packed = match base {
             Some(base) => transfer::pack_change(&base.json, &document.json),
@@ -62,8 +62,8 @@
         ConfigTransfer { version: document.version, base: base.map(|base| base.version), packed }
     }
 
-    /// The document, made from the one that the receiver has. None where it is a change to another one, or its
-    /// digest is not the version's.
+    /// Unpacks the document using the receiver's current one. Returns none if the base differs or the digest does not
+    /// match.
     pub fn unpack(&self, held: Option<&ConfigDocument>) -> Option<ConfigDocument> {
         let json = match self.base {
             None => transfer::unpack(&self.packed, DOCUMENT_MAX),
@@ -77,452 +77,452 @@
     }
 }
 
-/// Whether a zone is evacuated, and by which order: the one with the highest number holds.
+/// Whether a zone is evacuated. Of several orders for a zone the one with the highest number wins.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct ZoneDrain {
-    /// Number of the order.
+    /// Order number.
     pub order: u64,
-    /// Whether nothing may be sent to the zone's workers.
+    /// Whether the zone's workers must receive no requests.
     pub drained: bool,
 }
 
-/// Orders about zones, by zone.
+/// Evacuation orders by zone.
 pub type ZoneDrains = BTreeMap<CompactString, ZoneDrain>;
-/// Proxies that take part in common limits, by name, and whether each is settled: a proxy may use its part of a
-/// limit only once all leases from before its admission are over.
+/// Names of the proxies that share common limits, and whether each is settled: a proxy may use its share of a limit
+/// only once all leases granted before its admission have expired.
 pub type ProxyNames = BTreeMap<CompactString, bool>;
 
-/// Number of a proposal: of two, the higher one holds. No two proposers ever use the same.
+/// Ballot number of a proposal; the higher ballot wins. Ballots are unique across proposers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Ballot {
-    /// Above every round that the proposer has heard of.
+    /// Higher than every round that the proposer has seen.
     pub round: u64,
-    /// The disk of the store that proposes.
+    /// Disk id of the proposing store.
     pub proposer: u64,
 }
 
 impl Ballot {
-    /// Before any proposal.
+    /// Lower than the ballot of any proposal.
     pub const ZERO: Ballot = Ballot { round: 0, proposer: 0 };
 }
 
-/// A part of what the stores keep.
+/// A part of the replicated state.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Part {
     /// The configuration.
     Config(ConfigDocument),
-    /// All proxies that take part in common limits.
+    /// All proxies that share common limits.
     Proxies(ProxyNames),
     /// Trials of all tenants.
     Trials(Vec<TrialRecord>),
-    /// Trials that are newer than those that the receiver is known to have.
+    /// Trials newer than those that the receiver is known to have.
     TrialChanges(Vec<TrialRecord>),
 }
 
-/// What a store holds, in short.
+/// Summary of a store's state: versions and digests of its parts.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Summary {
     /// The newest configuration.
     pub config: Option<ConfigVersion>,
-    /// Orders about zones.
+    /// Evacuation orders.
     pub drains: ZoneDrains,
-    /// Number and digest of the names of proxies.
+    /// Count and digest of the proxy names.
     pub proxies: (u64, u64),
-    /// Number and digest of the trials.
+    /// Count and digest of the trials.
     pub trials: (u64, u64),
-    /// Whether the store has not been told yet what was decided: it speaks for nobody.
+    /// Whether the store is still learning the decided state; it must not serve reads.
     pub recovering: bool,
 }
 
-/// A store.
+/// Identity of a store.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct StoreMember {
-    /// Name of its machine.
+    /// Name of the machine.
     pub name: CompactString,
-    /// Its zone.
+    /// Zone of the machine.
     pub zone: CompactString,
-    /// Where it is called.
+    /// RPC address.
     pub addr: SocketAddr,
-    /// Drawn when its disk was first used: a store whose disk was lost comes back as another one.
+    /// Random id of the disk, drawn at first use; a store that lost its disk returns with a new id.
     pub disk: u64,
 }
 
-/// Which stores vote.
+/// The set of voting stores.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Membership {
-    /// Grows with each change of the voters.
+    /// Incremented with each change of the voter set.
     pub epoch: u64,
-    /// The stores that vote, by name.
+    /// Voters in order of their names.
     pub voters: Vec<StoreMember>,
-    /// The voters before them, while the change is not settled: quorums of both sets are needed. Else empty.
+    /// The previous voters while a change is in progress, when quorums of both sets are required; else empty.
     pub previous: Vec<StoreMember>,
 }
 
-/// The state of a store as it goes to another one: what it comes to, and the parts that the other lacks.
+/// State sent to another store: the target summary and the parts that the receiver is missing.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Transfer {
-    /// What the state comes to.
+    /// Summary of the state after the transfer.
     pub target: Summary,
-    /// Which stores vote.
+    /// The voter set.
     pub membership: Membership,
-    /// The parts that differ.
+    /// Parts that differ.
     pub parts: Vec<Part>,
 }
 
-/// How far a store is.
+/// Progress of a store in the replication protocol.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Standing {
-    /// The proposal that it has on disk.
+    /// Ballot of the proposal on disk.
     pub accepted: Ballot,
-    /// The latest proposal that it knows to be decided.
+    /// Ballot of the latest proposal known to be decided.
     pub decided: Ballot,
-    /// Whether it was told to end.
+    /// Whether it is shutting down.
     pub leaving: bool,
 }
 
-/// What stores ask each other.
+/// A request from one store to another.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PeerRequest {
-    /// How far are you? This is how far I am.
+    /// Exchanges progress and known members.
     Exchange {
-        /// Who asks.
+        /// The sender.
         from: StoreMember,
-        /// How far it is.
+        /// Progress of the sender.
         standing: Standing,
-        /// Whom it knows.
+        /// Stores known to the sender.
         known: Vec<StoreMember>,
     },
-    /// Accept nothing below this ballot any more.
+    /// Asks for a promise to accept no lower ballot (phase 1).
     Prepare {
-        /// The ballot of a proposal that is to follow.
+        /// Ballot of the proposal to follow.
         ballot: Ballot,
     },
-    /// Accept a proposal.
+    /// Asks to accept a proposal (phase 2).
     Accept {
-        /// Its ballot.
+        /// Ballot of the proposal.
         ballot: Ballot,
-        /// The state that it proposes.
+        /// The proposed state.
         transfer: Transfer,
     },
-    /// Hand over the state of a proposal, or a later one that is decided.
+    /// Asks for the state of a proposal, or for a later decided state.
     Fetch {
-        /// The proposal.
+        /// Ballot of the proposal.
         ballot: Ballot,
-        /// What the asker has.
+        /// Summary of the requester's state.
         have: Summary,
     },
 }
 
-/// What stores answer each other.
+/// A store's answer to another store.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PeerAnswer {
-    /// To an exchange.
+    /// Answer to [`PeerRequest::Exchange`].
     Exchanged {
-        /// Who answers.
+        /// The responder.
         from: StoreMember,
-        /// How far it is.
+        /// Progress of the sender.
         standing: Standing,
-        /// Whom it knows.
+        /// Stores known to the sender.
         known: Vec<StoreMember>,
     },
-    /// Nothing below the ballot will be accepted.
+    /// Promises to accept no lower ballot.
     Promised {
-        /// Who promises.
+        /// The responder.
         from: StoreMember,
-        /// The ballot.
+        /// The promised ballot.
         ballot: Ballot,
-        /// How far it is.
+        /// Progress of the sender.
         standing: Standing,
     },
-    /// The proposal is on disk.
+    /// The proposal was accepted and written to disk.
     Accepted {
-        /// Who has accepted it.
+        /// The responder.
         from: StoreMember,
-        /// Its ballot.
+        /// Ballot of the proposal.
         ballot: Ballot,
     },
-    /// The parts that came do not make up the state; this is what is there.
+    /// The received parts do not complete the proposed state; reports what the responder has.
     Lacks {
-        /// Who answers.
+        /// The responder.
         from: StoreMember,
         /// Ballot of the proposal.
         ballot: Ballot,
-        /// What it has.
+        /// Summary of the responder's state.
         have: Summary,
     },
-    /// A higher ballot has been promised, or another proposal is under way.
+    /// A higher ballot was promised, or another proposal is in progress.
     Refused {
-        /// Who refuses.
+        /// The responder.
         from: StoreMember,
-        /// The ballot that was asked for.
+        /// The requested ballot.
         ballot: Ballot,
-        /// The one that was promised.
+        /// The promised ballot.
         promised: Ballot,
     },
-    /// A state.
+    /// Answer to [`PeerRequest::Fetch`].
     Fetched {
         /// Ballot of the proposal.
         ballot: Ballot,
-        /// Whether it is decided.
+        /// Whether the proposal is decided.
         decided: bool,
         /// The state.
         transfer: Transfer,
     },
-    /// The disk refuses, or there is no such state.
+    /// A disk write failed, or there is no such state.
     Failed,
 }
 
-/// What a store is asked.
+/// A request to a store.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum StoreRequest {
-    /// Another store asks.
+    /// A request from another store.
     Peer(PeerRequest),
-    /// A registry asks for a change, and to be told when it is durable.
+    /// Proposes a change and waits until it is durable.
     Propose {
         /// The change.
         change: Change,
-        /// How long to wait for that.
+        /// Maximum wait for durability.
         wait: Millis,
     },
-    /// A registry asks for what is newer than what it has.
+    /// Long-polls for changes to the caller's state.
     Watch {
-        /// What it has.
+        /// Summary of the caller's state.
         have: Summary,
-        /// How long to wait for news.
+        /// Maximum wait for a change.
         wait: Millis,
     },
-    /// A registry asks for the newest configuration anywhere.
+    /// Reads the newest configuration from a quorum.
     Read {
-        /// How long to wait for the other stores.
+        /// Maximum wait for the other stores.
         wait: Millis,
     },
-    /// An operator asks for its state.
+    /// Returns the process's status to an operator.
     Status,
-    /// An operator asks which steps of a tenant's trial were taken.
+    /// Returns the audit log of a tenant's trial to an operator.
     TrialAudit {
         /// Name of the tenant.
         tenant: CompactString,
     },
 }
 
-/// A change as a registry asks for it.
+/// A change proposed by a registry.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum Change {
-    /// A valid configuration.
+    /// A validated configuration.
     Config(ConfigDocument),
-    /// Evacuate a zone, or take that back.
+    /// Evacuates or restores a zone.
     Drain {
         /// The zone.
         zone: CompactString,
-        /// Whether it is to be evacuated.
+        /// Whether to evacuate it.
         drained: bool,
     },
-    /// Proxies that have been heard of.
+    /// Proxies seen by the registry.
     Proxies(ProxyNames),
-    /// Valid terms of a tenant's trial.
+    /// Validated terms of a tenant's trial.
     TrialTerms(TrialRecord),
-    /// Steps of trials that are due.
+    /// Trial steps that are due.
     TrialSteps(Vec<TrialStep>),
 }
 
-/// What a store answers.
+/// A store's answer.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum StoreAnswer {
-    /// To another store.
+    /// Answer to another store.
     Peer(PeerAnswer),
-    /// What became of a change.
+    /// Result of a proposed change.
     Proposed(Proposed),
-    /// News for a registry.
+    /// Changes for a registry.
     Watched(Box<StoreNews>),
-    /// The newest configuration, where enough stores could be asked.
+    /// The newest configuration, and whether a quorum answered.
     Read(Option<ConfigDocument>, ReadState),
-    /// The disk refuses.
+    /// A disk write failed.
     Failed,
-    /// To an operator.
+    /// The process's status.
     Status(Box<StoreStatus>),
-    /// Steps of a tenant's trial, the latest last.
+    /// Steps of a tenant's trial, oldest first.
     TrialAudit(Vec<AuditEntry>),
 }
 
-/// Whether a read reached enough stores.
+/// Whether a read reached a quorum.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ReadState {
-    /// Nothing newer has been acknowledged.
+    /// A quorum answered; nothing newer has been acknowledged.
     Current,
-    /// Too few stores answered.
+    /// No quorum answered.
     Unknown,
 }
 
-/// What became of a change.
+/// Result of a proposed change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Proposed {
-    /// It outlasts any loss that is to be borne, or something newer does.
+    /// The change, or a newer one, is durable on a quorum.
     Durable,
-    /// Not known yet.
+    /// Durability is not known yet.
     Pending,
-    /// Another document holds under the same serial.
+    /// Another document already uses the serial.
     SerialTaken,
-    /// Other terms of a trial hold in its place.
+    /// Superseded by other terms of the trial.
     Overtaken,
-    /// There is no room for the trial of one more tenant.
+    /// The maximum number of trials is reached.
     Full,
 }
 
-/// What a store tells a registry.
+/// Update of a registry by its store.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct StoreNews {
-    /// What is in force, in short.
+    /// Summary of the state in force.
     pub summary: Summary,
-    /// The configuration in force, where it is newer.
+    /// The configuration in force, if newer than the caller's.
     pub config: Option<ConfigDocument>,
-    /// The names of proxies, where they are others.
+    /// The proxy names, if changed.
     pub proxies: Option<ProxyNames>,
-    /// The trials that are durable, where they are others.
+    /// The durable trials, if changed.
     pub trials: Option<Vec<TrialNews>>,
-    /// Age of the latest moment at which nothing newer can have been acknowledged anywhere.
+    /// Time since this state was last known to be the newest acknowledged one, in milliseconds.
     pub fresh_age: Option<Millis>,
 }
 
-/// One life of a process.
+/// Identity of one run of a process.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ProcessId {
-    /// Name of its machine.
+    /// Name of the machine.
     pub node: CompactString,
-    /// Grows with each start.
+    /// Increases with each start.
     pub incarnation: u64,
 }
 
-/// What a proxy tells of itself.
+/// Status of a proxy, as it reports it in heartbeats.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ProxyStatus {
-    /// Which process.
+    /// Process id.
     pub id: ProcessId,
-    /// Its zone.
+    /// Zone of the machine.
     pub zone: CompactString,
-    /// Its region.
+    /// Region of the machine.
     pub region: CompactString,
-    /// Where clients reach it.
+    /// HTTP address for clients.
     pub http: SocketAddr,
-    /// Where other proxies reach it.
+    /// RPC address for other proxies.
     pub peer: SocketAddr,
-    /// Whether clients are to be sent there.
+    /// Whether it accepts client traffic.
     pub ready: bool,
 }
 
-/// What a proxy or registry has of the state that registries hand out.
+/// Versions of the state that a proxy or registry has.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Have {
     /// The configuration.
     pub config: Option<ConfigVersion>,
-    /// Orders about zones.
+    /// Evacuation orders.
     pub drains: ZoneDrains,
-    /// The list of workers, as far as it was told of it.
+    /// Version of the worker list announced to it.
     pub workers: WorkersVersion,
-    /// The highest version that it has of any service's workers.
+    /// Highest version among the worker lists that it has.
     pub workers_seen: WorkersVersion,
-    /// Digest of the directory of proxies.
+    /// Digest of the proxy directory.
     pub directory: u64,
-    /// Trials, as far as the registry told of them.
+    /// Last trial revision received from the registry.
     pub trials: TrialRevision,
 }
 
-/// A registry.
+/// Status of a registry, as it reports it to other registries.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RegistryMember {
-    /// Which process.
+    /// Process id.
     pub id: ProcessId,
-    /// Its zone.
+    /// Zone of the machine.
     pub zone: CompactString,
-    /// Where it is called.
+    /// RPC address.
     pub addr: SocketAddr,
-    /// Whether the platform answers it.
+    /// Whether it can read the worker list from the platform.
     pub reads_list: bool,
 }
 
-/// Where a registry is.
+/// Address of a registry.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct RegistryAddress {
-    /// Where it is called.
+    /// RPC address.
     pub addr: SocketAddr,
-    /// Its zone.
+    /// Zone of the machine.
     pub zone: CompactString,
 }
 
-/// What a registry is asked.
+/// A request to a registry.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum RegistryRequest {
-    /// A proxy's heartbeat: answered at once where there is news, else after a while.
+    /// A proxy's heartbeat, which long-polls for changes.
     Watch {
-        /// Who asks.
+        /// Status of the proxy.
         status: ProxyStatus,
-        /// What it has.
+        /// Versions that it has.
         have: Have,
-        /// How long to wait for news.
+        /// Maximum wait for a change.
         wait: Millis,
     },
-    /// Another registry's heartbeat.
+    /// Heartbeat of another registry.
     Meet {
-        /// Who asks.
+        /// The sender.
         from: RegistryMember,
-        /// Whom it knows.
+        /// Registries known to the sender.
         members: Vec<RegistryMember>,
-        /// The list of workers, as far as it was told of it.
+        /// Version of the worker list announced to it.
         workers: WorkersVersion,
-        /// The highest version that it has of any service's workers.
+        /// Highest version among the worker lists that it has.
         workers_seen: WorkersVersion,
     },
-    /// The configuration in force.
+    /// Fetches the configuration in force.
     FetchConfig {
-        /// What the asker has.
+        /// The caller's version.
         have: Option<ConfigVersion>,
     },
-    /// The workers of some services, where they are newer than what the asker has.
+    /// Fetches the workers of services that are newer than the given versions.
     FetchServices(Vec<ServiceHave>),
-    /// An operator asks for its state.
+    /// Returns the process's status to an operator.
     Status,
 }
 
-/// What a registry answers.
+/// A registry's answer.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum RegistryAnswer {
-    /// To a proxy.
+    /// Answer to a proxy's heartbeat.
     Watched(Box<Watched>),
-    /// To a registry.
+    /// Answer to a registry's heartbeat.
     Met {
-        /// Who answers.
+        /// The responder.
         from: RegistryMember,
-        /// Whom it knows.
+        /// Registries known to the sender.
         members: Vec<RegistryMember>,
-        /// Which services' workers are newer than what the asker has.
+        /// Services whose workers are newer than the caller's.
         workers: ServiceIndex,
     },
-    /// The configuration in force, where there is one.
+    /// The configuration in force, if there is one.
     Config(Option<ConfigTransfer>),
-    /// The workers of services.
+    /// Updates of worker lists.
     Services(Vec<ServiceUpdate>),
-    /// To an operator.
+    /// The process's status.
     Status(Box<RegistryStatus>),
 }
 
-/// What a registry tells a proxy.
+/// Answer to a proxy's heartbeat.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Watched {
-    /// What the registry has: the proxy fetches what is newer.
+    /// The registry's versions; the proxy fetches whatever is newer.
     pub have: Have,
-    /// Length of the configuration as it would be sent to the proxy, bytes: how long a fetch may take goes by it.
+    /// Transfer size of the configuration in bytes, from which the proxy derives its fetch timeout.
     pub config_bytes: u64,
-    /// Which services' workers are newer than what the proxy has.
+    /// Services whose workers are newer than the proxy's.
     pub services: ServiceIndex,
-    /// The proxies that the asker is to know, where they are others.
+    /// The proxy directory, if changed.
     pub directory: Option<Vec<ProxyStatus>>,
-    /// Trials that are newer than what the asker has.
+    /// Trials newer than the proxy's.
     pub trials: Vec<TrialNews>,
     /// All registries.
     pub registries: Vec<RegistryAddress>,
-    /// Age of the latest moment at which nothing newer can have been acknowledged anywhere.
+    /// Time since this state was last known to be the newest acknowledged one, in milliseconds.
     pub fresh_age: Option<Millis>,
-    /// Proxies that take part in common limits.
+    /// Number of proxies that share common limits.
     pub members: u32,
-    /// Whether the asking proxy is one of them, and settled.
+    /// Whether the calling proxy is a settled member.
     pub settled: bool,
 }
--- a/crates/rpc/src/server.rs
+++ b/crates/rpc/src/server.rs
@@ -1,6 +1,6 @@
-//! The answering side.
+//! RPC server: accepts connections and dispatches calls to a handler.
 
-use crate::client::tune;
+use crate::client::set_socket_options;
 use crate::frame::{self, Frame, FrameError};
 use bytes::Bytes;
 use serde::{de::DeserializeOwned, Serialize};
@@ -13,21 +13,21 @@
 use tokio::sync::mpsc;
 use tokio::task::spawn_local;
 
-/// Connections at once.
+/// Maximum number of open connections.
 const CONNECTIONS_MAX: usize = 1_024;
-/// Calls under way on one connection.
-const CALLS_MAX: usize = 64;
-/// Pause where the system has no descriptor left.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
+/// Maximum number of concurrent calls on one connection.
+const CALLS_PER_CONNECTION_MAX: usize = 64;
+/// Pause after a failed `accept`, for example when no file descriptor is left.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// Answers calls.
+/// Handles the calls of a server.
 pub trait Handler: 'static {
-    /// What is asked.
+    /// Type of the requests.
     type Request: DeserializeOwned;
-    /// What is answered.
+    /// Type of the answers.
     type Answer: Serialize;
 
-    /// Answers one call, at once or when there is something to tell.
+    /// Answers one call, possibly after a wait for a change.
     fn handle(
         self: Rc<Self>,
         from: SocketAddr,
@@ -35,7 +35,7 @@
     ) -> impl Future<Output = Self::Answer> + 'static;
 }
 
-/// Takes calls in for ever.
+/// Accepts connections and serves their calls; never returns.
 pub async fn serve<H: Handler>(listener: TcpListener, handler: Rc<H>) {
     let open = Rc::new(Cell::new(0));
     loop {
@@ -46,7 +46,7 @@
                 spawn_local(async move {
                     if let Err(
                         error @ (FrameError::Version(_) | FrameError::TooLong(_) | FrameError::Message(_)),
-                    ) = converse(stream, from, handler).await
+                    ) = serve_connection(stream, from, handler).await
                     {
                         log::warn!("{from}: {error}");
                     }
@@ -56,27 +56,31 @@
             Ok((_, from)) => log::warn!("{from}: too many connections"),
             Err(error) => {
                 log::warn!("accept: {error}");
-                tokio::time::sleep(ACCEPT_PAUSE).await;
+                tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
     }
 }
 
-async fn converse<H: Handler>(stream: TcpStream, from: SocketAddr, handler: Rc<H>) -> Result<(), FrameError> {
-    tune(&stream);
+async fn serve_connection<H: Handler>(
+    stream: TcpStream,
+    from: SocketAddr,
+    handler: Rc<H>,
+) -> Result<(), FrameError> {
+    set_socket_options(&stream);
     let (read, mut write) = stream.into_split();
     let mut read = tokio::io::BufReader::new(read);
-    let (answers, mut written) = mpsc::channel::<Bytes>(CALLS_MAX);
-    let under_way = std::sync::Arc::new(tokio::sync::Semaphore::new(CALLS_MAX));
+    let (answers, mut to_write) = mpsc::channel::<Bytes>(CALLS_PER_CONNECTION_MAX);
+    let permits = std::sync::Arc::new(tokio::sync::Semaphore::new(CALLS_PER_CONNECTION_MAX));
     let writer = spawn_local(async move {
-        while let Some(frame) = written.recv().await {
+        while let Some(frame) = to_write.recv().await {
             if frame::write(&mut write, &frame).await.is_err() {
                 return;
             }
         }
     });
     let result = loop {
-        let Ok(permit) = under_way.clone().acquire_owned().await else { break Ok(()) };
+        let Ok(permit) = permits.clone().acquire_owned().await else { break Ok(()) };
         let frame: Frame = match frame::read(&mut read).await {
             Ok(frame) => frame,
             Err(error) => break Err(error),
@@ -88,7 +92,7 @@
         let (handler, answers) = (handler.clone(), answers.clone());
         spawn_local(async move {
             let answer = handler.handle(from, request).await;
-            // The caller may have gone.
+            // The connection may have closed meanwhile.
             let _ = answers.send(Frame::encode(frame.call, &answer)).await;
             drop(permit);
         });
--- a/crates/rpc/src/status.rs
+++ b/crates/rpc/src/status.rs
@@ -1,4 +1,4 @@
-//! What operators ask the processes of the system, and the states that these tell.
+//! Message types for operator tools: requests to proxies and the status of each kind of process.
 
 use crate::messages::{ConfigTransfer, ConfigVersion, Millis, ProxyStatus, RegistryMember, StoreMember};
 use crate::trials::TrialView;
@@ -8,101 +8,101 @@
 use std::fmt;
 use std::net::SocketAddr;
 
-/// What a proxy is asked.
+/// A request to a proxy.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum ProxyRequest {
-    /// Its state.
+    /// Returns the proxy's state.
     Status,
-    /// What became of recent requests.
+    /// Returns the outcome of recent requests.
     Explain {
-        /// The attempt id of a request, or the name of a tenant.
+        /// Attempt id of a request, or name of a tenant.
         id_or_tenant: CompactString,
     },
-    /// How it judges a tenant's trial.
+    /// Returns the proxy's view of a tenant's trial.
     Trial {
         /// Name of the tenant.
         tenant: CompactString,
     },
-    /// Another proxy of the zone asks for the workers of services that this proxy is the home of.
+    /// Long-polls for the workers of services that this proxy relays to the other proxies of its zone.
     FollowServices {
-        /// What it has.
+        /// Versions that the caller has.
         have: Vec<ServiceHave>,
-        /// How long to wait for news.
+        /// Maximum wait for a change.
         wait: Millis,
     },
-    /// Another proxy of the zone asks for a configuration.
+    /// Long-polls for a configuration on behalf of another proxy of the zone.
     FollowConfig {
-        /// The version that it has been told of.
+        /// The version that the caller wants.
         version: ConfigVersion,
-        /// What it has.
+        /// The version that the caller has.
         have: Option<ConfigVersion>,
-        /// How long to wait for it.
+        /// Maximum wait for it.
         wait: Millis,
     },
 }
 
-/// What a proxy answers.
+/// A proxy's answer.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum ProxyAnswer {
-    /// Its state.
+    /// The proxy's state.
     Status(Box<ProxyState>),
-    /// What became of recent requests.
+    /// The outcome of recent requests.
     Explained(Explanation),
-    /// How it judges a tenant's trial; none where it knows of none.
+    /// The proxy's view of a tenant's trial; none if it knows no trial.
     Trial(Option<TrialView>),
-    /// The workers of services.
+    /// Updates of worker lists.
     Services(Vec<ServiceUpdate>),
-    /// A configuration that is as new as was asked for; none where this proxy has none in time.
+    /// A configuration at least as new as requested; none if the wait timed out.
     Config(Option<ConfigTransfer>),
 }
 
 /// How one request ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum RequestOutcome {
-    /// A worker's answer was passed on.
+    /// A worker's answer was forwarded.
     Served,
-    /// The tenant asks for more than its quota, over all proxies together, and its rate is used up.
+    /// The tenant exceeds its quota summed over all proxies, and its penalty rate is exhausted.
     QuotaPenaltyBox,
     /// The tenant has too many open requests.
     QuotaOpenCap,
-    /// This proxy holds no valid part of the tenant's quota.
+    /// This proxy holds no valid lease on a share of the tenant's quota.
     QuotaNoLease,
-    /// This proxy's part of the tenant's quota is used up.
+    /// This proxy's share of the tenant's quota is exhausted.
     QuotaUsedUp,
-    /// A step of the tenant's trial leaves no more of its quota.
+    /// The current step of the tenant's trial reduces its quota.
     TrialSlowed,
-    /// The tenant's trial has ended, and leaves nothing to this request.
+    /// The tenant's trial has ended.
     TrialEnded,
-    /// This proxy has not heard lately enough how far the tenant's trial is.
+    /// This proxy's information about the tenant's trial has expired.
     TrialUnknown,
-    /// No worker could take the request in time; it has not run.
+    /// No worker accepted the request in time; it has not run.
     NoWorker,
-    /// This proxy has not heard lately enough which keys were taken away.
+    /// This proxy's information about revoked keys has expired.
     KeysUnchecked,
     /// This proxy has no configuration yet.
     NoConfiguration,
-    /// Route and tenant allow no region in common.
+    /// The route and the tenant have no allowed region in common.
     NoRegion,
-    /// The client's time was used up before the request could be sent.
+    /// The client's deadline passed before the request could be sent.
     NoTimeLeft,
-    /// A request with the same id was open.
+    /// A request with the same id is in flight.
     DuplicateId,
-    /// The request can't be read, or it is too long or too slow.
+    /// The request is malformed, too long or too slow.
     BadRequest,
     /// The configuration has no such route.
     UnknownRoute,
-    /// No key, or one that the configuration doesn't have.
+    /// The key is missing or not in the configuration.
     UnknownKey,
     /// A worker failed, and the request may have run.
     Failed,
     /// No worker answered in time, and the request may have run.
     TimedOut,
-    /// The client left before there was an answer.
+    /// The client disconnected before the answer.
     ClientLeft,
 }
 
 impl RequestOutcome {
-    /// All of them, in the order of their numbers.
+    /// All variants in declaration order.
     pub const ALL: [RequestOutcome; 20] = [
         RequestOutcome::Served,
         RequestOutcome::QuotaPenaltyBox,
@@ -126,7 +126,7 @@
         RequestOutcome::ClientLeft,
     ];
 
-    /// Which kind of end this is.
+    /// The class of this outcome.
     pub fn kind(self) -> OutcomeKind {
         match self {
             RequestOutcome::Served => OutcomeKind::Served,
@@ -165,10 +165,10 @@
     }
 }
 
-/// Kinds of ends of a request.
+/// Classes of request outcomes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OutcomeKind {
-    /// A worker's answer was passed on.
+    /// A worker's answer was forwarded.
     Served,
     /// The request has not run.
     Refused,
@@ -176,26 +176,26 @@
     Failed,
 }
 
-/// How one attempt at a worker ended.
+/// Outcome of one attempt at a worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum AttemptOutcome {
-    /// The worker served it.
+    /// The worker served the request.
     Served,
     /// The worker answered with an error; it may have run.
     Error,
-    /// The worker turned it away; it has not run.
+    /// The worker rejected the request; it has not run.
     TurnedAway,
     /// No answer in time; it may have run.
     TimedOut,
-    /// No connection; it has not run.
+    /// The connection could not be established; the request has not run.
     ConnectFailed,
     /// The connection broke; it may have run.
     Reset,
-    /// The answer can't be used; it may have run.
+    /// The answer is invalid; the request may have run.
     Unusable,
-    /// Called off; it may have run.
+    /// The attempt was cancelled; it may have run.
     Cancelled,
-    /// Not transmitted; it has not run.
+    /// The request was not sent; it has not run.
     NotSent,
 }
 
@@ -220,57 +220,57 @@
 pub struct AttemptRecord {
     /// Id of the worker.
     pub worker: CompactString,
-    /// How it ended.
+    /// Outcome of the attempt.
     pub outcome: AttemptOutcome,
 }
 
-/// What became of one request.
+/// Outcome of one request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RequestRecord {
-    /// Its attempt id; empty where it had none.
+    /// Attempt id; empty if it had none.
     pub id: CompactString,
-    /// How long ago it came.
+    /// Time since its arrival, in milliseconds.
     pub age: Millis,
-    /// Name of its route; empty where it was refused before that was known.
+    /// Name of its route; empty if it was refused before routing.
     pub route: CompactString,
-    /// Name of its tenant; empty where it has none or was refused before that was known.
+    /// Name of its tenant; empty if it has none or was refused before authentication.
     pub tenant: CompactString,
-    /// The service that it was for.
+    /// Name of its service.
     pub service: CompactString,
-    /// The workers that it was sent to, in order.
+    /// Attempts in order.
     pub attempts: Vec<AttemptRecord>,
-    /// Status of the answer; none where the client left.
+    /// HTTP status of the answer; none if the client disconnected.
     pub status: Option<u16>,
-    /// Why.
+    /// Outcome of the request.
     pub outcome: RequestOutcome,
 }
 
-/// What became of recent requests.
+/// Outcomes of recent requests.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Explanation {
-    /// The requests that match, the newest first.
+    /// Matching requests, newest first.
     pub requests: Vec<RequestRecord>,
-    /// The tenant's counters, where its name was asked for.
+    /// The tenant's counters, if a tenant's name was given.
     pub tenant: Option<TenantCounters>,
 }
 
-/// Requests of one tenant.
+/// Request counters of one tenant.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TenantCounters {
-    /// Served.
+    /// Requests served.
     pub served: u64,
-    /// Refused: they have not run.
+    /// Requests refused; they have not run.
     pub refused: u64,
-    /// Failed: they may have run.
+    /// Requests failed; they may have run.
     pub failed: u64,
-    /// Why the last one was refused that was.
+    /// Reason of the last refusal.
     pub last_refusal: Option<RequestOutcome>,
 }
 
-/// How many requests ended in one way.
+/// Number of requests with one outcome.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OutcomeCount {
-    /// The way.
+    /// The outcome.
     pub outcome: RequestOutcome,
     /// Requests since the start of the process.
     pub count: u64,
@@ -283,116 +283,116 @@
     pub service: CompactString,
     /// The zone.
     pub zone: CompactString,
-    /// Those that may get requests.
+    /// Workers that may receive requests.
     pub ready: u32,
-    /// Those that leave, or whose zone is evacuated or has just been taken back.
+    /// Workers that are draining, or whose zone is evacuated or was restored recently.
     pub leaving: u32,
-    /// Those that bear little for now.
+    /// Workers in warm-up.
     pub cold: u32,
 }
 
 impl WorkerGroup {
-    /// No workers yet.
+    /// A group without workers.
     pub fn new(service: &str, zone: &str) -> WorkerGroup {
         WorkerGroup { service: service.into(), zone: zone.into(), ready: 0, leaving: 0, cold: 0 }
     }
 }
 
-/// How long keys may be believed.
+/// Remaining lease on the list of valid keys.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum KeyLease {
-    /// For ever: the settings don't ask for a lease.
+    /// The settings require no lease.
     Unlimited,
-    /// For so long, without further news.
+    /// Time left without an update, in milliseconds.
     Left(Millis),
-    /// No longer: requests with a key are refused.
+    /// The lease has expired; requests with a key are refused.
     Expired,
 }
 
 /// The state of a proxy.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ProxyState {
-    /// What it tells registries of itself.
+    /// The status that it reports to registries.
     pub status: ProxyStatus,
-    /// How long it has run.
+    /// Time since its start, in milliseconds.
     pub uptime: Millis,
     /// The configuration in force.
     pub config: Option<ConfigVersion>,
-    /// Age of the latest moment at which nothing newer can have been acknowledged anywhere.
+    /// Time since this state was last known to be the newest acknowledged one, in milliseconds.
     pub fresh_age: Option<Millis>,
-    /// How long keys may be believed.
+    /// Remaining lease on the list of valid keys.
     pub keys: KeyLease,
-    /// How much longer its part of common limits may be used without further news; none where it has none.
+    /// Remaining lease on its share of common limits, in milliseconds; none if it has no share.
     pub part_left: Option<Millis>,
-    /// Whether it may have a part of common limits.
+    /// Whether it may hold a share of common limits.
     pub settled: bool,
-    /// Proxies that take part in common limits.
+    /// Number of proxies that share common limits.
     pub members: u32,
-    /// The list of workers that it goes by.
+    /// Version of the worker list in use.
     pub workers_version: WorkersVersion,
     /// Workers by service and zone.
     pub workers: Vec<WorkerGroup>,
-    /// Zones that are evacuated.
+    /// Evacuated zones.
     pub drained: Vec<CompactString>,
-    /// Names of the proxies that it tells counts to, itself among them.
+    /// Names of the proxies that it exchanges counters with, including itself.
     pub peers: Vec<CompactString>,
-    /// Attempts at workers that have ended.
+    /// Completed attempts at workers.
     pub attempts: u64,
-    /// Requests by how they ended, without those ways that have not occurred.
+    /// Requests by outcome; outcomes that did not occur are omitted.
     pub requests: Vec<OutcomeCount>,
 }
 
 /// The state of a registry.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RegistryStatus {
-    /// What it tells other registries of itself.
+    /// The status that it reports to other registries.
     pub member: RegistryMember,
     /// The configuration in force.
     pub config: Option<ConfigVersion>,
-    /// Age of the latest moment at which nothing newer can have been acknowledged anywhere.
+    /// Time since this state was last known to be the newest acknowledged one, in milliseconds.
     pub fresh_age: Option<Millis>,
-    /// Number under which it reads the list of workers; none where another has that duty.
+    /// Fencing token with which it reads the worker list; none if another registry is the reader.
     pub fence: Option<u64>,
-    /// The list of workers that it hands out.
+    /// Version of the worker list that it hands out.
     pub workers_version: WorkersVersion,
-    /// How long ago that list was taken in.
+    /// Time since that list was accepted, in milliseconds.
     pub workers_age: Millis,
     /// Workers by service and zone.
     pub workers: Vec<WorkerGroup>,
-    /// Zones that are evacuated.
+    /// Evacuated zones.
     pub drained: Vec<CompactString>,
-    /// Proxies that take part in common limits.
+    /// Number of proxies that share common limits.
     pub members: u32,
-    /// The store that it goes by.
+    /// The store that it follows.
     pub store: SocketAddr,
-    /// All registries that it knows, itself among them.
+    /// All known registries, including itself.
     pub registries: Vec<RegistryMember>,
-    /// Proxies heard lately.
+    /// Proxies with a recent heartbeat.
     pub proxies: Vec<ProxyStatus>,
 }
 
 /// The state of a store.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StoreStatus {
-    /// The store.
+    /// The store's identity.
     pub member: StoreMember,
-    /// All stores that it knows, itself among them.
+    /// All known stores, including itself.
     pub members: Vec<StoreMember>,
-    /// Whether it lost its disk and has not caught up.
+    /// Whether it lost its disk and has not caught up yet.
     pub recovering: bool,
     /// The newest configuration on its disk.
     pub held: Option<ConfigVersion>,
-    /// The configuration that it has in force.
+    /// The configuration in force at this store.
     pub in_force: Option<ConfigVersion>,
     /// Whether the newest configuration on its disk is known to be durable.
     pub durable: bool,
-    /// Zones that are evacuated.
+    /// Evacuated zones.
     pub drained: Vec<CompactString>,
-    /// Proxies that take part in common limits.
+    /// Number of proxies that share common limits.
     pub proxies: u32,
-    /// Age of the latest moment at which nothing newer can have been acknowledged anywhere.
+    /// Time since this state was last known to be the newest acknowledged one, in milliseconds.
     pub current_age: Option<Millis>,
-    /// Number of the set of voters that it knows.
+    /// Epoch of its voter set.
     pub epoch: u64,
     /// Names of the voters.
     pub voters: Vec<CompactString>,
--- a/crates/rpc/src/trials.rs
+++ b/crates/rpc/src/trials.rs
@@ -1,103 +1,103 @@
-//! What processes say to each other about trial tenants.
+//! Message types for tenant trials.
 
 use crate::messages::Millis;
 use compact_str::CompactString;
 use serde::{Deserialize, Serialize};
 
-/// Tenants with terms of a trial at the most, those whose trial is over included.
+/// Maximum number of tenants with trial terms, including tenants whose trial has ended.
 pub const TRIALS_MAX: usize = 1_024;
-/// The longest terms, bytes.
+/// Maximum length of trial terms in bytes.
 pub const TERMS_BYTES_MAX: usize = 4_096;
 
-/// Where a tenant's trial stands. Of two positions the higher one holds: newer terms first, then the later step.
+/// Progress of a tenant's trial. The higher of two positions wins: ordered by version of the terms, then by step.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct TrialPosition {
     /// The operator's version of the terms.
     pub version: u64,
-    /// Digest of the terms: tells two contents under one version apart.
+    /// Digest of the terms; distinguishes different terms with the same version.
     pub digest: u64,
-    /// Number of the step; 0 before the first.
+    /// Step number; 0 before the first step.
     pub step: u32,
 }
 
 impl TrialPosition {
-    /// Whether two positions are steps of the same terms.
+    /// Whether both positions refer to the same terms.
     pub fn has_terms_of(&self, other: &TrialPosition) -> bool {
         (self.version, self.digest) == (other.version, other.digest)
     }
 }
 
-/// A tenant's trial: its terms, and where it stands.
+/// A tenant's trial: its terms and its current position.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TrialRecord {
     /// Name of the tenant.
     pub tenant: CompactString,
-    /// Where the trial stands.
+    /// Current position.
     pub position: TrialPosition,
-    /// The terms as the operator sent them, JSON.
+    /// The operator's terms as JSON.
     pub terms: Vec<u8>,
 }
 
-/// A record, and how long ago it was known to be durable.
+/// A durable trial record with its age.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TrialNews {
     /// The record.
     pub record: TrialRecord,
-    /// Time since it was known to be durable, at the least.
+    /// Lower bound of the time since the record was known to be durable, in milliseconds.
     pub age: Millis,
 }
 
-/// Step that a trial is to take.
+/// A step that a trial has to take.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TrialStep {
     /// Name of the tenant.
     pub tenant: CompactString,
-    /// Where the trial is to stand.
+    /// Position after the step.
     pub position: TrialPosition,
 }
 
-/// Requests of one class of a trial tenant that one proxy judged.
+/// Request counters of one class of a trial tenant at one proxy.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TrialCount {
-    /// Let pass.
+    /// Requests that passed.
     pub passed: u64,
-    /// Refused as a step leaves no more.
+    /// Requests refused because the current step reduces the quota.
     pub slowed: u64,
-    /// Refused as the trial has ended.
+    /// Requests refused because the trial has ended.
     pub ended: u64,
-    /// Refused as the step could not be told.
+    /// Requests refused because the current step is unknown.
     pub unknown: u64,
 }
 
-/// A tenant's trial as one proxy judges it.
+/// A tenant's trial as one proxy sees it.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TrialView {
-    /// The step that is in effect there; none where it can't tell.
+    /// The position that the proxy enforces; none if it is unknown.
     pub in_effect: Option<TrialPosition>,
-    /// The newest step that it knows of.
+    /// The newest position that the proxy knows.
     pub newest: Option<TrialPosition>,
-    /// How much longer it may judge without further news.
+    /// Remaining lease: time for which the proxy may enforce its position without an update.
     pub lease_left: Millis,
-    /// Requests that are refused last, ordinary ones, and those that may wait.
+    /// Counters by request class: refused last, ordinary, deferrable.
     pub counts: [TrialCount; 3],
 }
 
-/// A step as a store noted it.
+/// A trial step in a store's audit log.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AuditEntry {
-    /// Time of day at the store, milliseconds since 1970.
+    /// The store's wall-clock time, in milliseconds since the Unix epoch.
     pub at: u64,
     /// Name of the tenant.
     pub tenant: CompactString,
-    /// Where its trial stands from then on.
+    /// Position after the step.
     pub position: TrialPosition,
 }
 
-/// Number of the last change of trials that one life of a registry has handed out.
+/// Revision of the trials handed out by one registry process.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TrialRevision {
-    /// Which life of the registry: numbers of another one say nothing.
+    /// Incarnation of the registry; numbers of different incarnations are not comparable.
     pub incarnation: u64,
-    /// The number.
+    /// Number of the last change.
     pub number: u64,
 }
--- a/crates/rpc/src/workers.rs
+++ b/crates/rpc/src/workers.rs
@@ -1,24 +1,24 @@
-//! What processes say to each other about workers: by service, as a snapshot or as changes.
+//! Message types for worker lists, sent per service as a snapshot or as changes.
 
 use crate::messages::Millis;
 use compact_str::CompactString;
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// Version of the list of workers: who read it under which fence, and how often. Readers of one fence are told apart,
-/// so that one version never stands for two lists.
+/// Version of the worker list: fencing token, reader and sequence number. The reader distinguishes processes with the
+/// same fencing token, so that a version never identifies two different lists.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct WorkersVersion {
-    /// Number of the duty; grows each time it changes hands.
+    /// Fencing token of the reader role; grows with each change of the reader.
     pub fence: u64,
-    /// Which process reads the list under it.
+    /// The process that read the list.
     pub reader: u64,
-    /// Number of the list.
+    /// Sequence number of the list.
     pub number: u64,
 }
 
 impl WorkersVersion {
-    /// Whether two lists were read by one process under one fence.
+    /// Whether both lists were read by the same process with the same fencing token.
     pub fn has_reader_of(&self, other: &WorkersVersion) -> bool {
         (self.fence, self.reader) == (other.fence, other.reader)
     }
@@ -27,65 +27,65 @@
 /// A worker as the platform lists it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WorkerRecord {
-    /// Its id; another at each start.
+    /// Worker id; changes with each start.
     pub id: CompactString,
-    /// Its service.
+    /// Service that it belongs to.
     pub service: CompactString,
-    /// Its address.
+    /// Address for requests.
     pub addr: SocketAddr,
-    /// Its zone.
+    /// Zone that it runs in.
     pub zone: CompactString,
-    /// Requests that it works on at a time.
+    /// Maximum number of concurrent requests.
     pub capacity: u32,
-    /// Whether it leaves.
+    /// Whether it is draining.
     pub draining: bool,
-    /// How much longer it stays cold from when this was sent.
+    /// Remaining warm-up time at the time of sending, in milliseconds.
     pub cold_left: Millis,
 }
 
-/// A service, and the version of its workers that somebody has.
+/// A service and the version of its worker list that the sender has.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServiceHave {
     /// Name of the service.
     pub service: CompactString,
-    /// The version; none where nothing is known.
+    /// The version; none if the list is unknown.
     pub version: Option<WorkersVersion>,
 }
 
-/// Which services' workers have changed since some version.
+/// Services whose workers changed since an earlier version.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServiceIndex {
-    /// The version that this leads up to.
+    /// The version that this index brings the receiver to.
     pub version: WorkersVersion,
-    /// Whether all services are named: others are gone.
+    /// Whether the index is complete: services not listed no longer exist.
     pub whole: bool,
-    /// Services, each with the version at which its workers last changed.
+    /// Services, each with the version of its last change.
     pub services: Vec<(CompactString, WorkersVersion)>,
 }
 
-/// News of one service's workers.
+/// An update of one service's worker list.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServiceUpdate {
     /// Name of the service.
     pub service: CompactString,
-    /// The version that this leads to.
+    /// The version after the update.
     pub version: WorkersVersion,
-    /// What is new.
+    /// The snapshot or the changes.
     pub news: ServiceNews,
 }
 
-/// What is new of a service's workers.
+/// Content of an update of a service's worker list.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ServiceNews {
-    /// All workers.
+    /// The complete list.
     Snapshot(Vec<WorkerRecord>),
-    /// What changed since an earlier version.
+    /// Changes since an earlier version.
     Changes {
-        /// The earlier version.
+        /// The version that the changes apply to.
         since: WorkersVersion,
-        /// Workers that are new or have changed.
+        /// Added or changed workers.
         listed: Vec<WorkerRecord>,
-        /// Ids of workers that are gone.
+        /// Ids of removed workers.
         removed: Vec<CompactString>,
     },
 }
--- a/crates/rpc/tests/calls.rs
+++ b/crates/rpc/tests/calls.rs
@@ -1,4 +1,4 @@
-//! Calls over loopback sockets, with peers that speak wrongly, fall silent or start again.
+//! Client and server over loopback sockets, with peers that send invalid frames, do not answer or restart.
 
 use hingestage_fixtures::{block_on as run, listener, PLENTY};
 use hingestage_rpc::{serve, CallError, Client, Handler, PROTOCOL_VERSION};
@@ -11,13 +11,13 @@
 use tokio::sync::Notify;
 use tokio::task::spawn_local;
 
-const SHORT: Duration = Duration::from_millis(50);
-/// Bytes ahead of a message: length, version, number of the call.
-const HEAD: usize = 13;
+const SHORT_TIMEOUT: Duration = Duration::from_millis(50);
+/// Length of the frame header in bytes.
+const HEADER_BYTES: usize = 13;
 
-type Doubling = Client<u64, u64>;
+type DoublerClient = Client<u64, u64>;
 
-/// Doubles a number; odd ones only once an even one has come.
+/// Doubles numbers; answers odd ones only after an even one has arrived.
 #[derive(Default)]
 struct Doubler {
     even: Notify,
@@ -46,17 +46,17 @@
 }
 
 async fn read_call(stream: &mut TcpStream) -> Vec<u8> {
-    let mut head = [0; HEAD];
-    stream.read_exact(&mut head).await.expect("a head");
-    let length = u32::from_le_bytes([head[0], head[1], head[2], head[3]]) as usize;
-    let mut frame = head.to_vec();
-    frame.resize(HEAD + length, 0);
-    stream.read_exact(&mut frame[HEAD..]).await.expect("a message");
+    let mut header = [0; HEADER_BYTES];
+    stream.read_exact(&mut header).await.expect("a header");
+    let length = u32::from_le_bytes([header[0], header[1], header[2], header[3]]) as usize;
+    let mut frame = header.to_vec();
+    frame.resize(HEADER_BYTES + length, 0);
+    stream.read_exact(&mut frame[HEADER_BYTES..]).await.expect("a message");
     frame
 }
 
-/// Sends a frame as a stranger, and tells whether the server ends the connection without an answer.
-async fn is_hung_up_on(frame: &[u8]) -> bool {
+/// Whether the server closes the connection without an answer to this frame.
+async fn closes_connection(frame: &[u8]) -> bool {
     let mut stream = TcpStream::connect(doubler().await).await.expect("a connection");
     stream.write_all(frame).await.expect("sent");
     let mut answer = Vec::new();
@@ -69,24 +69,24 @@
 }
 
 #[test]
-fn a_server_hangs_up_on_another_version_on_too_long_a_frame_and_on_what_it_cannot_decode() {
+fn server_closes_connection_on_invalid_frames() {
     run(async {
-        assert!(is_hung_up_on(&frame(1, PROTOCOL_VERSION + 1, &[4])).await, "version");
-        assert!(is_hung_up_on(&frame(u32::MAX, PROTOCOL_VERSION, &[])).await, "length");
-        assert!(is_hung_up_on(&frame(0, PROTOCOL_VERSION, &[])).await, "message");
-        assert!(!is_hung_up_on_at_once(&frame(1, PROTOCOL_VERSION, &[4])).await, "a proper frame");
+        assert!(closes_connection(&frame(1, PROTOCOL_VERSION + 1, &[4])).await, "version");
+        assert!(closes_connection(&frame(u32::MAX, PROTOCOL_VERSION, &[])).await, "length");
+        assert!(closes_connection(&frame(0, PROTOCOL_VERSION, &[])).await, "message");
+        assert!(!closes_before_answer(&frame(1, PROTOCOL_VERSION, &[4])).await, "a proper frame");
     });
 }
 
-/// The same for a frame that is answered: the first bytes decide.
-async fn is_hung_up_on_at_once(frame: &[u8]) -> bool {
+/// Whether the connection closes before the first byte of an answer.
+async fn closes_before_answer(frame: &[u8]) -> bool {
     let mut stream = TcpStream::connect(doubler().await).await.expect("a connection");
     stream.write_all(frame).await.expect("sent");
     stream.read_u8().await.is_err()
 }
 
 #[test]
-fn an_answer_of_another_version_breaks_the_call() {
+fn answer_with_other_protocol_version_breaks_the_call() {
     run(async {
         let (listener, addr) = listener().await;
         spawn_local(async move {
@@ -96,17 +96,17 @@
             stream.write_all(&answer).await.expect("sent");
             std::future::pending::<()>().await;
         });
-        assert_eq!(Doubling::new(addr).call(&4, PLENTY).await, Err(CallError::Broken));
+        assert_eq!(DoublerClient::new(addr).call(&4, PLENTY).await, Err(CallError::Broken));
     });
 }
 
 #[test]
-fn many_calls_share_a_connection_and_a_later_one_may_be_answered_first() {
+fn concurrent_calls_are_answered_out_of_order() {
     run(async {
         let (listener, addr) = listener().await;
         let handler = Rc::new(Doubler::default());
         spawn_local(serve(listener, handler.clone()));
-        let client = Rc::new(Doubling::new(addr));
+        let client = Rc::new(DoublerClient::new(addr));
         let odd: Vec<_> = (0..20u64)
             .map(|number| {
                 let client = client.clone();
@@ -125,11 +125,11 @@
 }
 
 #[test]
-fn a_silent_peer_costs_the_time_given_and_the_next_call_takes_a_new_connection() {
+fn timeout_closes_the_connection_and_the_next_call_reconnects() {
     run(async {
         let (listener, addr) = listener().await;
-        let client = Doubling::new(addr);
-        assert_eq!(client.call(&4, SHORT).await, Err(CallError::Timeout));
+        let client = DoublerClient::new(addr);
+        assert_eq!(client.call(&4, SHORT_TIMEOUT).await, Err(CallError::Timeout));
         let (silent, _) = listener.accept().await.expect("the first connection");
         spawn_local(serve(listener, Rc::new(Doubler::default())));
         assert_eq!(client.call(&4, PLENTY).await, Ok(8));
@@ -138,31 +138,31 @@
 }
 
 #[test]
-fn a_peer_that_has_started_again_is_found_by_the_next_call() {
+fn client_reconnects_to_a_restarted_peer() {
     run(async {
         let (listener, addr) = listener().await;
-        let client = Doubling::new(addr);
-        let first_life = async {
+        let client = DoublerClient::new(addr);
+        let first_run = async {
             let (mut stream, _) = listener.accept().await.expect("a caller");
             let call = read_call(&mut stream).await;
             stream.write_all(&call).await.expect("sent");
         };
-        let (answer, ()) = tokio::join!(client.call(&4, PLENTY), first_life);
+        let (answer, ()) = tokio::join!(client.call(&4, PLENTY), first_run);
         assert_eq!(answer, Ok(4));
-        // The end of the first connection arrives while nothing is asked.
+        // The first connection closes while no call is pending.
         spawn_local(serve(listener, Rc::new(Doubler::default())));
-        assert_eq!(Doubling::new(addr).call(&4, PLENTY).await, Ok(8));
+        assert_eq!(DoublerClient::new(addr).call(&4, PLENTY).await, Ok(8));
         assert_eq!(client.call(&6, PLENTY).await, Ok(12));
     });
 }
 
 #[test]
-fn a_peer_that_is_not_there_is_unreachable_and_one_that_goes_breaks_the_call() {
+fn closed_connection_is_broken_and_closed_port_is_unreachable() {
     run(async {
         let (listener, addr) = listener().await;
-        let client = Doubling::new(addr);
-        let goes = async { drop(listener.accept().await) };
-        let (answer, ()) = tokio::join!(client.call(&4, PLENTY), goes);
+        let client = DoublerClient::new(addr);
+        let closes = async { drop(listener.accept().await) };
+        let (answer, ()) = tokio::join!(client.call(&4, PLENTY), closes);
         assert_eq!(answer, Err(CallError::Broken));
         drop(listener);
         assert_eq!(client.call(&4, PLENTY).await, Err(CallError::Unreachable));
