--- a/crates/form/src/lib.rs
+++ b/crates/form/src/lib.rs
@@ -1,5 +1,5 @@
-//! S-expressions with their places in the text, so that whatever is wrong in a file is told with field, line and
-//! column. The operators' file and the files of rehearsals are read through it.
+//! Parses S-expression files and reports errors with field, line and column. Used for the operator file and the files
+//! of rehearsals.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
@@ -8,31 +8,31 @@
 use std::collections::BTreeSet;
 use std::path::Path;
 
-/// The deepest nesting that is read: a file of a person's hand has four.
+/// Maximum nesting depth; bounds the recursion of the parser.
 const DEPTH_MAX: usize = 32;
-/// The largest file, bytes.
-const SIZE_MAX: usize = 1 << 20;
+/// Maximum file size in bytes.
+const FILE_BYTES_MAX: usize = 1 << 20;
 
-/// A whole text.
+/// A parsed file.
 pub struct Text(Datum);
 
-/// One expression and its place.
+/// An expression and its position.
 #[derive(Clone, Copy)]
 pub struct Form<'a>(Ref<'a>);
 
-/// Reads a file by what its text must be; whatever is wrong is told with the file's name.
+/// Reads a file and parses its text with `read`; errors are prefixed with the file name.
 pub fn load<T>(file: &Path, read: impl FnOnce(&str) -> Result<T, String>) -> Result<T, String> {
     let text = std::fs::read_to_string(file).map_err(|e| format!("{}: {e}", file.display()))?;
     read(&text).map_err(|e| format!("{}:{e}", file.display()))
 }
 
-/// Reads a text as one list of sections.
+/// Parses a text as a list of sections.
 pub fn read(text: &str) -> Result<Text, String> {
-    if text.len() > SIZE_MAX {
-        return Err(format!(" larger than {SIZE_MAX} bytes"));
+    if text.len() > FILE_BYTES_MAX {
+        return Err(format!(" larger than {FILE_BYTES_MAX} bytes"));
     }
-    too_deep(text)?;
-    // The line that opens the list is one more than the file has.
+    check_depth(text)?;
+    // The text is wrapped in a list; its opening line is subtracted from positions.
     let wrapped = format!("(\n{text}\n)");
     let datum = lexpr::datum::from_str(&wrapped).map_err(|e| match e.location() {
         Some(at) => format!("{}:{}: {e}", at.line().saturating_sub(1), at.column()),
@@ -41,8 +41,8 @@
     Ok(Text(datum))
 }
 
-/// The library reads by recursion: nesting is bounded before.
-fn too_deep(text: &str) -> Result<(), String> {
+/// Rejects deeply nested text before parsing, because the parser is recursive.
+fn check_depth(text: &str) -> Result<(), String> {
     let (mut depth, mut quoted, mut escaped, mut comment) = (0usize, false, false, false);
     for (n, line) in text.lines().enumerate() {
         for c in line.chars() {
@@ -55,7 +55,7 @@
                 ';' => comment = true,
                 '(' | '[' => depth += 1,
                 ')' | ']' => depth = depth.saturating_sub(1),
-                // A quotation mark nests as well.
+                // Quotation characters nest as well.
                 '\'' | '`' | ',' => depth += 1,
                 _ => {}
             }
@@ -68,18 +68,18 @@
     Ok(())
 }
 
-/// Fields one by one: what each begins with, its name as `section.field`, and itself. Each stands once, but for those
-/// that may stand more often.
+/// Iterates over fields as key, qualified name (`section.field`) and expression. Reports a repeated field as an error
+/// unless it is listed in `repeatable`.
 pub fn once<'f, 'a>(
     fields: &'f [Form<'a>],
     section: &'static str,
-    often: &'static [&str],
+    repeatable: &'static [&str],
 ) -> impl Iterator<Item = Result<(String, String, Form<'a>), String>> + use<'f, 'a> {
     let mut seen = BTreeSet::new();
     fields.iter().map(move |field| {
         let head = field.head()?;
         let name = format!("{section}.{head}");
-        if !often.contains(&head.as_str()) && !seen.insert(head.clone()) {
+        if !repeatable.contains(&head.as_str()) && !seen.insert(head.clone()) {
             return Err(field.error(&name, "given twice"));
         }
         Ok((head, name, *field))
@@ -87,7 +87,7 @@
 }
 
 impl Text {
-    /// Its one section, which begins with a name.
+    /// The only section, which must have the given name.
     pub fn sole(&self, name: &str) -> Result<Form<'_>, String> {
         let sections = self.items()?;
         let [section] = sections.as_slice() else {
@@ -99,26 +99,26 @@
         }
     }
 
-    /// Its sections.
+    /// All sections.
     pub fn items(&self) -> Result<Vec<Form<'_>>, String> {
         Form(self.0.as_ref()).items()
     }
 }
 
 impl<'a> Form<'a> {
-    /// Line and column where it begins, from 1.
+    /// Line and column of its start, counted from 1.
     pub fn place(&self) -> (usize, usize) {
         let start = self.0.span().start();
         (start.line().saturating_sub(1), start.column() + 1)
     }
 
-    /// A message about a field of it.
+    /// Formats an error about a field with the position of this expression.
     pub fn error(&self, field: &str, what: &str) -> String {
         let (line, column) = self.place();
         format!("{line}:{column}: field `{field}`: {what}")
     }
 
-    /// The members of a list.
+    /// The elements of a list.
     pub fn items(&self) -> Result<Vec<Form<'a>>, String> {
         let list = matches!(self.0.value(), Value::Null) || self.0.value().is_list();
         let items = self.0.list_iter().filter(|_| list);
@@ -126,7 +126,7 @@
         Ok(items.map(Form).collect())
     }
 
-    /// The name that a list begins with.
+    /// The symbol at the start of a list.
     pub fn head(&self) -> Result<String, String> {
         let first = self.items()?.first().and_then(|first| first.0.value().as_symbol().map(str::to_owned));
         first.ok_or_else(|| {
@@ -134,12 +134,12 @@
         })
     }
 
-    /// What follows the name.
+    /// The elements after the leading symbol.
     pub fn rest(&self) -> Result<Vec<Form<'a>>, String> {
         Ok(self.items()?.split_off(1))
     }
 
-    /// Its one argument.
+    /// The only element after the leading symbol.
     pub fn one(&self, field: &str) -> Result<Form<'a>, String> {
         match self.rest()?.as_slice() {
             [one] => Ok(*one),
@@ -147,34 +147,34 @@
         }
     }
 
-    /// A text or a word.
+    /// A string or symbol.
     pub fn text(&self, field: &str) -> Result<&'a str, String> {
         let value = self.0.value();
         let text = value.as_str().or_else(|| value.as_symbol());
         text.ok_or_else(|| self.error(field, &format!("`{value}` is no text")))
     }
 
-    /// A number between bounds.
-    pub fn number(&self, field: &str, least: f64, most: f64) -> Result<f64, String> {
+    /// A number within inclusive bounds.
+    pub fn number(&self, field: &str, min: f64, max: f64) -> Result<f64, String> {
         let value = self.0.value();
         let number = value.as_f64().filter(|n| n.is_finite());
         let number = number.ok_or_else(|| self.error(field, &format!("`{value}` is no number")))?;
-        match (least..=most).contains(&number) {
+        match (min..=max).contains(&number) {
             true => Ok(number),
-            false => Err(self.error(field, &format!("{number} is not between {least} and {most}"))),
+            false => Err(self.error(field, &format!("{number} is not between {min} and {max}"))),
         }
     }
 
-    /// A whole number between bounds.
-    pub fn whole(&self, field: &str, least: f64, most: f64) -> Result<u64, String> {
-        let number = self.number(field, least, most)?;
+    /// An integer within inclusive bounds.
+    pub fn whole(&self, field: &str, min: f64, max: f64) -> Result<u64, String> {
+        let number = self.number(field, min, max)?;
         match number.fract() == 0.0 {
             true => Ok(number as u64),
             false => Err(self.error(field, &format!("{number} is no whole number"))),
         }
     }
 
-    /// `yes` or `no`.
+    /// A boolean, written `yes` or `no`.
     pub fn flag(&self, field: &str) -> Result<bool, String> {
         match self.text(field)? {
             "yes" => Ok(true),
--- a/crates/operator/src/fleet.rs
+++ b/crates/operator/src/fleet.rs
@@ -1,37 +1,37 @@
-//! The section `fleet`.
+//! Section `fleet` of the operator file: membership of gateways and use of the shares of absent ones.
 
 use hingestage_form::{once, Form};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Most gateways that tell each other; see `hingestage_fleet::table`.
-const PEERS_MAX: f64 = 64.0;
-/// Most votes of the counter.
-const VOTES_MAX: f64 = 10_000.0;
-/// The longest lease, seconds.
-const LONGEST: f64 = 600.0;
-/// How much longer others wait than a lease lasts, for clocks that do not run quite alike: a hundredth at least.
-const MARGIN: f64 = 1.01;
+/// Maximum number of gateways in a fleet; see `hingestage_fleet::table`.
+const GATEWAYS_MAX: f64 = 64.0;
+/// Maximum number of votes of the counter.
+const COUNTER_VOTES_MAX: f64 = 10_000.0;
+/// Maximum duration of any field in seconds.
+const DURATION_SECONDS_MAX: f64 = 600.0;
+/// Minimum ratio of `absent` and `settles` to the lease, to allow for clock drift.
+const CLOCK_DRIFT_MARGIN: f64 = 1.01;
 
-/// How a gateway learns who is there, and what it may do with parts of those who are not.
+/// Settings of the gateway fleet: peer detection, and use of the shares of absent gateways.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Fleet {
-    /// The operators' addresses of other gateways, by their numbers.
+    /// Operator addresses of the other gateways by gateway number.
     pub peers: BTreeMap<u32, SocketAddr>,
-    /// Whether there is a roll call on the counter.
+    /// Whether gateways register their presence through the counter.
     pub roll_call: bool,
-    /// Votes of the counter; half as many as there are gateways where not said.
+    /// Votes of the counter; half the number of gateways if not set.
     pub counter_votes: Option<u32>,
-    /// What a gateway uses of its part in any case.
+    /// Fraction of its share that a gateway may always use.
     pub kept: f64,
-    /// How old a contact may be.
+    /// How long a contact with another gateway remains valid.
     pub lease: Duration,
-    /// After so long a gateway is listed as absent.
+    /// Time without contact after which a gateway counts as absent.
     pub absent: Duration,
-    /// After so long a contact counts.
+    /// Time after which a new contact counts.
     pub settles: Duration,
-    /// Whether gateways take turns at the counter.
+    /// Whether gateways take turns in querying the counter.
     pub turns: bool,
 }
 
@@ -49,19 +49,19 @@
     };
     for field in once(&section.rest()?, "fleet", &["peer"]) {
         let (head, name, field) = field?;
-        let span = || -> Result<Duration, String> {
-            Ok(Duration::from_secs_f64(field.one(&name)?.number(&name, 0.1, LONGEST)?))
+        let duration = || -> Result<Duration, String> {
+            Ok(Duration::from_secs_f64(field.one(&name)?.number(&name, 0.1, DURATION_SECONDS_MAX)?))
         };
         match head.as_str() {
             "peer" => peer(&mut fleet, &field, &name)?,
             "roll-call" => fleet.roll_call = field.one(&name)?.flag(&name)?,
             "counter-votes" => {
-                fleet.counter_votes = Some(field.one(&name)?.whole(&name, 0.0, VOTES_MAX)? as u32)
+                fleet.counter_votes = Some(field.one(&name)?.whole(&name, 0.0, COUNTER_VOTES_MAX)? as u32)
             }
             "kept" => fleet.kept = field.one(&name)?.number(&name, 0.0, 0.5)?,
-            "lease" => fleet.lease = span()?,
-            "absent" => fleet.absent = span()?,
-            "settles" => fleet.settles = span()?,
+            "lease" => fleet.lease = duration()?,
+            "absent" => fleet.absent = duration()?,
+            "settles" => fleet.settles = duration()?,
             "turns" => fleet.turns = field.one(&name)?.flag(&name)?,
             _ => return Err(field.error(&name, "no such field")),
         }
@@ -69,9 +69,9 @@
     if fleet.turns && fleet.peers.is_empty() {
         return Err(section.error("fleet.turns", "no `peer` is given to take turns with"));
     }
-    let least = fleet.lease.mul_f64(MARGIN);
+    let min = fleet.lease.mul_f64(CLOCK_DRIFT_MARGIN);
     for (name, given) in [("absent", fleet.absent), ("settles", fleet.settles)] {
-        if given < least {
+        if given < min {
             let what =
                 format!("must be a hundredth longer than the lease of {} s", fleet.lease.as_secs_f64());
             return Err(section.error(&format!("fleet.{name}"), &what));
@@ -85,7 +85,7 @@
     let [number, at] = rest.as_slice() else {
         return Err(field.error(name, "a number and an address are wanted"));
     };
-    let number = number.whole(name, 0.0, PEERS_MAX - 1.0)? as u32;
+    let number = number.whole(name, 0.0, GATEWAYS_MAX - 1.0)? as u32;
     let text = at.text(name)?;
     let at: Option<SocketAddr> = text.parse().ok().filter(|at: &SocketAddr| at.port() > 0);
     let at = at.ok_or_else(|| field.error(name, &format!("`{text}` is no address with a port")))?;
@@ -101,7 +101,7 @@
     use std::time::Duration;
 
     #[test]
-    fn every_field_is_read() {
+    fn all_fields_are_read() {
         let text = "(fleet (peer 1 \"127.0.0.2:3001\") (peer 2 \"127.0.0.3:3001\") (roll-call yes)
                      (counter-votes 3) (kept 0.4) (lease 3) (absent 4) (settles 5) (turns yes))";
         let fleet = Operator::parse(text).unwrap().fleet.unwrap();
@@ -115,7 +115,7 @@
     }
 
     #[test]
-    fn every_fault_is_named_with_its_field_and_place() {
+    fn errors_name_the_field_and_position() {
         for (field, wanted) in [
             ("(colour red)", "1:8: field `fleet.colour`: no such field"),
             ("(kept 0.5) (kept 0.5)", "field `fleet.kept`: given twice"),
--- a/crates/operator/src/lib.rs
+++ b/crates/operator/src/lib.rs
@@ -1,8 +1,8 @@
-//! The operators' own file: what this program can do beyond what the platform configures.
+//! The operator file: settings beyond those that the platform provides.
 //!
-//! It holds sections as S-expressions, `(srv (name "_registry._tcp.example.org") ...)`. Each field is a list that
-//! begins with its name. Whatever is wrong is one message with field, line and column, and nothing of the file
-//! is used. `deploy/operator.example.lisp` has all fields.
+//! The file consists of sections as S-expressions, such as `(srv (name "_registry._tcp.example.org") ...)`. Each field
+//! is a list that begins with its name. An invalid file is rejected as a whole, with an error that names field, line
+//! and column. `deploy/operator.example.lisp` shows all fields.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
@@ -17,34 +17,33 @@
 
 use std::path::Path;
 
-/// Everything that the file says.
+/// Contents of the operator file.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Operator {
-    /// Workers taken from SRV records.
+    /// Worker discovery through SRV records.
     pub srv: Option<Srv>,
-    /// Who is there, and parts that follow from it.
+    /// Fleet membership and quota shares.
     pub fleet: Option<Fleet>,
-    /// Whose word is gone by on plans, classes and accounts; the configuration's where not said.
+    /// Source of plans, classes and accounts; the configuration if not set.
     pub policy: Option<Policy>,
-    /// Sites, and what becomes of their load when one is lost.
+    /// Sites, and how their load is redistributed after the loss of one.
     pub sites: Option<Sites>,
 }
 
 impl Operator {
-    /// Reads and checks a file.
+    /// Reads and validates a file.
     ///
     /// # Errors
-    /// One message that names the file, the field and its place.
+    /// A message with the file, the field and its position.
     pub fn load(path: &Path) -> Result<Operator, String> {
         hingestage_form::load(path, Operator::parse)
     }
 
-    /// Checks a file's text.
+    /// Validates the text of a file.
     ///
     /// # Errors
-    /// One message that names the field and its place.
+    /// A message with the field and its position.
     pub fn parse(text: &str) -> Result<Operator, String> {
-        // One list round all sections, on a line of its own so that columns stay what they are.
         let whole = hingestage_form::read(text)?;
         let mut operator = Operator::default();
         for section in whole.items()? {
--- a/crates/operator/src/policy.rs
+++ b/crates/operator/src/policy.rs
@@ -1,4 +1,4 @@
-//! The section `policy`.
+//! Section `policy` of the operator file: where a gateway obtains its policy.
 
 use hingestage_change::fields::{keepers, NAME_MAX};
 use hingestage_change::keeper::{Figures, Mode};
@@ -6,27 +6,27 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// Whose word a gateway goes by.
+/// Settings of the policy source.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Policy {
-    /// The keepers, by number.
+    /// Keeper addresses by number.
     pub keepers: BTreeMap<u64, SocketAddr>,
-    /// This gateway's name before them; one no other has.
+    /// Unique name of this gateway at the keepers.
     pub name: String,
-    /// What it does whose lease is over.
+    /// Behaviour after the lease has expired.
     pub mode: Mode,
-    /// What all go by.
+    /// Lease settings shared by all gateways and keepers.
     pub figures: Figures,
 }
 
 /// Reads the section.
 pub fn read(section: &Form) -> Result<Policy, String> {
-    let (mut at, mut own, mut mode, mut figures) = (None, None, Mode::Stop, Figures::usual());
+    let (mut addresses, mut own_name, mut mode, mut figures) = (None, None, Mode::Stop, Figures::usual());
     for field in once(&section.rest()?, "policy", &[]) {
         let (head, name, field) = field?;
         match head.as_str() {
-            "keepers" => at = Some(keepers(&field, &name)?),
-            "name" => own = Some(self::name(&field, &name)?),
+            "keepers" => addresses = Some(keepers(&field, &name)?),
+            "name" => own_name = Some(self::name(&field, &name)?),
             "mode" => {
                 let one = field.one(&name)?;
                 mode = match one.text(&name)? {
@@ -41,8 +41,8 @@
     }
     figures.check(section, "policy")?;
     let missing = |field: &str| section.error(&format!("policy.{field}"), "missing");
-    let keepers = at.ok_or_else(|| missing("keepers"))?;
-    Ok(Policy { keepers, name: own.ok_or_else(|| missing("name"))?, mode, figures })
+    let keepers = addresses.ok_or_else(|| missing("keepers"))?;
+    Ok(Policy { keepers, name: own_name.ok_or_else(|| missing("name"))?, mode, figures })
 }
 
 fn name(field: &Form, name: &str) -> Result<String, String> {
@@ -59,7 +59,7 @@
     use hingestage_change::keeper::{Figures, Mode};
 
     #[test]
-    fn every_field_is_read() {
+    fn all_fields_are_read() {
         let text =
             "(policy (keepers (0 \"127.0.0.1:7000\") (1 \"127.0.0.1:7001\")) (name \"n12\") (mode serve)
                      (lease 3) (error 0.1))";
@@ -69,7 +69,7 @@
     }
 
     #[test]
-    fn every_fault_is_named_with_its_field_and_place() {
+    fn errors_name_the_field_and_position() {
         let usual = "(policy (keepers (0 \"127.0.0.1:7000\")) (name \"n\"))";
         for (from, to, wanted) in [
             ("(name \"n\")", "(name \"n\") (colour 1)", "1:51: field `policy.colour`: no such field"),
--- a/crates/operator/src/srv.rs
+++ b/crates/operator/src/srv.rs
@@ -1,22 +1,22 @@
-//! The section `srv`.
+//! Section `srv` of the operator file: worker discovery through DNS.
 
 use hingestage_form::{once, Form};
 use hingestage_srv::{Addresses, Micros, SrvSettings, SECOND};
 use std::net::SocketAddr;
 
-/// The longest span that may be set, seconds: a week.
-const LONGEST: f64 = 604_800.0;
-/// Most servers.
+/// Maximum configurable duration in seconds: one week.
+const DURATION_SECONDS_MAX: f64 = 604_800.0;
+/// Maximum number of DNS servers.
 const SERVERS_MAX: usize = 8;
 
-/// Workers taken from SRV records.
+/// Settings of worker discovery through SRV records.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Srv {
-    /// The name and how it is followed.
+    /// The SRV name and how it is followed.
     pub settings: SrvSettings,
-    /// Whether the list of discovery is followed as well.
+    /// Whether workers from the discovery list are used as well.
     pub beside_list: bool,
-    /// Whether workers that the first answer names are taken for cold.
+    /// Whether workers in the first response start cold.
     pub cold_at_start: bool,
 }
 
@@ -33,12 +33,12 @@
     let settings = settings.map_err(|e| text.error("srv.name", &e))?;
     let mut srv = Srv { settings, beside_list: false, cold_at_start: true };
     for field in &fields {
-        one_field(&mut srv, field)?;
+        read_field(&mut srv, field)?;
     }
     Ok(srv)
 }
 
-fn one_field(srv: &mut Srv, field: &Form) -> Result<(), String> {
+fn read_field(srv: &mut Srv, field: &Form) -> Result<(), String> {
     let head = field.head()?;
     let name = format!("srv.{head}");
     let settings = &mut srv.settings;
@@ -60,13 +60,13 @@
                 other => return Err(one.error(&name, &format!("`{other}` is none of ipv4, ipv6 and both"))),
             }
         }
-        "lifetimes" => settings.lifetimes = span_pair(field, &name)?,
-        "retry" => settings.retry = span_pair(field, &name)?,
-        "timeout" => settings.timeout = span(&field.one(&name)?, &name, 0.05, 30.0)?,
-        "stale-for" => settings.stale_for = span(&field.one(&name)?, &name, 0.0, LONGEST)?,
+        "lifetimes" => settings.lifetimes = duration_range(field, &name)?,
+        "retry" => settings.retry = duration_range(field, &name)?,
+        "timeout" => settings.timeout = duration(&field.one(&name)?, &name, 0.05, 30.0)?,
+        "stale-for" => settings.stale_for = duration(&field.one(&name)?, &name, 0.0, DURATION_SECONDS_MAX)?,
         "shrink-to" => settings.shrink_to = field.one(&name)?.number(&name, 0.0, 1.0)?,
-        "shrink-for" => settings.shrink_for = span(&field.one(&name)?, &name, 0.0, LONGEST)?,
-        "grace" => settings.grace = span(&field.one(&name)?, &name, 0.0, 3_600.0)?,
+        "shrink-for" => settings.shrink_for = duration(&field.one(&name)?, &name, 0.0, DURATION_SECONDS_MAX)?,
+        "grace" => settings.grace = duration(&field.one(&name)?, &name, 0.0, 3_600.0)?,
         "questions-per-second" => settings.questions = field.one(&name)?.number(&name, 0.1, 10_000.0)?,
         "beside-list" => srv.beside_list = field.one(&name)?.flag(&name)?,
         "at-start" => {
@@ -99,18 +99,21 @@
     }
 }
 
-/// Seconds, as microseconds.
-fn span(form: &Form, field: &str, least: f64, most: f64) -> Result<Micros, String> {
-    Ok((form.number(field, least, most)? * SECOND as f64) as Micros)
+/// Reads a duration in seconds and converts it to microseconds.
+fn duration(form: &Form, field: &str, min: f64, max: f64) -> Result<Micros, String> {
+    Ok((form.number(field, min, max)? * SECOND as f64) as Micros)
 }
 
-/// The least and the longest of something.
-fn span_pair(field: &Form, name: &str) -> Result<(Micros, Micros), String> {
+/// Reads the minimum and maximum of a duration.
+fn duration_range(field: &Form, name: &str) -> Result<(Micros, Micros), String> {
     match field.rest()?.as_slice() {
-        [least, most] => {
-            let pair = (span(least, name, 0.1, LONGEST)?, span(most, name, 0.1, LONGEST)?);
-            match pair.0 <= pair.1 {
-                true => Ok(pair),
+        [min, max] => {
+            let range = (
+                duration(min, name, 0.1, DURATION_SECONDS_MAX)?,
+                duration(max, name, 0.1, DURATION_SECONDS_MAX)?,
+            );
+            match range.0 <= range.1 {
+                true => Ok(range),
                 false => Err(field.error(name, "the least is more than the longest")),
             }
         }
@@ -122,10 +125,11 @@
 mod tests {
     use crate::Operator;
 
-    const LEAST: &str = "(srv (name \"_r._tcp.example.org\") (servers \"127.0.0.1:53\"))";
+    /// The shortest valid section.
+    const MINIMAL: &str = "(srv (name \"_r._tcp.example.org\") (servers \"127.0.0.1:53\"))";
 
     #[test]
-    fn the_shipped_example_is_good_and_names_every_field() {
+    fn shipped_example_is_valid_and_shows_every_field() {
         let text = include_str!("../../../deploy/operator.example.lisp");
         let srv = Operator::parse(text).unwrap().srv.unwrap();
         assert_eq!(srv.settings.servers.len(), 2);
@@ -150,13 +154,13 @@
     }
 
     #[test]
-    fn an_empty_file_asks_for_nothing() {
+    fn empty_file_gives_defaults() {
         assert_eq!(Operator::parse("; nothing\n").unwrap(), Operator::default());
     }
 
     #[test]
-    fn every_fault_is_named_with_its_field_and_place() {
-        let with = |field: &str| LEAST.replace("(servers", &format!("{field}\n  (servers"));
+    fn errors_name_the_field_and_position() {
+        let with = |field: &str| MINIMAL.replace("(servers", &format!("{field}\n  (servers"));
         for (text, wanted) in [
             (with("(colour red)"), "1:35: field `srv.colour`: no such field"),
             (with("(name \"x\")"), "1:35: field `srv.name`: given twice"),
@@ -170,13 +174,13 @@
             (with("(at-start lukewarm)"), "field `srv.at-start`: `lukewarm` is neither"),
             (with("(beside-list maybe)"), "field `srv.beside-list`: `maybe` is neither"),
             (
-                LEAST.replace("127.0.0.1:53", "dns.example.org"),
+                MINIMAL.replace("127.0.0.1:53", "dns.example.org"),
                 "field `srv.servers`: `dns.example.org` is no address",
             ),
-            (LEAST.replace("\"127.0.0.1:53\"", ""), "field `srv.servers`: names none"),
-            (LEAST.replace("_r._tcp.", ""), "1:12: field `srv.name`: `example.org` does not begin"),
+            (MINIMAL.replace("\"127.0.0.1:53\"", ""), "field `srv.servers`: names none"),
+            (MINIMAL.replace("_r._tcp.", ""), "1:12: field `srv.name`: `example.org` does not begin"),
             ("\n (srv)".into(), "2:2: field `srv.name`: missing"),
-            (format!("{LEAST}{LEAST}"), "field `srv`: given twice"),
+            (format!("{MINIMAL}{MINIMAL}"), "field `srv`: given twice"),
             ("(planner)".into(), "field `planner`: no such section"),
             ("srv".into(), "1:1: field `srv`: a list is wanted here"),
             ("(\"srv\")".into(), "a list that begins with a name"),
--- a/crates/srv/examples/figures.rs
+++ b/crates/srv/examples/figures.rs
@@ -1,5 +1,4 @@
-//! What following a name costs and how late it is, on a clock that is set: questions a second against the fleet's
-//! size and the records' lifetime, and the time from a change to its being believed.
+//! Simulates the query rate by fleet size and record TTL, and the delay until a change of the zone takes effect.
 //!
 //! ```text
 //! cargo run --release -p hingestage-srv --example figures
@@ -13,7 +12,7 @@
 
 const NAME: &str = "_registry._tcp.sala.example.org.";
 
-/// A zone of so many workers, from the first number on, as the server answers a question.
+/// Answers a query from a zone of `workers` workers, numbered from `first`.
 fn answer(asked: &[u8], workers: usize, first: usize, ttl: u32, along: bool) -> Vec<u8> {
     let asked = Message::from_vec(asked).expect("our own question");
     let mut reply = Message::new(asked.metadata.id, MessageType::Response, asked.metadata.op_code);
@@ -42,13 +41,13 @@
     reply.to_vec().expect("a small answer")
 }
 
-/// One gateway's questions over a span, and how late a change half way is believed.
-fn follow(seed: u64, workers: usize, ttl: u32, along: bool, span: Micros) -> (usize, Micros) {
+/// Simulates one gateway over a duration. Returns its number of queries and the delay of a change half way.
+fn simulate(seed: u64, workers: usize, ttl: u32, along: bool, span: Micros) -> (usize, Micros) {
     let settings = SrvSettings::new(NAME, vec!["127.0.0.1:53".parse().expect("an address")]).expect("a name");
     let settings = SrvSettings { lifetimes: (SECOND, 86_400 * SECOND), questions: 1_000.0, ..settings };
     let mut service = Service::new(settings, seed, 0);
     let (mut now, mut asked, mut late) = (0, 0, None);
-    // Gateways are not in step with a change: it falls anywhere in a lifetime.
+    // The change falls at a different point of the TTL for each gateway.
     let change = span / 2 + (seed * 7_919_333) % (u64::from(ttl) * SECOND);
     while now < span {
         let mut out = Vec::new();
@@ -83,7 +82,7 @@
     ] {
         let span = 20 * u64::from(ttl) * SECOND;
         let all: Vec<(usize, Micros)> =
-            (0..gateways).map(|seed| follow(seed, workers, ttl, along, span)).collect();
+            (0..gateways).map(|seed| simulate(seed, workers, ttl, along, span)).collect();
         let asked: usize = all.iter().map(|(asked, _)| asked).sum();
         let mut late: Vec<Micros> = all.iter().map(|(_, late)| *late).collect();
         late.sort_unstable();
--- a/crates/srv/src/lib.rs
+++ b/crates/srv/src/lib.rs
@@ -1,9 +1,7 @@
-//! Workers named by DNS SRV records (RFC 2782), without sockets and clocks.
+//! Worker discovery through DNS SRV records (RFC 2782), as state machines without sockets or clocks.
 //!
-//! Three values, each of which takes events and gives what is to be done: [`message`] writes questions and reads
-//! answers, the [`resolver::Resolver`] gets one question answered by whichever server will, and the
-//! [`service::Service`] keeps what is believed of a name: which addresses, since when, and why.
-//! `docs/srv.md` says which rules it follows and what was weighed.
+//! [`message`] encodes queries and parses responses, [`resolver::Resolver`] resolves a question using several
+//! servers, and [`service::Service`] maintains the endpoints of a name. `docs/srv.md` describes the rules.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
@@ -12,24 +10,23 @@
 pub mod service;
 pub mod settings;
 
-pub use service::{Endpoint, Service, Standing};
+pub use service::{AnswerState, Endpoint, Service};
 pub use settings::{Addresses, Network, SrvSettings};
 
-/// A point in time or a span, microseconds. Points are read off one clock that never goes back.
+/// A point in time on a monotonic clock, or a duration, in microseconds.
 pub type Micros = u64;
 
 /// Microseconds in a second.
 pub const SECOND: Micros = 1_000_000;
 
-/// The wait before the next try at what failed so often in a row: drawn, so that those who failed together don't
-/// try together, from a span that doubles up to the longest.
-fn back_off(rng: &mut fastrand::Rng, (first, longest): (Micros, Micros), fails: u32) -> Micros {
-    let most = first.saturating_mul(1 << fails.min(16)).clamp(first, longest.max(first));
-    rng.u64(first..=most)
+/// Exponential backoff with jitter: a random delay between the first bound and a limit that doubles with each failure
+/// up to the second bound.
+fn backoff(rng: &mut fastrand::Rng, (min, max): (Micros, Micros), failures: u32) -> Micros {
+    let limit = min.saturating_mul(1 << failures.min(16)).clamp(min, max.max(min));
+    rng.u64(min..=limit)
 }
 
-/// A generator whose draws differ from the first one on, also for seeds that lie close together (the finalizer
-/// of `splitmix64`).
+/// Creates a generator; mixes the seed (`splitmix64` finalizer) so that adjacent seeds give unrelated sequences.
 fn rng(seed: u64) -> fastrand::Rng {
     let mut x = seed.wrapping_add(0x9e37_79b9_7f4a_7c15);
     x = (x ^ (x >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
--- a/crates/srv/src/message.rs
+++ b/crates/srv/src/message.rs
@@ -1,4 +1,4 @@
-//! Questions as bytes, and bytes as answers to them. What does not belong to the question is never believed.
+//! Encodes DNS queries and parses responses. Records that do not belong to the question are ignored.
 
 use hickory_proto::op::{Edns, Message, MessageType, OpCode, Query, ResponseCode};
 use hickory_proto::rr::rdata::opt::{EdnsCode, EdnsOption};
@@ -6,222 +6,235 @@
 use std::collections::BTreeSet;
 use std::net::IpAddr;
 
-/// The largest answer over UDP that is asked for, bytes: what passes every usual network unbroken.
-pub const PAYLOAD: u16 = 1_232;
-/// Names that one answer may lead on to, and one question over all its answers.
+/// Advertised EDNS payload size in bytes; small enough to avoid IP fragmentation.
+pub const UDP_PAYLOAD_BYTES_MAX: u16 = 1_232;
+/// Maximum length of a CNAME chain, within one response and over all responses to a question.
 pub const ALIASES_MAX: usize = 8;
-/// Bytes of a client's cookie (RFC 7873).
-pub const COOKIE: usize = 8;
-/// The longest cookie, the server's part included.
-const COOKIE_MAX: usize = 40;
-/// The option's number.
-const COOKIE_CODE: u16 = 10;
+/// Length of a client cookie in bytes (RFC 7873).
+pub const CLIENT_COOKIE_BYTES: usize = 8;
+/// Maximum length of a client and server cookie together in bytes.
+const COOKIE_BYTES_MAX: usize = 40;
+/// EDNS option code of the cookie.
+const COOKIE_OPTION_CODE: u16 = 10;
 
-/// What is asked for.
+/// Record type of a question.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum Kind {
-    /// Which workers there are.
+pub enum RecordKind {
+    /// Targets and ports of the workers.
     Srv,
-    /// Where one is.
+    /// IPv4 address of a target.
     A,
-    /// The same in the other family.
+    /// IPv6 address of a target.
     Aaaa,
 }
 
-impl Kind {
+impl RecordKind {
     fn record_type(self) -> RecordType {
         match self {
-            Kind::Srv => RecordType::SRV,
-            Kind::A => RecordType::A,
-            Kind::Aaaa => RecordType::AAAA,
+            RecordKind::Srv => RecordType::SRV,
+            RecordKind::A => RecordType::A,
+            RecordKind::Aaaa => RecordType::AAAA,
         }
     }
 }
 
-/// A name and what is asked of it.
+/// A DNS question.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Question {
     /// The name, in lower case.
     pub name: Name,
-    /// What is asked.
-    pub kind: Kind,
+    /// The record type.
+    pub kind: RecordKind,
 }
 
-/// What tells a question on its way from all others.
+/// Parameters of one query that its response must match.
 #[derive(Clone, Debug, Default)]
-pub struct Stamp {
-    /// Its number, random.
+pub struct QueryParameters {
+    /// Random query id.
     pub id: u16,
-    /// Whether extensions are spoken (RFC 6891): some old servers know none.
-    pub extended: bool,
-    /// Our cookie, and the server's behind it where it gave one.
+    /// Whether EDNS is used (RFC 6891); some old servers do not support it.
+    pub edns: bool,
+    /// The client cookie, followed by the server cookie if known.
     pub cookie: Vec<u8>,
 }
 
 /// One SRV record.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct SrvRecord {
-    /// Where the worker is.
+    /// Host name of the worker.
     pub target: Name,
-    /// At which port.
+    /// Port of the worker.
     pub port: u16,
-    /// Less is better.
+    /// Priority; lower values are preferred.
     pub priority: u16,
-    /// Its size among those of one priority.
+    /// Relative weight among records of the same priority.
     pub weight: u16,
 }
 
-/// What an answer holds.
+/// Records found in a response.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Found {
-    /// SRV records, for a question after them.
+pub struct Records {
+    /// SRV records, if asked for.
     pub records: Vec<SrvRecord>,
-    /// Addresses, for a question after these.
+    /// Addresses, if asked for.
     pub addresses: Vec<IpAddr>,
-    /// The least lifetime of all that it rests on, seconds.
+    /// Minimum TTL of all records used, in seconds.
     pub ttl: u32,
-    /// Addresses of targets that came along: name, address, lifetime.
-    pub along: Vec<(Name, IpAddr, u32)>,
+    /// Target addresses from the additional section: name, address, TTL in seconds.
+    pub additional: Vec<(Name, IpAddr, u32)>,
 }
 
-/// What came of reading an answer.
+/// Result of parsing a response.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Read {
-    /// Not an answer to this question: wait on.
-    Foreign(&'static str),
-    /// It was cut: ask again over TCP.
+pub enum Response {
+    /// Not a response to this query: keep waiting.
+    Mismatch(&'static str),
+    /// Truncated: retry over TCP.
     Truncated,
-    /// The server knows no extensions: ask without.
-    Plain,
-    /// The server wants its cookie back: ask with it.
-    Cookie,
-    /// What was asked for.
-    Found(Found),
-    /// The name leads on to another, which was not answered for; the lifetime so far.
-    Leads(Name, u32),
-    /// There is none, and how long that holds, where the answer says it.
+    /// The server does not support EDNS: retry without it.
+    NoEdns,
+    /// The server requires its cookie: retry with it.
+    BadCookie,
+    /// The records asked for.
+    Found(Records),
+    /// A CNAME to a name without records in this response, and the minimum TTL so far in seconds.
+    Alias(Name, u32),
+    /// No such records.
     Absent {
-        /// Whether the name itself is unknown.
+        /// Whether the name does not exist (NXDOMAIN).
         unknown: bool,
-        /// Seconds.
+        /// TTL of the negative response in seconds, if given.
         ttl: Option<u32>,
     },
-    /// The server can't or won't say.
+    /// The server returned an error.
     Failed(String),
 }
 
-/// A question as bytes.
-pub fn ask(question: &Question, stamp: &Stamp) -> Vec<u8> {
+/// Encodes a query.
+pub fn encode_query(question: &Question, query: &QueryParameters) -> Vec<u8> {
     let mut message = Message::query();
-    message.metadata.id = stamp.id;
+    message.metadata.id = query.id;
     message.metadata.recursion_desired = true;
     message.add_query(Query::query(question.name.clone(), question.kind.record_type()));
-    if stamp.extended {
+    if query.edns {
         let mut edns = Edns::new();
-        edns.set_max_payload(PAYLOAD);
-        if !stamp.cookie.is_empty() {
-            edns.options_mut().insert(EdnsOption::Unknown(COOKIE_CODE, stamp.cookie.clone()));
+        edns.set_max_payload(UDP_PAYLOAD_BYTES_MAX);
+        if !query.cookie.is_empty() {
+            edns.options_mut().insert(EdnsOption::Unknown(COOKIE_OPTION_CODE, query.cookie.clone()));
         }
         message.set_edns(edns);
     }
-    // Names are checked where they come in, and one name always fits.
+    // Encoding cannot fail: names are validated on input and a single name always fits.
     message.to_vec().unwrap_or_default()
 }
 
-/// Reads what came from the server that was asked. `cookie` takes the server's cookie where it gave a new one.
-pub fn read(bytes: &[u8], question: &Question, stamp: &Stamp, cookie: &mut Vec<u8>) -> Read {
+/// Parses a response from the queried server. A new server cookie is stored in `cookie`.
+pub fn parse_response(
+    bytes: &[u8],
+    question: &Question,
+    query: &QueryParameters,
+    cookie: &mut Vec<u8>,
+) -> Response {
     let Ok(message) = Message::from_vec(bytes) else {
-        return unreadable(bytes, stamp);
+        return unreadable(bytes, query);
     };
-    if message.metadata.id != stamp.id {
-        return Read::Foreign("another number");
+    if message.metadata.id != query.id {
+        return Response::Mismatch("another id");
     }
     if message.metadata.message_type != MessageType::Response || message.metadata.op_code != OpCode::Query {
-        return Read::Foreign("no answer");
+        return Response::Mismatch("no answer");
     }
-    if let Err(what) = own_cookie(&message, stamp, cookie) {
-        return Read::Foreign(what);
+    if let Err(what) = check_cookie(&message, query, cookie) {
+        return Response::Mismatch(what);
     }
     let code = message.metadata.response_code;
-    let bare = message.queries.is_empty() && matches!(code, ResponseCode::FormErr | ResponseCode::NotImp);
-    if !bare && !same_question(&message.queries, question) {
-        return Read::Foreign("another question");
+    let no_question =
+        message.queries.is_empty() && matches!(code, ResponseCode::FormErr | ResponseCode::NotImp);
+    if !no_question && !same_question(&message.queries, question) {
+        return Response::Mismatch("another question");
     }
     match code {
-        ResponseCode::NoError | ResponseCode::NXDomain if message.metadata.truncation => Read::Truncated,
+        ResponseCode::NoError | ResponseCode::NXDomain if message.metadata.truncation => Response::Truncated,
         ResponseCode::NoError | ResponseCode::NXDomain => answer(&message, question),
-        ResponseCode::FormErr | ResponseCode::NotImp if stamp.extended => Read::Plain,
-        ResponseCode::BADCOOKIE if stamp.extended => Read::Cookie,
-        other => Read::Failed(other.to_string()),
+        ResponseCode::FormErr | ResponseCode::NotImp if query.edns => Response::NoEdns,
+        ResponseCode::BADCOOKIE if query.edns => Response::BadCookie,
+        other => Response::Failed(other.to_string()),
     }
 }
 
-/// What can't be read may still be an answer that was cut in the middle of a record, and says so in its head.
-fn unreadable(bytes: &[u8], stamp: &Stamp) -> Read {
-    const HEAD: usize = 12;
-    let ours = bytes.len() >= HEAD && bytes[..2] == stamp.id.to_be_bytes() && bytes[2] & 0x80 != 0;
+/// Classifies a malformed response by its header; it may be truncated in the middle of a record.
+fn unreadable(bytes: &[u8], query: &QueryParameters) -> Response {
+    const HEADER_BYTES: usize = 12;
+    let ours = bytes.len() >= HEADER_BYTES && bytes[..2] == query.id.to_be_bytes() && bytes[2] & 0x80 != 0;
     match ours {
-        true if bytes[2] & 0x02 != 0 => Read::Truncated,
-        true => Read::Failed("not readable".into()),
-        false => Read::Foreign("not readable"),
+        true if bytes[2] & 0x02 != 0 => Response::Truncated,
+        true => Response::Failed("not readable".into()),
+        false => Response::Mismatch("not readable"),
     }
 }
 
-fn own_cookie(message: &Message, stamp: &Stamp, cookie: &mut Vec<u8>) -> Result<(), &'static str> {
+fn check_cookie(
+    message: &Message,
+    query: &QueryParameters,
+    cookie: &mut Vec<u8>,
+) -> Result<(), &'static str> {
     let option = message.edns.as_ref().and_then(|edns| edns.option(EdnsCode::Cookie));
-    let Some(EdnsOption::Unknown(_, told)) = option else { return Ok(()) };
-    if stamp.cookie.len() < COOKIE || told.len() < COOKIE || told[..COOKIE] != stamp.cookie[..COOKIE] {
+    let Some(EdnsOption::Unknown(_, received)) = option else { return Ok(()) };
+    if query.cookie.len() < CLIENT_COOKIE_BYTES
+        || received.len() < CLIENT_COOKIE_BYTES
+        || received[..CLIENT_COOKIE_BYTES] != query.cookie[..CLIENT_COOKIE_BYTES]
+    {
         return Err("another cookie");
     }
-    if (2 * COOKIE..=COOKIE_MAX).contains(&told.len()) {
-        *cookie = told.clone();
+    if (2 * CLIENT_COOKIE_BYTES..=COOKIE_BYTES_MAX).contains(&received.len()) {
+        *cookie = received.clone();
     }
     Ok(())
 }
 
 fn same_question(asked: &[Query], question: &Question) -> bool {
-    // Some servers give names back in another case; the comparison is without it (RFC 4343).
+    // Names are compared without case (RFC 4343): some servers change it.
     matches!(asked, [one] if one.name == question.name
         && one.query_type == question.kind.record_type()
         && one.query_class == DNSClass::IN)
 }
 
-/// The answer section, followed from the name that was asked for.
-fn answer(message: &Message, question: &Question) -> Read {
+/// Evaluates the answer section, following CNAME records from the queried name.
+fn answer(message: &Message, question: &Question) -> Response {
     let (mut name, mut ttl) = (question.name.clone(), u32::MAX);
     let mut seen = BTreeSet::from([name.clone()]);
     loop {
-        let mut found = Found::default();
+        let mut found = Records::default();
         let of_name = |r: &&Record| r.name == name && r.dns_class == DNSClass::IN;
         for record in message.answers.iter().filter(of_name) {
-            if take(&mut found, &record.data, question.kind) {
-                ttl = ttl.min(lifetime(record));
+            if add_record(&mut found, &record.data, question.kind) {
+                ttl = ttl.min(ttl_of(record));
             }
         }
         if !found.records.is_empty() || !found.addresses.is_empty() {
             found.ttl = ttl;
-            found.along = along(message, question, &found);
-            return Read::Found(found);
+            found.additional = additional(message, question, &found);
+            return Response::Found(found);
         }
         let alias = message.answers.iter().filter(of_name).find_map(|r| match &r.data {
-            RData::CNAME(to) => Some((to.0.to_lowercase(), lifetime(r))),
+            RData::CNAME(to) => Some((to.0.to_lowercase(), ttl_of(r))),
             _ => None,
         });
-        let Some((to, lasts)) = alias else { break };
-        ttl = ttl.min(lasts);
+        let Some((to, alias_ttl)) = alias else { break };
+        ttl = ttl.min(alias_ttl);
         if !seen.insert(to.clone()) || seen.len() > ALIASES_MAX {
-            return Read::Failed("its names lead in a circle".into());
+            return Response::Failed("CNAME loop".into());
         }
         name = to;
     }
     if seen.len() > 1 && message.metadata.response_code == ResponseCode::NoError {
-        return Read::Leads(name, ttl);
+        return Response::Alias(name, ttl);
     }
     absent(message)
 }
 
-/// Past 2^31 - 1 a lifetime is nothing (RFC 2181), which here is also the least of all.
-fn lifetime(record: &Record) -> u32 {
+/// TTL of a record in seconds; values above 2^31 - 1 count as 0 (RFC 2181).
+fn ttl_of(record: &Record) -> u32 {
     if record.ttl > i32::MAX as u32 {
         0
     } else {
@@ -229,24 +242,23 @@
     }
 }
 
-fn take(found: &mut Found, data: &RData, kind: Kind) -> bool {
+fn add_record(found: &mut Records, data: &RData, kind: RecordKind) -> bool {
     match (kind, data) {
-        (Kind::Srv, RData::SRV(srv)) => found.records.push(SrvRecord {
+        (RecordKind::Srv, RData::SRV(srv)) => found.records.push(SrvRecord {
             target: srv.target.to_lowercase(),
             port: srv.port,
             priority: srv.priority,
             weight: srv.weight,
         }),
-        (Kind::A, RData::A(at)) => found.addresses.push(at.0.into()),
-        (Kind::Aaaa, RData::AAAA(at)) => found.addresses.push(at.0.into()),
+        (RecordKind::A, RData::A(at)) => found.addresses.push(at.0.into()),
+        (RecordKind::Aaaa, RData::AAAA(at)) => found.addresses.push(at.0.into()),
         _ => return false,
     }
     true
 }
 
-/// Addresses from the additional section: those of targets in the very zone that was asked about. A server
-/// may well speak for others too, but nobody asked it for them.
-fn along(message: &Message, question: &Question, found: &Found) -> Vec<(Name, IpAddr, u32)> {
+/// Target addresses from the additional section, restricted to the zone of the question to prevent cache poisoning.
+fn additional(message: &Message, question: &Question, found: &Records) -> Vec<(Name, IpAddr, u32)> {
     let targets: BTreeSet<&Name> = found.records.iter().map(|r| &r.target).collect();
     let zone = domain(&question.name);
     let ours = |name: &Name| zone.zone_of(name) && targets.contains(name);
@@ -259,22 +271,22 @@
                 _ => return None,
             };
             let name = r.name.to_lowercase();
-            ours(&name).then(|| (name, at, lifetime(r)))
+            ours(&name).then(|| (name, at, ttl_of(r)))
         })
         .collect()
 }
 
-/// The name without its service and protocol.
+/// The name without its service and protocol labels.
 fn domain(name: &Name) -> Name {
     let own = name.iter().filter(|label| !label.starts_with(b"_")).count();
     name.trim_to(own)
 }
 
-/// Nothing there, for as long as the zone's own record says (RFC 2308).
-fn absent(message: &Message) -> Read {
+/// A negative response, with the TTL of the zone's SOA record (RFC 2308).
+fn absent(message: &Message) -> Response {
     let ttl = message.authorities.iter().find_map(|r| match &r.data {
-        RData::SOA(soa) => Some(lifetime(r).min(soa.minimum)),
+        RData::SOA(soa) => Some(ttl_of(r).min(soa.minimum)),
         _ => None,
     });
-    Read::Absent { unknown: message.metadata.response_code == ResponseCode::NXDomain, ttl }
+    Response::Absent { unknown: message.metadata.response_code == ResponseCode::NXDomain, ttl }
 }
--- a/crates/srv/src/resolver.rs
+++ b/crates/srv/src/resolver.rs
@@ -1,346 +1,374 @@
-//! Gets one question answered by whichever server will: tries, back-offs, TCP after what was cut, and a budget of
-//! questions a second. Sockets are the caller's: it sends what [`Out::Ask`] says and tells what came of it.
+//! Resolves questions: server failover with backoff, TCP after truncation, and a rate limit on queries. The caller
+//! owns the sockets: it sends each [`Output::Ask`] and reports the result.
 
-use crate::message::{ask, read, Found, Question, Read, Stamp, ALIASES_MAX, COOKIE};
+use crate::message::{
+    encode_query, parse_response, QueryParameters, Question, Records, Response, ALIASES_MAX,
+    CLIENT_COOKIE_BYTES,
+};
 use crate::settings::SrvSettings;
-use crate::{back_off, Micros, SECOND};
+use crate::{backoff, Micros, SECOND};
 use fastrand::Rng;
 use hickory_proto::rr::Name;
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
 
-/// Questions on their way at once: each is a socket out of the few that are kept back.
+/// Maximum number of queries in flight; each uses one reserved socket.
 pub const FLYING_MAX: usize = 4;
-/// Questions that wait for their turn; past that none is taken, and who asks tries again later.
+/// Maximum number of queued questions; further ones are rejected and retried by the caller.
 pub const WAITING_MAX: usize = 4_096;
-/// Answers to something else after which a question goes over TCP: somebody guesses.
-pub const FOREIGN_MAX: u32 = 8;
-/// Bytes of the longest answer over TCP that is read: a thousand records, names of full length and addresses.
+/// Mismatched UDP responses to a query after which it is retried over TCP, as a defence against spoofing.
+pub const MISMATCHES_MAX: u32 = 8;
+/// Maximum length of a response over TCP in bytes.
 pub const STREAM_MAX: usize = 65_535;
 
-/// A question to be put to a server.
+/// A query to send to a server.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Ask {
-    /// Its number; never given twice.
+    /// Unique query number.
     pub number: u64,
-    /// To whom.
+    /// The server.
     pub server: SocketAddr,
-    /// Over TCP, with the length before it, or as one datagram from a port of its own.
+    /// Whether to send it over TCP with a length prefix, or else as a datagram from its own port.
     pub tcp: bool,
-    /// The question.
+    /// The encoded query.
     pub bytes: Vec<u8>,
 }
 
-/// What is to be done.
+/// An instruction to the caller.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Out {
-    /// Put this to a server and tell what comes, until [`Out::Forget`].
+pub enum Output {
+    /// Send a query and report responses until [`Output::Forget`].
     Ask(Ask),
-    /// Close the socket of an ask: it is over.
+    /// Close the socket of a finished query.
     Forget(u64),
-    /// A question is answered.
+    /// A question is resolved or has failed.
     Done {
-        /// Which.
+        /// The question.
         question: Question,
-        /// How.
+        /// The result.
         outcome: Outcome,
-        /// By which server, by its place in the settings; the last one asked where none answered.
+        /// Index of the server in the settings; the last one tried if all failed.
         server: usize,
     },
 }
 
-/// How a question ended.
+/// Result of a question.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Outcome {
-    /// This is it.
-    Found(Found),
-    /// There is none.
+    /// Records were found.
+    Found(Records),
+    /// There are no such records.
     Absent {
-        /// Whether the name itself is unknown.
+        /// Whether the name does not exist (NXDOMAIN).
         unknown: bool,
-        /// For how long, seconds, where told.
+        /// TTL of the negative response in seconds, if given.
         ttl: Option<u32>,
     },
-    /// No server said anything of use; what the last one did.
+    /// All servers failed; the error of the last one.
     Failed(String),
 }
 
-/// Figures since the start.
+/// Counters since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
-    /// Questions sent.
+    /// Queries sent.
     pub asked: u64,
-    /// Of these, over TCP.
+    /// Queries sent over TCP.
     pub tcp: u64,
-    /// Without an answer in time.
+    /// Queries that timed out.
     pub timeouts: u64,
-    /// Answers that did not belong to their question.
+    /// Responses that did not match their query.
     pub foreign: u64,
-    /// Other failures.
+    /// Failed queries, including timeouts.
     pub failed: u64,
 }
 
 #[derive(Debug, Default)]
 struct Server {
-    /// Failures since the last answer.
-    fails: u32,
-    /// Asked last of all until then.
-    quiet_until: Micros,
+    /// Consecutive failures.
+    failures: u32,
+    /// Tried after the other servers until this time.
+    deprioritized_until: Micros,
     cookie: Vec<u8>,
-    /// It knows no extensions.
-    plain: bool,
+    /// The server does not support EDNS.
+    no_edns: bool,
 }
 
-/// A question that waits or is on its way.
+/// A queued or in-flight question.
 #[derive(Clone, Debug)]
 struct Lookup {
     question: Question,
-    /// The name it has led to so far, and how often it was led on.
+    /// The current name, and the number of CNAME records followed over responses.
     name: Name,
-    leads: usize,
-    /// The least lifetime of the aliases on the way, seconds.
+    alias_count: usize,
+    /// Minimum TTL of the CNAME records followed, in seconds.
     ttl: u32,
-    /// Servers not tried yet, best first, chosen when it is first put.
-    left: Option<VecDeque<usize>>,
+    /// Servers not tried yet, best first; chosen at the first query.
+    remaining_servers: Option<VecDeque<usize>>,
     tcp: bool,
-    /// Whether it was put again for a cookie or without extensions: once each is enough.
-    again: u32,
+    /// Retries at the same server, for example with a cookie, without EDNS or over TCP.
+    retries: u32,
 }
 
 #[derive(Debug)]
-struct Flying {
+struct InFlight {
     lookup: Lookup,
     server: usize,
-    stamp: Stamp,
-    until: Micros,
-    foreign: u32,
+    query: QueryParameters,
+    deadline: Micros,
+    mismatches: u32,
 }
 
-/// Asks servers.
+/// Resolves questions at the configured servers.
 #[derive(Debug)]
 pub struct Resolver {
     settings: SrvSettings,
     rng: Rng,
     servers: Vec<Server>,
     waiting: VecDeque<Lookup>,
-    flying: BTreeMap<u64, Flying>,
-    next: u64,
+    in_flight: BTreeMap<u64, InFlight>,
+    next_number: u64,
     tokens: f64,
     tokens_at: Micros,
-    /// What has happened so far.
+    /// Counters since the start.
     pub counts: Counts,
 }
 
 impl Resolver {
-    /// One that has asked nothing.
+    /// Creates a resolver without questions.
     pub fn new(settings: SrvSettings, seed: u64, now: Micros) -> Resolver {
         let mut rng = crate::rng(seed);
         let server = |_: &SocketAddr| Server {
-            cookie: (0..COOKIE).map(|_| rng.u8(..)).collect(),
+            cookie: (0..CLIENT_COOKIE_BYTES).map(|_| rng.u8(..)).collect(),
             ..Server::default()
         };
         let servers = settings.servers.iter().map(server).collect();
         let tokens = settings.questions.max(1.0);
-        let (waiting, flying) = (VecDeque::new(), BTreeMap::new());
+        let (waiting, in_flight) = (VecDeque::new(), BTreeMap::new());
         let counts = Counts::default();
-        Resolver { settings, rng, servers, waiting, flying, next: 0, tokens, tokens_at: now, counts }
+        Resolver {
+            settings,
+            rng,
+            servers,
+            waiting,
+            in_flight,
+            next_number: 0,
+            tokens,
+            tokens_at: now,
+            counts,
+        }
     }
 
-    /// Wants a question answered. One that waits already is not taken twice; false where too many wait.
-    pub fn want(&mut self, question: Question) -> bool {
+    /// Queues a question unless it is already queued or in flight. Returns false if the queue is full.
+    pub fn enqueue(&mut self, question: Question) -> bool {
         let same = |lookup: &Lookup| lookup.question == question;
-        if self.flying.values().any(|f| same(&f.lookup)) || self.waiting.iter().any(same) {
+        if self.in_flight.values().any(|f| same(&f.lookup)) || self.waiting.iter().any(same) {
             return true;
         }
         if self.waiting.len() >= WAITING_MAX {
             return false;
         }
         let name = question.name.clone();
-        let lookup = Lookup { question, name, leads: 0, ttl: u32::MAX, left: None, tcp: false, again: 0 };
+        let lookup = Lookup {
+            question,
+            name,
+            alias_count: 0,
+            ttl: u32::MAX,
+            remaining_servers: None,
+            tcp: false,
+            retries: 0,
+        };
         self.waiting.push_back(lookup);
         true
     }
 
-    /// Whether nothing waits and nothing is on its way.
-    pub fn idle(&self) -> bool {
-        self.waiting.is_empty() && self.flying.is_empty()
+    /// Whether no question is queued or in flight.
+    pub fn is_idle(&self) -> bool {
+        self.waiting.is_empty() && self.in_flight.is_empty()
     }
 
-    /// When to call [`Resolver::tick`] at the latest.
-    pub fn wake(&self) -> Option<Micros> {
-        let lapses = self.flying.values().map(|f| f.until).min();
-        let turn = (!self.waiting.is_empty() && self.flying.len() < FLYING_MAX).then(|| self.next_turn());
-        lapses.into_iter().chain(turn).min()
+    /// The latest time for the next call of [`Resolver::tick`].
+    pub fn next_wakeup(&self) -> Option<Micros> {
+        let timeout = self.in_flight.values().map(|f| f.deadline).min();
+        let token =
+            (!self.waiting.is_empty() && self.in_flight.len() < FLYING_MAX).then(|| self.next_token_at());
+        timeout.into_iter().chain(token).min()
     }
 
-    /// When the budget lets the next question out.
-    fn next_turn(&self) -> Micros {
-        let short = (1.0 - self.tokens).max(0.0) / self.settings.questions.max(0.01);
-        self.tokens_at + (short * SECOND as f64).ceil() as Micros
+    /// When the token bucket allows the next query.
+    fn next_token_at(&self) -> Micros {
+        let missing = (1.0 - self.tokens).max(0.0) / self.settings.questions.max(0.01);
+        self.tokens_at + (missing * SECOND as f64).ceil() as Micros
     }
 
-    /// Takes in that time has passed.
-    pub fn tick(&mut self, now: Micros, out: &mut Vec<Out>) {
-        let lapsed: Vec<u64> = self.flying.iter().filter(|(_, f)| f.until <= now).map(|(n, _)| *n).collect();
-        for number in lapsed {
+    /// Handles timeouts and sends queued questions.
+    pub fn tick(&mut self, now: Micros, out: &mut Vec<Output>) {
+        let timed_out: Vec<u64> =
+            self.in_flight.iter().filter(|(_, f)| f.deadline <= now).map(|(n, _)| *n).collect();
+        for number in timed_out {
             self.counts.timeouts += 1;
-            self.failed(number, "no answer in time", now, out);
+            self.fail_over(number, "no answer in time", now, out);
         }
-        self.put(now, out);
+        self.send_queued(now, out);
     }
 
-    /// Takes in bytes that came for an ask.
-    pub fn heard(&mut self, number: u64, bytes: &[u8], now: Micros, out: &mut Vec<Out>) {
-        let Some(flying) = self.flying.get_mut(&number) else { return };
-        let asked = Question { name: flying.lookup.name.clone(), kind: flying.lookup.question.kind };
-        let server = &mut self.servers[flying.server];
-        let plain_before = server.plain;
-        match read(bytes, &asked, &flying.stamp, &mut server.cookie) {
-            Read::Foreign(_) => {
+    /// Handles a response to a query.
+    pub fn on_response(&mut self, number: u64, bytes: &[u8], now: Micros, out: &mut Vec<Output>) {
+        let Some(in_flight) = self.in_flight.get_mut(&number) else { return };
+        let asked = Question { name: in_flight.lookup.name.clone(), kind: in_flight.lookup.question.kind };
+        let server = &mut self.servers[in_flight.server];
+        let without_edns = server.no_edns;
+        match parse_response(bytes, &asked, &in_flight.query, &mut server.cookie) {
+            Response::Mismatch(_) => {
                 self.counts.foreign += 1;
-                flying.foreign += 1;
-                let (tcp, many) = (flying.lookup.tcp, flying.foreign >= FOREIGN_MAX);
+                in_flight.mismatches += 1;
+                let (tcp, many) = (in_flight.lookup.tcp, in_flight.mismatches >= MISMATCHES_MAX);
                 match (tcp, many) {
-                    // Nobody else has a part in a connection: that server talks nonsense.
-                    (true, _) => self.failed(number, "answered something else", now, out),
-                    (false, true) => self.again(number, now, out, |lookup, _| lookup.tcp = true),
+                    // A TCP response cannot be spoofed: the server itself is faulty.
+                    (true, _) => self.fail_over(number, "mismatched response over TCP", now, out),
+                    (false, true) => self.retry_same_server(number, now, out, |lookup, _| lookup.tcp = true),
                     (false, false) => {}
                 }
             }
-            Read::Truncated if flying.lookup.tcp => self.failed(number, "cut over TCP as well", now, out),
-            Read::Truncated => self.again(number, now, out, |lookup, _| lookup.tcp = true),
-            Read::Plain if !plain_before => self.again(number, now, out, |_, server| server.plain = true),
-            Read::Plain => self.failed(number, "knows no such question", now, out),
-            Read::Cookie => self.again(number, now, out, |_, _| {}),
-            Read::Leads(to, ttl) => self.led_on(number, to, ttl, now, out),
-            Read::Failed(what) => self.failed(number, &what, now, out),
-            Read::Absent { unknown, ttl } => {
-                self.done(number, Outcome::Absent { unknown, ttl }, now, out);
+            Response::Truncated if in_flight.lookup.tcp => {
+                self.fail_over(number, "truncated over TCP", now, out)
+            }
+            Response::Truncated => self.retry_same_server(number, now, out, |lookup, _| lookup.tcp = true),
+            Response::NoEdns if !without_edns => {
+                self.retry_same_server(number, now, out, |_, server| server.no_edns = true)
+            }
+            Response::NoEdns => self.fail_over(number, "query not supported", now, out),
+            Response::BadCookie => self.retry_same_server(number, now, out, |_, _| {}),
+            Response::Alias(to, ttl) => self.follow_alias(number, to, ttl, now, out),
+            Response::Failed(what) => self.fail_over(number, &what, now, out),
+            Response::Absent { unknown, ttl } => {
+                self.complete(number, Outcome::Absent { unknown, ttl }, now, out);
             }
-            Read::Found(mut found) => {
-                found.ttl = found.ttl.min(flying.lookup.ttl);
-                self.done(number, Outcome::Found(found), now, out);
+            Response::Found(mut found) => {
+                found.ttl = found.ttl.min(in_flight.lookup.ttl);
+                self.complete(number, Outcome::Found(found), now, out);
             }
         }
     }
 
-    /// Takes in that an ask can't be answered: no connection, an end in the middle, an error of the system.
-    pub fn broke(&mut self, number: u64, what: &str, now: Micros, out: &mut Vec<Out>) {
-        self.failed(number, what, now, out);
+    /// Handles the failure of a query's socket.
+    pub fn on_failure(&mut self, number: u64, what: &str, now: Micros, out: &mut Vec<Output>) {
+        self.fail_over(number, what, now, out);
     }
 
-    /// Puts the same question to the same server in another way; what would go on for ever ends there.
-    fn again(
+    /// Retries at the same server with changed options, a bounded number of times.
+    fn retry_same_server(
         &mut self,
         number: u64,
         now: Micros,
-        out: &mut Vec<Out>,
+        out: &mut Vec<Output>,
         change: impl FnOnce(&mut Lookup, &mut Server),
     ) {
-        const AGAIN_MAX: u32 = 3;
-        if self.flying.get(&number).is_none_or(|f| f.lookup.again >= AGAIN_MAX) {
-            return self.failed(number, "wants it put differently each time", now, out);
+        const RETRIES_MAX: u32 = 3;
+        if self.in_flight.get(&number).is_none_or(|f| f.lookup.retries >= RETRIES_MAX) {
+            return self.fail_over(number, "too many retries with other options", now, out);
         }
-        let Some(mut flying) = self.land(number, out) else { return };
-        flying.lookup.again += 1;
-        change(&mut flying.lookup, &mut self.servers[flying.server]);
-        flying.lookup.left.get_or_insert_default().push_front(flying.server);
-        self.waiting.push_front(flying.lookup);
-        self.put(now, out);
+        let Some(mut in_flight) = self.remove_in_flight(number, out) else { return };
+        in_flight.lookup.retries += 1;
+        change(&mut in_flight.lookup, &mut self.servers[in_flight.server]);
+        in_flight.lookup.remaining_servers.get_or_insert_default().push_front(in_flight.server);
+        self.waiting.push_front(in_flight.lookup);
+        self.send_queued(now, out);
     }
 
-    fn led_on(&mut self, number: u64, to: Name, ttl: u32, now: Micros, out: &mut Vec<Out>) {
-        let Some(mut flying) = self.land(number, out) else { return };
-        self.servers[flying.server].fails = 0;
-        flying.lookup.leads += 1;
-        if flying.lookup.leads > ALIASES_MAX {
-            let (question, server) = (flying.lookup.question, flying.server);
-            let outcome = Outcome::Failed("its names lead on and on".into());
-            out.push(Out::Done { question, outcome, server });
-            return self.put(now, out);
+    fn follow_alias(&mut self, number: u64, to: Name, ttl: u32, now: Micros, out: &mut Vec<Output>) {
+        let Some(mut in_flight) = self.remove_in_flight(number, out) else { return };
+        self.servers[in_flight.server].failures = 0;
+        in_flight.lookup.alias_count += 1;
+        if in_flight.lookup.alias_count > ALIASES_MAX {
+            let (question, server) = (in_flight.lookup.question, in_flight.server);
+            let outcome = Outcome::Failed("CNAME chain too long".into());
+            out.push(Output::Done { question, outcome, server });
+            return self.send_queued(now, out);
         }
-        (flying.lookup.name, flying.lookup.tcp) = (to, false);
-        flying.lookup.ttl = flying.lookup.ttl.min(ttl);
-        flying.lookup.left = None;
-        self.waiting.push_front(flying.lookup);
-        self.put(now, out);
+        (in_flight.lookup.name, in_flight.lookup.tcp) = (to, false);
+        in_flight.lookup.ttl = in_flight.lookup.ttl.min(ttl);
+        in_flight.lookup.remaining_servers = None;
+        self.waiting.push_front(in_flight.lookup);
+        self.send_queued(now, out);
     }
 
-    fn done(&mut self, number: u64, outcome: Outcome, now: Micros, out: &mut Vec<Out>) {
-        let Some(flying) = self.land(number, out) else { return };
-        let server = &mut self.servers[flying.server];
-        (server.fails, server.quiet_until) = (0, 0);
-        out.push(Out::Done { question: flying.lookup.question, outcome, server: flying.server });
-        self.put(now, out);
+    fn complete(&mut self, number: u64, outcome: Outcome, now: Micros, out: &mut Vec<Output>) {
+        let Some(in_flight) = self.remove_in_flight(number, out) else { return };
+        let server = &mut self.servers[in_flight.server];
+        (server.failures, server.deprioritized_until) = (0, 0);
+        out.push(Output::Done { question: in_flight.lookup.question, outcome, server: in_flight.server });
+        self.send_queued(now, out);
     }
 
-    /// One server did not answer: it is asked last for a while, and the next one now.
-    fn failed(&mut self, number: u64, what: &str, now: Micros, out: &mut Vec<Out>) {
-        let Some(mut flying) = self.land(number, out) else { return };
+    /// Backs off from the failed server and tries the next one.
+    fn fail_over(&mut self, number: u64, what: &str, now: Micros, out: &mut Vec<Output>) {
+        let Some(mut in_flight) = self.remove_in_flight(number, out) else { return };
         self.counts.failed += 1;
-        let server = &mut self.servers[flying.server];
-        server.fails = server.fails.saturating_add(1);
-        server.quiet_until = now + back_off(&mut self.rng, self.settings.retry, server.fails);
-        if flying.lookup.left.as_ref().is_some_and(|left| !left.is_empty()) {
-            (flying.lookup.tcp, flying.lookup.again) = (false, 0);
-            self.waiting.push_front(flying.lookup);
+        let server = &mut self.servers[in_flight.server];
+        server.failures = server.failures.saturating_add(1);
+        server.deprioritized_until = now + backoff(&mut self.rng, self.settings.retry, server.failures);
+        if in_flight.lookup.remaining_servers.as_ref().is_some_and(|remaining| !remaining.is_empty()) {
+            (in_flight.lookup.tcp, in_flight.lookup.retries) = (false, 0);
+            self.waiting.push_front(in_flight.lookup);
         } else {
-            let who = self.settings.servers.get(flying.server).map(|at| at.to_string()).unwrap_or_default();
+            let who =
+                self.settings.servers.get(in_flight.server).map(|at| at.to_string()).unwrap_or_default();
             let outcome = Outcome::Failed(format!("{who}: {what}"));
-            out.push(Out::Done { question: flying.lookup.question, outcome, server: flying.server });
+            out.push(Output::Done { question: in_flight.lookup.question, outcome, server: in_flight.server });
         }
-        self.put(now, out);
+        self.send_queued(now, out);
     }
 
-    fn land(&mut self, number: u64, out: &mut Vec<Out>) -> Option<Flying> {
-        let flying = self.flying.remove(&number)?;
-        out.push(Out::Forget(number));
-        Some(flying)
+    fn remove_in_flight(&mut self, number: u64, out: &mut Vec<Output>) -> Option<InFlight> {
+        let in_flight = self.in_flight.remove(&number)?;
+        out.push(Output::Forget(number));
+        Some(in_flight)
     }
 
-    /// Lets out what the budget allows.
-    fn put(&mut self, now: Micros, out: &mut Vec<Out>) {
+    /// Sends queued questions as far as the rate limit allows.
+    fn send_queued(&mut self, now: Micros, out: &mut Vec<Output>) {
         let rate = self.settings.questions.max(0.01);
-        let since = now.saturating_sub(self.tokens_at) as f64 / SECOND as f64;
-        self.tokens = (self.tokens + since * rate).min(rate.max(1.0));
+        let elapsed = now.saturating_sub(self.tokens_at) as f64 / SECOND as f64;
+        self.tokens = (self.tokens + elapsed * rate).min(rate.max(1.0));
         self.tokens_at = self.tokens_at.max(now);
-        while self.flying.len() < FLYING_MAX && self.tokens >= 1.0 {
+        while self.in_flight.len() < FLYING_MAX && self.tokens >= 1.0 {
             let Some(lookup) = self.waiting.pop_front() else { return };
-            self.put_one(lookup, now, out);
+            self.send_one(lookup, now, out);
         }
     }
 
-    fn put_one(&mut self, mut lookup: Lookup, now: Micros, out: &mut Vec<Out>) {
-        let order = || self.order(now);
-        let left = lookup.left.get_or_insert_with(order);
-        let Some(server) = left.pop_front() else {
-            let outcome = Outcome::Failed("there is no server to ask".into());
-            return out.push(Out::Done { question: lookup.question, outcome, server: 0 });
+    fn send_one(&mut self, mut lookup: Lookup, now: Micros, out: &mut Vec<Output>) {
+        let order = || self.server_order(now);
+        let remaining = lookup.remaining_servers.get_or_insert_with(order);
+        let Some(server) = remaining.pop_front() else {
+            let outcome = Outcome::Failed("no server configured".into());
+            return out.push(Output::Done { question: lookup.question, outcome, server: 0 });
         };
         let of = &self.servers[server];
-        let stamp = Stamp { id: self.rng.u16(..), extended: !of.plain, cookie: of.cookie.clone() };
+        let query = QueryParameters { id: self.rng.u16(..), edns: !of.no_edns, cookie: of.cookie.clone() };
         let question = Question { name: lookup.name.clone(), kind: lookup.question.kind };
         self.tokens -= 1.0;
-        self.next += 1;
+        self.next_number += 1;
         self.counts.asked += 1;
         self.counts.tcp += u64::from(lookup.tcp);
-        out.push(Out::Ask(Ask {
-            number: self.next,
+        out.push(Output::Ask(Ask {
+            number: self.next_number,
             server: self.settings.servers[server],
             tcp: lookup.tcp,
-            bytes: ask(&question, &stamp),
+            bytes: encode_query(&question, &query),
         }));
-        let until = now + self.settings.timeout;
-        self.flying.insert(self.next, Flying { lookup, server, stamp, until, foreign: 0 });
+        let deadline = now + self.settings.timeout;
+        self.in_flight.insert(self.next_number, InFlight { lookup, server, query, deadline, mismatches: 0 });
     }
 
-    /// The servers as they are tried: in the order of the settings, those that failed lately last. One order
-    /// for all, so that servers which disagree are not believed by turns.
-    fn order(&self, now: Micros) -> VecDeque<usize> {
+    /// Server order: as configured, recently failed ones last. A fixed order avoids alternating between servers that
+    /// disagree.
+    fn server_order(&self, now: Micros) -> VecDeque<usize> {
         let mut order: Vec<usize> = (0..self.servers.len()).collect();
         order.sort_by_key(|n| {
-            let quiet = self.servers[*n].quiet_until;
-            (quiet > now, if quiet > now { quiet } else { 0 }, *n)
+            let until = self.servers[*n].deprioritized_until;
+            (until > now, if until > now { until } else { 0 }, *n)
         });
         order.into()
     }
--- a/crates/srv/src/service.rs
+++ b/crates/srv/src/service.rs
@@ -1,145 +1,149 @@
-//! What is believed of one name, and why: records with lifetimes, the last good list, doubt about what shrank.
+//! Maintains the records and endpoints of one SRV name.
 //!
-//! A record is taken back by the server that told it, or when its lifetime is over and another server, which
-//! answers well, does not have it. Silence, errors and absurdly small answers take nothing back until the stated
-//! times are over. `docs/srv.md` has the rules as a table; each of its rows is a test.
+//! A record is removed when the server that supplied it omits it, or when it has expired and another responsive server
+//! does not have it. Timeouts, errors and responses that shrink the list too much remove nothing until the configured
+//! times have passed. `docs/srv.md` lists the rules.
 
-use crate::message::{Found, Kind, Question, SrvRecord};
-use crate::resolver::{Ask, Counts, Out, Outcome, Resolver};
+use crate::message::{Question, RecordKind, Records, SrvRecord};
+use crate::resolver::{Ask, Counts, Outcome, Output, Resolver};
 use crate::settings::{Addresses, SrvSettings};
-use crate::{back_off, Micros, SECOND};
+use crate::{backoff, Micros, SECOND};
 use fastrand::Rng;
 use hickory_proto::rr::Name;
 use std::collections::BTreeMap;
 use std::net::{IpAddr, SocketAddr};
 
-/// Records kept of one name; past that those of the worst priority are left out. One takes about 200 bytes.
+/// Maximum number of records of a name; records with the worst priority beyond it are ignored. About 200 bytes each.
 pub const RECORDS_MAX: usize = 1_024;
-/// Addresses kept of one target.
+/// Maximum number of addresses of a target in one family.
 pub const ADDRESSES_MAX: usize = 16;
-/// Part of a lifetime after which its end is met with a new question, drawn at random: gateways that were
-/// answered together don't ask together again.
-const REFRESH: (f64, f64) = (0.6, 0.9);
-/// While addresses are still being asked for, what is known of them is told so often, µs.
-const TELL_EVERY: Micros = SECOND / 20;
-/// How much smaller or larger than the mean a worker may be by its weight.
-const SIZES: (f64, f64) = (0.1, 10.0);
-/// Changes kept to be shown.
-const NOTES_MAX: usize = 32;
-
-/// An address that is believed to be a worker's.
+/// Records are refreshed after a random fraction of their lifetime between these bounds, which spreads the queries of
+/// gateways that were answered at the same time.
+const REFRESH_FRACTION_MIN: f64 = 0.6;
+const REFRESH_FRACTION_MAX: f64 = 0.9;
+/// Interval in µs at which endpoints are published while address queries are pending.
+const PUBLISH_INTERVAL: Micros = SECOND / 20;
+/// Bounds of an endpoint's size relative to the mean.
+const SIZE_MIN: f64 = 0.1;
+const SIZE_MAX: f64 = 10.0;
+/// Log entries kept for [`Service::explain`].
+const LOG_ENTRIES_MAX: usize = 32;
+
+/// A worker's address, joined from SRV and address records.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Endpoint {
-    /// Where it is.
+    /// Address and port.
     pub at: SocketAddr,
-    /// Less is better.
+    /// Priority; lower values are preferred.
     pub priority: u16,
-    /// Its size among those of its priority, 1 on the mean.
+    /// Relative size within its priority; the mean is 1.
     pub size: f64,
-    /// The targets that lead there, in order.
+    /// SRV targets with this address, in order.
     pub names: Vec<Name>,
 }
 
-/// How good what is believed is.
+/// Trustworthiness of the current records.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Standing {
-    /// Nothing has been heard yet.
-    Unheard,
-    /// As the last answer says.
+pub enum AnswerState {
+    /// No response has arrived yet.
+    Pending,
+    /// The records match the last response.
     Fresh,
-    /// No answer since then; the last good one holds.
+    /// No server responds; the last good response is in use.
     Stale {
-        /// Since when nobody answers.
+        /// Time of the first failure.
         since: Micros,
     },
-    /// Answers since then lack so much of what is believed that they are not.
-    Doubted {
-        /// Since when.
+    /// Recent responses lack too many of the current records to be trusted yet.
+    Unconfirmed {
+        /// Time of the first such response.
         since: Micros,
     },
-    /// Nobody answered for so long that nothing is believed any more.
-    GivenUp,
+    /// No server responded for too long; all records were dropped.
+    Expired,
 }
 
-impl Standing {
-    /// One word for logs and figures.
+impl AnswerState {
+    /// Name for logs and metrics.
     pub fn word(&self) -> &'static str {
         match self {
-            Standing::Unheard => "unheard",
-            Standing::Fresh => "fresh",
-            Standing::Stale { .. } => "stale",
-            Standing::Doubted { .. } => "doubted",
-            Standing::GivenUp => "given up",
+            AnswerState::Pending => "unheard",
+            AnswerState::Fresh => "fresh",
+            AnswerState::Stale { .. } => "stale",
+            AnswerState::Unconfirmed { .. } => "doubted",
+            AnswerState::Expired => "given up",
         }
     }
 }
 
-/// What the caller is to do.
+/// An instruction to the caller.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Put a question to a server and tell what comes, until [`Action::Forget`].
+    /// Send a query and report responses until [`Action::Forget`].
     Ask(Ask),
-    /// Close the socket of an ask.
+    /// Close the socket of a query.
     Forget(u64),
-    /// These are the workers from now on.
+    /// Replace the endpoints.
     Believe(Vec<Endpoint>),
-    /// A line for the log.
+    /// Write a log line.
     Note(String),
 }
 
-/// What is believed of one record.
+/// State of one SRV record.
 #[derive(Clone, Debug)]
-struct Held {
+struct RecordState {
     priority: u16,
     weight: u64,
-    /// The server that told it last, and until when that holds.
-    teller: usize,
-    expires: Micros,
+    /// Index of the server that supplied it last.
+    source: usize,
+    expires_at: Micros,
 }
 
-/// What is believed of one target's addresses of one family.
+/// Addresses of one target in one family.
 #[derive(Clone, Debug, Default)]
-struct Family {
+struct AddressSet {
     addresses: Vec<IpAddr>,
-    /// When to ask again; none while that is under way.
+    /// Time of the next query; none while one is pending.
     refresh: Option<Micros>,
-    /// Since when answers hold none of those believed.
-    doubted: Option<Micros>,
-    /// Since when nobody answers.
-    silent: Option<Micros>,
-    fails: u32,
+    /// Since when responses contain no addresses.
+    empty_since: Option<Micros>,
+    /// Since when queries fail.
+    failing_since: Option<Micros>,
+    failures: u32,
 }
 
-type Key = (Name, u16);
+/// Target and port of a record.
+type RecordKey = (Name, u16);
 
-/// One name that is followed.
+/// State of one followed SRV name.
 #[derive(Debug)]
 pub struct Service {
     settings: SrvSettings,
     resolver: Resolver,
     rng: Rng,
-    records: BTreeMap<Key, Held>,
-    targets: BTreeMap<Name, BTreeMap<Kind, Family>>,
-    standing: Standing,
-    /// Which server gave the last good answer.
+    records: BTreeMap<RecordKey, RecordState>,
+    targets: BTreeMap<Name, BTreeMap<RecordKind, AddressSet>>,
+    standing: AnswerState,
+    /// Index of the server that gave the last good response.
     server: usize,
-    /// When to ask for the records again; none while that is under way.
+    /// Time of the next SRV query; none while one is pending.
     refresh: Option<Micros>,
-    fails: u32,
-    /// When the records were last asked for.
-    asked: Micros,
-    /// Answers doubted in a row.
-    doubts: u32,
-    /// An operator believes the next answer whatever it lacks.
-    accept: bool,
-    believed: Vec<Endpoint>,
-    /// Since when there is something to tell.
-    changed: Option<Micros>,
-    notes: std::collections::VecDeque<(Micros, String)>,
+    failures: u32,
+    /// Time of the last SRV query.
+    queried_at: Micros,
+    /// Consecutive responses that were empty or not trusted.
+    poor_responses: u32,
+    /// Whether the next response is accepted regardless of missing records.
+    accept_next: bool,
+    /// The endpoints as last published.
+    published: Vec<Endpoint>,
+    /// Time of the first change that is not published yet.
+    changed_at: Option<Micros>,
+    log: std::collections::VecDeque<(Micros, String)>,
 }
 
 impl Service {
-    /// A name of which nothing is known; asked for at the first [`Service::tick`].
+    /// Creates a service without records; the first [`Service::tick`] sends a query.
     pub fn new(settings: SrvSettings, seed: u64, now: Micros) -> Service {
         Service {
             resolver: Resolver::new(settings.clone(), seed, now),
@@ -147,137 +151,137 @@
             settings,
             records: BTreeMap::new(),
             targets: BTreeMap::new(),
-            standing: Standing::Unheard,
+            standing: AnswerState::Pending,
             server: 0,
             refresh: Some(now),
-            fails: 0,
-            asked: now,
-            doubts: 0,
-            accept: false,
-            believed: Vec::new(),
-            changed: None,
-            notes: std::collections::VecDeque::new(),
+            failures: 0,
+            queried_at: now,
+            poor_responses: 0,
+            accept_next: false,
+            published: Vec::new(),
+            changed_at: None,
+            log: std::collections::VecDeque::new(),
         }
     }
 
-    /// How good what is believed is.
-    pub fn standing(&self) -> Standing {
+    /// Trustworthiness of the current records.
+    pub fn standing(&self) -> AnswerState {
         self.standing
     }
 
-    /// What is believed, as last told.
+    /// The endpoints as last published.
     pub fn believed(&self) -> &[Endpoint] {
-        &self.believed
+        &self.published
     }
 
-    /// Figures of the questions.
+    /// Query counters.
     pub fn counts(&self) -> Counts {
         self.resolver.counts
     }
 
-    /// What it goes by.
+    /// The settings.
     pub fn settings(&self) -> &SrvSettings {
         &self.settings
     }
 
-    /// When to call [`Service::tick`] at the latest.
+    /// The latest time for the next call of [`Service::tick`].
     pub fn wake(&self) -> Option<Micros> {
-        let asks = !self.silent();
-        let families = self.targets.values().flat_map(|of| of.values()).filter(|_| asks);
-        let told = self.changed.map(|at| at + TELL_EVERY);
-        let ends = match self.standing {
-            Standing::Stale { since } => Some(since + self.settings.stale_for),
-            Standing::Fresh => {
-                self.records.values().filter(|r| r.teller != self.server).map(|r| r.expires).min()
+        let is_active = !self.is_stale();
+        let families = self.targets.values().flat_map(|of| of.values()).filter(|_| is_active);
+        let publish = self.changed_at.map(|at| at + PUBLISH_INTERVAL);
+        let expiry = match self.standing {
+            AnswerState::Stale { since } => Some(since + self.settings.stale_for),
+            AnswerState::Fresh => {
+                self.records.values().filter(|r| r.source != self.server).map(|r| r.expires_at).min()
             }
             _ => None,
         };
-        let own = [self.refresh, told, ends, self.resolver.wake()];
+        let own = [self.refresh, publish, expiry, self.resolver.next_wakeup()];
         families.filter_map(|f| f.refresh).chain(own.into_iter().flatten()).min()
     }
 
-    /// Whether nobody answers for the name itself: then nobody is asked for the rest either.
-    fn silent(&self) -> bool {
-        matches!(self.standing, Standing::Stale { .. })
+    /// Whether SRV queries fail; address queries are then suspended.
+    fn is_stale(&self) -> bool {
+        matches!(self.standing, AnswerState::Stale { .. })
     }
 
-    /// Whether some addresses are to be asked for now.
-    fn due(&self, now: Micros) -> bool {
+    /// Whether an address query is due.
+    fn is_address_query_due(&self, now: Micros) -> bool {
         let mut families = self.targets.values().flat_map(|of| of.values());
-        !self.silent() && families.any(|f| f.refresh.is_some_and(|at| at <= now))
+        !self.is_stale() && families.any(|f| f.refresh.is_some_and(|at| at <= now))
     }
 
-    /// Takes in that time has passed.
+    /// Handles timeouts and expiry, and sends queries that are due.
     pub fn tick(&mut self, now: Micros, out: &mut Vec<Action>) {
         if self.refresh.is_some_and(|at| at <= now) {
-            let question = Question { name: self.settings.name.clone(), kind: Kind::Srv };
-            self.refresh = (!self.resolver.want(question)).then(|| now + self.settings.retry.0);
-            self.asked = now;
+            let question = Question { name: self.settings.name.clone(), kind: RecordKind::Srv };
+            self.refresh = (!self.resolver.enqueue(question)).then(|| now + self.settings.retry.0);
+            self.queried_at = now;
         }
-        let asks = !self.silent();
-        for (name, families) in self.targets.iter_mut().filter(|_| asks) {
+        let is_active = !self.is_stale();
+        for (name, families) in self.targets.iter_mut().filter(|_| is_active) {
             for (kind, family) in families.iter_mut().filter(|(_, f)| f.refresh.is_some_and(|at| at <= now)) {
                 let question = Question { name: name.clone(), kind: *kind };
-                family.refresh = (!self.resolver.want(question)).then(|| now + self.settings.retry.0);
+                family.refresh = (!self.resolver.enqueue(question)).then(|| now + self.settings.retry.0);
             }
         }
-        let mut outs = Vec::new();
-        self.resolver.tick(now, &mut outs);
-        self.lapse(now, out);
-        self.follow(outs, now, out);
+        let mut outputs = Vec::new();
+        self.resolver.tick(now, &mut outputs);
+        self.expire(now, out);
+        self.handle_outputs(outputs, now, out);
     }
 
-    /// Takes in bytes that came for an ask.
+    /// Handles a response to a query.
     pub fn heard(&mut self, ask: u64, bytes: &[u8], now: Micros, out: &mut Vec<Action>) {
-        let mut outs = Vec::new();
-        self.resolver.heard(ask, bytes, now, &mut outs);
-        self.follow(outs, now, out);
+        let mut outputs = Vec::new();
+        self.resolver.on_response(ask, bytes, now, &mut outputs);
+        self.handle_outputs(outputs, now, out);
     }
 
-    /// Takes in that an ask can't be answered.
+    /// Handles the failure of a query's socket.
     pub fn broke(&mut self, ask: u64, what: &str, now: Micros, out: &mut Vec<Action>) {
-        let mut outs = Vec::new();
-        self.resolver.broke(ask, what, now, &mut outs);
-        self.follow(outs, now, out);
+        let mut outputs = Vec::new();
+        self.resolver.on_failure(ask, what, now, &mut outputs);
+        self.handle_outputs(outputs, now, out);
     }
 
-    /// An operator wants it asked for now. With `accept` the answer is believed whatever it lacks.
+    /// Queries at once at an operator's request. With `accept`, missing records in the response are trusted.
     pub fn ask_now(&mut self, accept: bool, now: Micros, out: &mut Vec<Action>) {
-        self.accept |= accept;
+        self.accept_next |= accept;
         self.refresh = Some(now);
-        self.note(
+        self.log(
             now,
-            format!("asked for by an operator{}", if accept { ", to be believed" } else { "" }),
+            format!("asked for by an operator{}", if accept { ", to be accepted" } else { "" }),
             out,
         );
         self.tick(now, out);
     }
 
-    /// A worker turned out not to be where a record says: the records may have changed before their time. Asked
-    /// for no more often than after the least lifetime, whatever a fleet that is down makes of it.
+    /// Refreshes the records early because a worker was not reachable at its address; at most once per minimum
+    /// lifetime.
     pub fn suspect(&mut self, now: Micros) {
-        let soonest = (self.asked + self.settings.lifetimes.0).max(now);
-        if matches!(self.standing, Standing::Fresh) {
+        let soonest = (self.queried_at + self.settings.lifetimes.0).max(now);
+        if matches!(self.standing, AnswerState::Fresh) {
             self.refresh = self.refresh.map(|at| at.min(soonest));
         }
     }
 
-    fn follow(&mut self, outs: Vec<Out>, now: Micros, out: &mut Vec<Action>) {
-        for one in outs {
-            match one {
-                Out::Ask(ask) => out.push(Action::Ask(ask)),
-                Out::Forget(ask) => out.push(Action::Forget(ask)),
-                Out::Done { question, outcome, server } if question.kind == Kind::Srv => {
+    fn handle_outputs(&mut self, outputs: Vec<Output>, now: Micros, out: &mut Vec<Action>) {
+        for output in outputs {
+            match output {
+                Output::Ask(ask) => out.push(Action::Ask(ask)),
+                Output::Forget(ask) => out.push(Action::Forget(ask)),
+                Output::Done { question, outcome, server } if question.kind == RecordKind::Srv => {
                     self.on_records(outcome, server, now, out);
                 }
-                Out::Done { question, outcome, .. } => self.on_addresses(&question, outcome, now, out),
+                Output::Done { question, outcome, .. } => self.on_addresses(&question, outcome, now, out),
             }
         }
-        // What the answers ask for goes out in the same step.
-        if self.due(now) {
+        // Send follow-up queries in the same step.
+        if self.is_address_query_due(now) {
             return self.tick(now, out);
         }
-        self.tell(now, out);
+        self.publish(now, out);
     }
 
     // ---- records ----
@@ -285,30 +289,33 @@
     fn on_records(&mut self, outcome: Outcome, server: usize, now: Micros, out: &mut Vec<Action>) {
         match outcome {
             Outcome::Failed(what) => {
-                self.fails = self.fails.saturating_add(1);
-                self.refresh = Some(self.later(self.fails, now));
-                if matches!(self.standing, Standing::Unheard | Standing::Fresh | Standing::Doubted { .. }) {
-                    self.note(now, format!("no answer: {what}; {} records held", self.records.len()), out);
+                self.failures = self.failures.saturating_add(1);
+                self.refresh = Some(self.retry_at(self.failures, now));
+                if matches!(
+                    self.standing,
+                    AnswerState::Pending | AnswerState::Fresh | AnswerState::Unconfirmed { .. }
+                ) {
+                    self.log(now, format!("no answer: {what}; {} records held", self.records.len()), out);
                 }
-                if matches!(self.standing, Standing::Fresh | Standing::Doubted { .. }) {
-                    self.standing = Standing::Stale { since: now };
+                if matches!(self.standing, AnswerState::Fresh | AnswerState::Unconfirmed { .. }) {
+                    self.standing = AnswerState::Stale { since: now };
                 }
             }
             Outcome::Absent { unknown, ttl } => {
-                let lasts = self.settings.lifetime(ttl.unwrap_or(0));
+                let lifetime = self.settings.lifetime(ttl.unwrap_or(0));
                 let what = if unknown { "no such name" } else { "no records" };
-                self.on_answer(Vec::new(), lasts, server, what, now, out);
+                self.on_answer(Vec::new(), lifetime, server, what, now, out);
             }
             Outcome::Found(found) => {
-                let lasts = self.settings.lifetime(found.ttl);
-                let Found { records, along, .. } = found;
-                // One record whose target is the root says that there is decidedly no such service.
-                let none = matches!(records.as_slice(), [one] if one.target.is_root());
-                self.accept |= none;
-                let records = if none { Vec::new() } else { records };
-                let what = if none { "the service is decidedly not there" } else { "records" };
-                self.on_answer(records, lasts, server, what, now, out);
-                self.on_along(along, now);
+                let lifetime = self.settings.lifetime(found.ttl);
+                let Records { records, additional, .. } = found;
+                // A single record with the root as target means that the service is not available (RFC 2782).
+                let unavailable = matches!(records.as_slice(), [one] if one.target.is_root());
+                self.accept_next |= unavailable;
+                let records = if unavailable { Vec::new() } else { records };
+                let what = if unavailable { "the service is not available" } else { "records" };
+                self.on_answer(records, lifetime, server, what, now, out);
+                self.on_additional(additional, now);
             }
         }
     }
@@ -316,135 +323,148 @@
     fn on_answer(
         &mut self,
         records: Vec<SrvRecord>,
-        lasts: Micros,
+        lifetime: Micros,
         server: usize,
         what: &str,
         now: Micros,
         out: &mut Vec<Action>,
     ) {
-        let told = self.usable(records, now, out);
-        (self.fails, self.server) = (0, server);
-        let lasting = self.refreshed(lasts, now);
-        let doubt = self.doubt(told.len(), now);
-        let (before, accept) = (self.standing, std::mem::take(&mut self.accept));
-        let expires = now + lasts;
+        let received = self.usable_records(records, now, out);
+        (self.failures, self.server) = (0, server);
+        let refresh_at = self.refresh_at(lifetime, now);
+        let shrink = self.shrink(received.len(), now);
+        let (before, accept) = (self.standing, std::mem::take(&mut self.accept_next));
+        let expires_at = now + lifetime;
         let mut new = Vec::new();
-        for (key, (priority, weight)) in &told {
-            let held = Held { priority: *priority, weight: *weight, teller: server, expires };
+        for (key, (priority, weight)) in &received {
+            let held = RecordState { priority: *priority, weight: *weight, source: server, expires_at };
             if self.records.insert(key.clone(), held).is_none() {
                 new.push(key.clone());
             }
         }
-        self.note_keys("new", &new, now, out);
-        match doubt {
+        self.log_records("new", &new, now, out);
+        match shrink {
             Some((since, false)) if !accept => {
-                self.standing = Standing::Doubted { since };
-                // Asked again soon, so that it ends as soon as it may.
-                self.doubts = self.doubts.saturating_add(1);
-                self.refresh = Some(lasting.min(self.later(self.doubts, now)));
-                if !matches!(before, Standing::Doubted { .. }) {
-                    let (some, all) = (told.len(), self.records.len());
-                    self.note(now, format!("{what}: {some} of {all} told, doubted"), out);
+                self.standing = AnswerState::Unconfirmed { since };
+                // Query again soon to confirm.
+                self.poor_responses = self.poor_responses.saturating_add(1);
+                self.refresh = Some(refresh_at.min(self.retry_at(self.poor_responses, now)));
+                if !matches!(before, AnswerState::Unconfirmed { .. }) {
+                    let (some, all) = (received.len(), self.records.len());
+                    self.log(now, format!("{what}: {some} of {all} records, doubted"), out);
                 }
             }
             _ => {
-                self.standing = Standing::Fresh;
-                // With no worker at all nothing is gained by waiting: asked again as what failed is.
-                self.doubts = if told.is_empty() { self.doubts.saturating_add(1) } else { 0 };
-                let soon = self.later(self.doubts, now);
-                self.refresh = Some(if told.is_empty() { lasting.min(soon) } else { lasting });
-                if !matches!(before, Standing::Fresh) {
-                    self.note(now, format!("{what}: {} believed", told.len()), out);
+                self.standing = AnswerState::Fresh;
+                // An empty list is queried again with the retry backoff.
+                self.poor_responses =
+                    if received.is_empty() { self.poor_responses.saturating_add(1) } else { 0 };
+                let soon = self.retry_at(self.poor_responses, now);
+                self.refresh = Some(if received.is_empty() { refresh_at.min(soon) } else { refresh_at });
+                if !matches!(before, AnswerState::Fresh) {
+                    self.log(now, format!("{what}: {} in use", received.len()), out);
                 }
-                // A doubt that is over, or an operator's word, ends what any server told before.
-                let all = accept || doubt.is_some();
-                self.take_back(
-                    |key, held| !told.contains_key(key) && (all || held.teller == server),
+                // A confirmed or accepted response replaces the records of all servers.
+                let all = accept || shrink.is_some();
+                self.remove_records(
+                    |key, held| !received.contains_key(key) && (all || held.source == server),
                     now,
                     out,
                 );
             }
         }
-        self.align(now);
+        self.sync_targets(now);
     }
 
-    /// Records as they can be used: one for each target and port, those with a port, a target and room.
-    fn usable(
+    /// Valid records, merged by target and port and limited in number.
+    fn usable_records(
         &mut self,
         records: Vec<SrvRecord>,
         now: Micros,
         out: &mut Vec<Action>,
-    ) -> BTreeMap<Key, (u16, u64)> {
+    ) -> BTreeMap<RecordKey, (u16, u64)> {
         let all = records.len();
         let mut usable: Vec<SrvRecord> =
             records.into_iter().filter(|r| r.port > 0 && !r.target.is_root()).collect();
         if usable.len() < all {
-            self.note(now, format!("{} records without a port or target left out", all - usable.len()), out);
+            self.log(now, format!("{} records without a port or target left out", all - usable.len()), out);
         }
         usable.sort_by(|a, b| (a.priority, &a.target, a.port).cmp(&(b.priority, &b.target, b.port)));
-        let mut told: BTreeMap<Key, (u16, u64)> = BTreeMap::new();
+        let mut received: BTreeMap<RecordKey, (u16, u64)> = BTreeMap::new();
         for record in usable {
             let (key, weight) = ((record.target, record.port), u64::from(record.weight));
-            let room = told.len() < RECORDS_MAX;
-            match told.get_mut(&key) {
-                // Given twice: the better priority, and the sizes together.
+            let has_room = received.len() < RECORDS_MAX;
+            match received.get_mut(&key) {
+                // Duplicates keep the better priority and add up their weights.
                 Some((_, sum)) => *sum += weight,
-                None if room => drop(told.insert(key, (record.priority, weight))),
+                None if has_room => drop(received.insert(key, (record.priority, weight))),
                 None => {}
             }
         }
-        told
+        received
     }
 
-    /// Since when an answer with so many records is doubted, and whether for long enough; none where it is not.
-    fn doubt(&self, told: usize, now: Micros) -> Option<(Micros, bool)> {
+    /// For a response with too few records: since when, and whether for long enough to be trusted. Otherwise none.
+    fn shrink(&self, received: usize, now: Micros) -> Option<(Micros, bool)> {
         let held = self.records.len();
-        if held == 0 || told as f64 >= self.settings.shrink_to * held as f64 {
+        if held == 0 || received as f64 >= self.settings.shrink_to * held as f64 {
             return None;
         }
         let since = match self.standing {
-            Standing::Doubted { since } => since,
+            AnswerState::Unconfirmed { since } => since,
             _ => now,
         };
         Some((since, now >= since + self.settings.shrink_for))
     }
 
-    fn take_back(&mut self, mut gone: impl FnMut(&Key, &Held) -> bool, now: Micros, out: &mut Vec<Action>) {
-        let lost: Vec<Key> =
-            self.records.iter().filter(|(key, held)| gone(key, held)).map(|(key, _)| key.clone()).collect();
-        self.records.retain(|key, _| lost.binary_search(key).is_err());
-        self.note_keys("gone", &lost, now, out);
-    }
-
-    /// One line for all records of one change, the first of them by name.
-    fn note_keys(&mut self, what: &str, keys: &[Key], now: Micros, out: &mut Vec<Action>) {
-        const SHOWN: usize = 4;
+    fn remove_records(
+        &mut self,
+        mut is_removed: impl FnMut(&RecordKey, &RecordState) -> bool,
+        now: Micros,
+        out: &mut Vec<Action>,
+    ) {
+        let removed: Vec<RecordKey> = self
+            .records
+            .iter()
+            .filter(|(key, held)| is_removed(key, held))
+            .map(|(key, _)| key.clone())
+            .collect();
+        self.records.retain(|key, _| removed.binary_search(key).is_err());
+        self.log_records("gone", &removed, now, out);
+    }
+
+    /// Logs one line for a set of records, naming the first ones.
+    fn log_records(&mut self, what: &str, keys: &[RecordKey], now: Micros, out: &mut Vec<Action>) {
+        const SHOWN_MAX: usize = 4;
         if keys.is_empty() {
             return;
         }
         let shown: Vec<String> =
-            keys.iter().take(SHOWN).map(|(name, port)| format!("{name}:{port}")).collect();
-        let more =
-            if keys.len() > SHOWN { format!(" and {} more", keys.len() - SHOWN) } else { String::new() };
-        self.note(now, format!("{what}: {}{more}", shown.join(" ")), out);
+            keys.iter().take(SHOWN_MAX).map(|(name, port)| format!("{name}:{port}")).collect();
+        let more = if keys.len() > SHOWN_MAX {
+            format!(" and {} more", keys.len() - SHOWN_MAX)
+        } else {
+            String::new()
+        };
+        self.log(now, format!("{what}: {}{more}", shown.join(" ")), out);
     }
 
-    /// What ends by time alone.
-    fn lapse(&mut self, now: Micros, out: &mut Vec<Action>) {
+    /// Removes records whose time has passed.
+    fn expire(&mut self, now: Micros, out: &mut Vec<Action>) {
         match self.standing {
-            Standing::Stale { since } if now >= since + self.settings.stale_for => {
-                self.note(now, "nobody answered for too long: nothing is believed any more".into(), out);
-                self.standing = Standing::GivenUp;
-                self.take_back(|_, _| true, now, out);
-                self.align(now);
+            AnswerState::Stale { since } if now >= since + self.settings.stale_for => {
+                self.log(now, "no answer for too long: all records dropped".into(), out);
+                self.standing = AnswerState::Expired;
+                self.remove_records(|_, _| true, now, out);
+                self.sync_targets(now);
             }
-            // Told by a server that does not answer any more, and not by the one that does.
-            Standing::Fresh => {
+            // Expired records of a server other than the one that responds now.
+            AnswerState::Fresh => {
                 let server = self.server;
                 let before = self.records.len();
-                self.take_back(|_, held| held.teller != server && held.expires <= now, now, out);
+                self.remove_records(|_, held| held.source != server && held.expires_at <= now, now, out);
                 if self.records.len() != before {
-                    self.align(now);
+                    self.sync_targets(now);
                 }
             }
             _ => {}
@@ -453,85 +473,87 @@
 
     // ---- addresses ----
 
-    fn kinds(&self) -> &'static [Kind] {
+    fn kinds(&self) -> &'static [RecordKind] {
         match self.settings.addresses {
-            Addresses::V4 => &[Kind::A],
-            Addresses::V6 => &[Kind::Aaaa],
-            Addresses::Both => &[Kind::A, Kind::Aaaa],
+            Addresses::V4 => &[RecordKind::A],
+            Addresses::V6 => &[RecordKind::Aaaa],
+            Addresses::Both => &[RecordKind::A, RecordKind::Aaaa],
         }
     }
 
-    /// Brings the targets to the records: new ones are asked for, old ones forgotten.
-    fn align(&mut self, now: Micros) {
+    /// Updates the set of targets after a change of the records.
+    fn sync_targets(&mut self, now: Micros) {
         let kinds = self.kinds();
         let wanted: std::collections::BTreeSet<Name> =
             self.records.keys().map(|(name, _)| name.clone()).collect();
         self.targets.retain(|name, _| wanted.contains(name));
         for name in wanted {
             let fresh = || {
-                let family = || Family { refresh: Some(now), ..Family::default() };
+                let family = || AddressSet { refresh: Some(now), ..AddressSet::default() };
                 kinds.iter().map(|kind| (*kind, family())).collect()
             };
             self.targets.entry(name).or_insert_with(fresh);
         }
-        self.changed.get_or_insert(now);
+        self.changed_at.get_or_insert(now);
     }
 
-    /// Addresses that came along need not be asked for.
-    fn on_along(&mut self, along: Vec<(Name, IpAddr, u32)>, now: Micros) {
-        let mut told: BTreeMap<(Name, Kind), (Vec<IpAddr>, u32)> = BTreeMap::new();
-        for (name, at, ttl) in along {
-            let kind = if at.is_ipv4() { Kind::A } else { Kind::Aaaa };
-            let (addresses, least) = told.entry((name, kind)).or_insert((Vec::new(), u32::MAX));
+    /// Handles addresses from the additional section, which need no query of their own.
+    fn on_additional(&mut self, additional: Vec<(Name, IpAddr, u32)>, now: Micros) {
+        let mut received: BTreeMap<(Name, RecordKind), (Vec<IpAddr>, u32)> = BTreeMap::new();
+        for (name, at, ttl) in additional {
+            let kind = if at.is_ipv4() { RecordKind::A } else { RecordKind::Aaaa };
+            let (addresses, least) = received.entry((name, kind)).or_insert((Vec::new(), u32::MAX));
             addresses.push(at);
             *least = (*least).min(ttl);
         }
-        for ((name, kind), (addresses, ttl)) in told {
-            let allowed = self.allowed(addresses);
-            // At its end: by then they have come along once more, where all is well.
+        for ((name, kind), (addresses, ttl)) in received {
+            let allowed_addresses = self.allowed_addresses(addresses);
+            // Refresh only at expiry; the next SRV response usually renews them before.
             let refresh = now + self.settings.lifetime(ttl);
             let Some(family) = self.targets.get_mut(&name).and_then(|of| of.get_mut(&kind)) else { continue };
-            if allowed.is_empty() {
+            if allowed_addresses.is_empty() {
                 continue;
             }
-            *family = Family { addresses: allowed, refresh: Some(refresh), ..Family::default() };
-            self.changed.get_or_insert(now);
+            *family =
+                AddressSet { addresses: allowed_addresses, refresh: Some(refresh), ..AddressSet::default() };
+            self.changed_at.get_or_insert(now);
         }
     }
 
-    fn allowed(&self, addresses: Vec<IpAddr>) -> Vec<IpAddr> {
-        let mut allowed: Vec<IpAddr> = addresses.into_iter().filter(|at| self.settings.allows(*at)).collect();
-        allowed.sort();
-        allowed.dedup();
-        allowed.truncate(ADDRESSES_MAX);
-        allowed
+    fn allowed_addresses(&self, addresses: Vec<IpAddr>) -> Vec<IpAddr> {
+        let mut allowed_addresses: Vec<IpAddr> =
+            addresses.into_iter().filter(|at| self.settings.allows(*at)).collect();
+        allowed_addresses.sort();
+        allowed_addresses.dedup();
+        allowed_addresses.truncate(ADDRESSES_MAX);
+        allowed_addresses
     }
 
     fn on_addresses(&mut self, question: &Question, outcome: Outcome, now: Micros, out: &mut Vec<Action>) {
         let (stale_for, shrink_for) = (self.settings.stale_for, self.settings.shrink_for);
         let of = self.targets.get(&question.name).and_then(|of| of.get(&question.kind));
-        // Its record may be gone by now.
+        // The record may have been removed meanwhile.
         let Some(mut family) = of.cloned() else { return };
         let before = family.addresses.clone();
         match outcome {
             Outcome::Found(found) => {
-                let told = found.addresses.len();
-                let allowed = self.allowed(found.addresses);
-                if allowed.len() < told.min(ADDRESSES_MAX) {
-                    self.note(
+                let received = found.addresses.len();
+                let allowed_addresses = self.allowed_addresses(found.addresses);
+                if allowed_addresses.len() < received.min(ADDRESSES_MAX) {
+                    self.log(
                         now,
                         format!("{}: addresses outside of the networks refused", question.name),
                         out,
                     );
                 }
-                let refresh = Some(self.refreshed(self.settings.lifetime(found.ttl), now));
-                family = Family { addresses: allowed, refresh, ..Family::default() };
+                let refresh = Some(self.refresh_at(self.settings.lifetime(found.ttl), now));
+                family = AddressSet { addresses: allowed_addresses, refresh, ..AddressSet::default() };
             }
             Outcome::Absent { ttl, .. } => {
-                let lasts = self.settings.lifetime(ttl.unwrap_or(0));
-                let since = *family.doubted.get_or_insert(now);
-                (family.fails, family.silent) = (0, None);
-                let mut refresh = self.refreshed(lasts, now);
+                let lifetime = self.settings.lifetime(ttl.unwrap_or(0));
+                let since = *family.empty_since.get_or_insert(now);
+                (family.failures, family.failing_since) = (0, None);
+                let mut refresh = self.refresh_at(lifetime, now);
                 if now >= since + shrink_for {
                     family.addresses.clear();
                 } else if !family.addresses.is_empty() {
@@ -540,21 +562,21 @@
                 family.refresh = Some(refresh);
             }
             Outcome::Failed(what) => {
-                let since = *family.silent.get_or_insert(now);
-                family.fails = family.fails.saturating_add(1);
-                // A server that is down fails all of them: one line says so.
-                let others = self.targets.values().flat_map(|of| of.values()).any(|f| f.fails > 0);
-                if family.fails == 1 && !others {
-                    self.note(now, format!("{}: {what}", question.name), out);
+                let since = *family.failing_since.get_or_insert(now);
+                family.failures = family.failures.saturating_add(1);
+                // Log only the first of several failing targets.
+                let others = self.targets.values().flat_map(|of| of.values()).any(|f| f.failures > 0);
+                if family.failures == 1 && !others {
+                    self.log(now, format!("{}: {what}", question.name), out);
                 }
                 if now >= since + stale_for {
                     family.addresses.clear();
                 }
-                family.refresh = Some(self.later(family.fails, now));
+                family.refresh = Some(self.retry_at(family.failures, now));
             }
         }
         if family.addresses != before {
-            self.changed.get_or_insert(now);
+            self.changed_at.get_or_insert(now);
         }
         if let Some(of) = self.targets.get_mut(&question.name) {
             of.insert(question.kind, family);
@@ -563,40 +585,40 @@
 
     // ---- times ----
 
-    /// When to ask again for what holds for so long.
-    fn refreshed(&mut self, lasts: Micros, now: Micros) -> Micros {
-        let part = REFRESH.0 + (REFRESH.1 - REFRESH.0) * self.rng.f64();
-        now + ((lasts as f64 * part) as Micros).max(1)
+    /// Time of the next query for records with this lifetime.
+    fn refresh_at(&mut self, lifetime: Micros, now: Micros) -> Micros {
+        let part = REFRESH_FRACTION_MIN + (REFRESH_FRACTION_MAX - REFRESH_FRACTION_MIN) * self.rng.f64();
+        now + ((lifetime as f64 * part) as Micros).max(1)
     }
 
-    /// When to ask again for what failed so often in a row.
-    fn later(&mut self, fails: u32, now: Micros) -> Micros {
-        now + back_off(&mut self.rng, self.settings.retry, fails)
+    /// Time of the next query after this many consecutive failures.
+    fn retry_at(&mut self, failures: u32, now: Micros) -> Micros {
+        now + backoff(&mut self.rng, self.settings.retry, failures)
     }
 
-    // ---- what is told ----
+    // ---- published endpoints ----
 
-    /// Tells of changes: at once where nothing is being asked for, else every while.
-    fn tell(&mut self, now: Micros, out: &mut Vec<Action>) {
-        let Some(since) = self.changed else { return };
-        if !self.resolver.idle() && now < since + TELL_EVERY {
+    /// Publishes changes: at once if no query is pending, else at intervals.
+    fn publish(&mut self, now: Micros, out: &mut Vec<Action>) {
+        let Some(since) = self.changed_at else { return };
+        if !self.resolver.is_idle() && now < since + PUBLISH_INTERVAL {
             return;
         }
-        self.changed = None;
+        self.changed_at = None;
         let endpoints = self.endpoints();
-        if endpoints != self.believed {
-            self.believed.clone_from(&endpoints);
+        if endpoints != self.published {
+            self.published.clone_from(&endpoints);
             out.push(Action::Believe(endpoints));
         }
     }
 
-    /// The addresses known of a target, of all families.
+    /// Addresses of a target in all families.
     fn addresses(&self, target: &Name) -> impl Iterator<Item = IpAddr> + '_ {
         let families = self.targets.get(target).into_iter().flat_map(|of| of.values());
         families.flat_map(|family| family.addresses.iter().copied())
     }
 
-    /// Records and addresses joined. Two names at one address are one worker, as large as both.
+    /// Joins records and addresses. Several targets at one address form one endpoint with the sum of their sizes.
     fn endpoints(&self) -> Vec<Endpoint> {
         let mut sums: BTreeMap<u16, (u64, u64)> = BTreeMap::new();
         for held in self.records.values() {
@@ -607,7 +629,7 @@
         for ((target, port), held) in &self.records {
             let addresses: Vec<IpAddr> = self.addresses(target).collect();
             let (sum, count) = sums.get(&held.priority).copied().unwrap_or((0, 1));
-            // Weights of nothing everywhere mean no preference.
+            // If all weights are 0, all sizes are equal.
             let size = if sum == 0 { 1.0 } else { held.weight as f64 * count as f64 / sum as f64 };
             for ip in &addresses {
                 let at = SocketAddr::new(*ip, *port);
@@ -618,19 +640,19 @@
                 one.names.push(target.clone());
             }
         }
-        let bounded = |one: Endpoint| Endpoint { size: one.size.clamp(SIZES.0, SIZES.1), ..one };
+        let bounded = |one: Endpoint| Endpoint { size: one.size.clamp(SIZE_MIN, SIZE_MAX), ..one };
         joined.into_values().map(bounded).collect()
     }
 
-    fn note(&mut self, now: Micros, what: String, out: &mut Vec<Action>) {
-        if self.notes.len() >= NOTES_MAX {
-            self.notes.pop_front();
+    fn log(&mut self, now: Micros, what: String, out: &mut Vec<Action>) {
+        if self.log.len() >= LOG_ENTRIES_MAX {
+            self.log.pop_front();
         }
-        self.notes.push_back((now, what.clone()));
+        self.log.push_back((now, what.clone()));
         out.push(Action::Note(what));
     }
 
-    /// What is believed and why, for a person to read.
+    /// Describes the records and recent changes as text.
     pub fn explain(&self, now: Micros) -> String {
         let ago = |at: Micros| now.saturating_sub(at) as f64 / SECOND as f64;
         let mut text = format!("{} {}\n", self.settings.name, self.standing.word());
@@ -643,16 +665,16 @@
         );
         for ((target, port), held) in &self.records {
             let addresses: Vec<String> = self.addresses(target).map(|at| at.to_string()).collect();
-            let who = self.settings.servers.get(held.teller).map(ToString::to_string).unwrap_or_default();
+            let who = self.settings.servers.get(held.source).map(ToString::to_string).unwrap_or_default();
             let at = if addresses.is_empty() { "no address".into() } else { addresses.join(" ") };
             text += &format!(
-                "  {target}:{port} priority {} weight {}: {at} (told by {who}, {:.0} s left)\n",
+                "  {target}:{port} priority {} weight {}: {at} (from {who}, {:.0} s left)\n",
                 held.priority,
                 held.weight,
-                left(held.expires)
+                left(held.expires_at)
             );
         }
-        for (at, what) in &self.notes {
+        for (at, what) in &self.log {
             text += &format!("  {:.1} s ago: {what}\n", ago(*at));
         }
         text
--- a/crates/srv/src/settings.rs
+++ b/crates/srv/src/settings.rs
@@ -1,4 +1,4 @@
-//! What an operator says of a name to follow, checked where it is read.
+//! Validated settings of a followed SRV name.
 
 use crate::{Micros, SECOND};
 use hickory_proto::rr::Name;
@@ -6,26 +6,26 @@
 use std::net::{IpAddr, SocketAddr};
 use std::str::FromStr;
 
-/// Which kinds of addresses are asked for.
+/// Address families to resolve.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Addresses {
-    /// A records alone.
+    /// A records only.
     V4,
-    /// AAAA records alone.
+    /// AAAA records only.
     V6,
-    /// Both.
+    /// A and AAAA records.
     Both,
 }
 
-/// A block of addresses, as `127.0.0.0/8`.
+/// A network in CIDR notation, such as `127.0.0.0/8`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Network {
     base: IpAddr,
     prefix: u8,
 }
 
-/// The bits of an address that lie in its first `prefix`.
-fn masked(address: IpAddr, prefix: u8) -> u128 {
+/// The first `prefix` bits of an address.
+fn prefix_bits(address: IpAddr, prefix: u8) -> u128 {
     let (bits, width) = match address {
         IpAddr::V4(v4) => (u128::from(u32::from(v4)), 32),
         IpAddr::V6(v6) => (u128::from(v6), 128),
@@ -34,10 +34,10 @@
 }
 
 impl Network {
-    /// Whether an address lies in it.
-    pub fn holds(&self, address: IpAddr) -> bool {
+    /// Whether the network contains an address.
+    pub fn contains(&self, address: IpAddr) -> bool {
         address.is_ipv4() == self.base.is_ipv4()
-            && masked(address, self.prefix) == masked(self.base, self.prefix)
+            && prefix_bits(address, self.prefix) == prefix_bits(self.base, self.prefix)
     }
 }
 
@@ -45,13 +45,13 @@
     type Err = String;
 
     fn from_str(text: &str) -> Result<Self, String> {
-        let bad = || format!("`{text}` is no network such as 127.0.0.0/8");
-        let (base, prefix) = text.split_once('/').ok_or_else(bad)?;
-        let base: IpAddr = base.parse().map_err(|_| bad())?;
-        let prefix: u8 = prefix.parse().map_err(|_| bad())?;
+        let invalid = || format!("`{text}` is no network such as 127.0.0.0/8");
+        let (base, prefix) = text.split_once('/').ok_or_else(invalid)?;
+        let base: IpAddr = base.parse().map_err(|_| invalid())?;
+        let prefix: u8 = prefix.parse().map_err(|_| invalid())?;
         match prefix <= if base.is_ipv4() { 32 } else { 128 } {
             true => Ok(Network { base, prefix }),
-            false => Err(bad()),
+            false => Err(invalid()),
         }
     }
 }
@@ -62,40 +62,40 @@
     }
 }
 
-/// A name to follow, and how.
+/// Settings of a followed SRV name.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SrvSettings {
-    /// The name, absolute: `_registry._tcp.sala.example.org.`
+    /// The fully qualified name, such as `_registry._tcp.sala.example.org.`
     pub name: Name,
-    /// Who is asked, the first that answers.
+    /// DNS servers in order of preference.
     pub servers: Vec<SocketAddr>,
-    /// Addresses outside of these are not believed.
+    /// Addresses outside these networks are rejected.
     pub networks: Vec<Network>,
-    /// Which kinds of addresses are asked for.
+    /// Address families to resolve.
     pub addresses: Addresses,
-    /// The shortest and longest that an answer is gone by, whatever its own word, µs.
+    /// Bounds to which the TTL of a response is clamped, in µs: minimum and maximum.
     pub lifetimes: (Micros, Micros),
-    /// Time that a server has for an answer, µs.
+    /// Timeout of a query, in µs.
     pub timeout: Micros,
-    /// Time between two tries at what failed, µs: at first, and at the longest. Drawn at random between.
+    /// Backoff between retries, in µs: minimum and maximum.
     pub retry: (Micros, Micros),
-    /// How long the last good answer is gone by while none comes, µs.
+    /// How long the last good response is used while no server responds, in µs.
     pub stale_for: Micros,
-    /// An answer with less than this part of what is believed is doubted ...
+    /// A response with less than this fraction of the current records is not trusted at once ...
     pub shrink_to: f64,
-    /// ... until it was given for so long, µs.
+    /// ... but only after it has been repeated for this time, in µs.
     pub shrink_for: Micros,
-    /// How long a worker may finish what it has once its record has vanished, µs.
+    /// Drain period of a worker after its record was removed, in µs.
     pub grace: Micros,
-    /// Questions a second, at the most.
+    /// Rate limit of queries, per second.
     pub questions: f64,
 }
 
 impl SrvSettings {
-    /// With the usual figures.
+    /// Settings with default values.
     ///
     /// # Errors
-    /// The name is no name.
+    /// The name is not a valid SRV name.
     pub fn new(name: &str, servers: Vec<SocketAddr>) -> Result<Self, String> {
         let mut parsed = Name::from_ascii(name).map_err(|e| format!("`{name}` is no name: {e}"))?;
         parsed.set_fqdn(true);
@@ -123,20 +123,19 @@
         })
     }
 
-    /// Whether an address may be a worker's: one of the operator's networks, and one that a single machine can
-    /// have at all.
+    /// Whether an address is a unicast address within the allowed networks.
     pub fn allows(&self, address: IpAddr) -> bool {
         let broadcast = matches!(address, IpAddr::V4(v4) if v4.is_broadcast());
         !address.is_unspecified()
             && !address.is_multicast()
             && !broadcast
-            && self.networks.iter().any(|network| network.holds(address))
+            && self.networks.iter().any(|network| network.contains(address))
     }
 
-    /// A lifetime as it is gone by. Past 2^31 - 1 seconds it counts as nothing (RFC 2181, section 8).
+    /// A TTL clamped to the configured bounds. Values above 2^31 - 1 seconds count as 0 (RFC 2181, section 8).
     pub fn lifetime(&self, ttl: u32) -> Micros {
-        let told = if ttl > i32::MAX as u32 { 0 } else { u64::from(ttl) * SECOND };
-        told.clamp(self.lifetimes.0, self.lifetimes.1.max(self.lifetimes.0))
+        let stated = if ttl > i32::MAX as u32 { 0 } else { u64::from(ttl) * SECOND };
+        stated.clamp(self.lifetimes.0, self.lifetimes.1.max(self.lifetimes.0))
     }
 }
 
@@ -145,7 +144,7 @@
     use super::*;
 
     #[test]
-    fn networks_hold_what_lies_in_them() {
+    fn networks_contain_their_addresses_only() {
         for (network, inside, outside) in [
             ("127.0.0.0/8", "127.255.0.1", "128.0.0.1"),
             ("10.1.2.3/32", "10.1.2.3", "10.1.2.2"),
@@ -154,8 +153,8 @@
             ("::/0", "::1", "1.2.3.4"),
         ] {
             let parsed: Network = network.parse().unwrap();
-            assert!(parsed.holds(inside.parse().unwrap()), "{network}");
-            assert!(!parsed.holds(outside.parse().unwrap()), "{network}");
+            assert!(parsed.contains(inside.parse().unwrap()), "{network}");
+            assert!(!parsed.contains(outside.parse().unwrap()), "{network}");
         }
         for bad in ["", "127.0.0.0", "127.0.0.0/33", "::/129", "x/8", "127.0.0.0/-1"] {
             assert!(bad.parse::<Network>().is_err(), "{bad}");
@@ -163,16 +162,16 @@
     }
 
     #[test]
-    fn lifetimes_stay_between_the_least_and_the_longest() {
+    fn lifetimes_are_clamped_to_their_bounds() {
         let settings = SrvSettings::new("_r._tcp.example.org", vec![]).unwrap();
         for (ttl, seconds) in [(0, 5), (4, 5), (60, 60), (4_000, 300), (i32::MAX as u32, 300)] {
             assert_eq!(settings.lifetime(ttl), seconds * SECOND, "{ttl}");
         }
-        assert_eq!(settings.lifetime(1 << 31), 5 * SECOND, "the highest bit means nothing, not for ever");
+        assert_eq!(settings.lifetime(1 << 31), 5 * SECOND, "a TTL with the highest bit set counts as 0");
     }
 
     #[test]
-    fn a_name_begins_with_service_and_protocol() {
+    fn names_without_service_and_protocol_are_rejected() {
         for bad in ["", "example.org", "_r.example.org", "_r._tcp", "_r._tcp..org", "r._tcp.example.org"] {
             assert!(SrvSettings::new(bad, vec![]).is_err(), "{bad}");
         }
@@ -181,7 +180,7 @@
     }
 
     #[test]
-    fn addresses_that_no_worker_has_are_refused_whatever_the_networks() {
+    fn non_unicast_addresses_are_rejected_in_any_network() {
         let settings = SrvSettings::new("_r._tcp.example.org", vec![]).unwrap();
         for bad in ["0.0.0.0", "255.255.255.255", "224.0.0.1", "::", "ff02::1"] {
             assert!(!settings.allows(bad.parse().unwrap()), "{bad}");
--- a/crates/srv/tests/bytes.rs
+++ b/crates/srv/tests/bytes.rs
@@ -1,11 +1,12 @@
-//! Bytes from the wire, spoilt in every way: nothing panics, nothing unbounded is kept, and what is not an answer
-//! to the question changes nothing. `PROPTEST_CASES=100000 cargo test --release -p hingestage-srv --test bytes`
-//! tries more; the draws are the same each time.
+//! Property tests with malformed responses: no panic, bounded state, and no effect of unrelated messages. The seed is
+//! fixed; `PROPTEST_CASES=100000 cargo test --release -p hingestage-srv --test bytes` runs more cases.
 
 mod common;
 
 use common::*;
-use hingestage_srv::message::{ask, read, Kind, Question, Read, Stamp};
+use hingestage_srv::message::{
+    encode_query, parse_response, QueryParameters, Question, RecordKind, Response,
+};
 use hingestage_srv::service::RECORDS_MAX;
 use hingestage_srv::{SrvSettings, SECOND};
 use proptest::prelude::*;
@@ -18,43 +19,43 @@
 }
 
 fn question() -> Question {
-    Question { name: name(NAME), kind: Kind::Srv }
+    Question { name: name(NAME), kind: RecordKind::Srv }
 }
 
 #[derive(Clone, Debug)]
-enum Change {
-    Cut(usize),
-    Spoil(usize, u8),
+enum Mutation {
+    Truncate(usize),
+    Overwrite(usize, u8),
     Insert(usize, Vec<u8>),
-    Twice(usize, usize),
+    Repeat(usize, usize),
 }
 
-fn change() -> impl Strategy<Value = Change> {
+fn mutation() -> impl Strategy<Value = Mutation> {
     prop_oneof![
-        any::<usize>().prop_map(Change::Cut),
-        (any::<usize>(), any::<u8>()).prop_map(|(at, byte)| Change::Spoil(at, byte)),
+        any::<usize>().prop_map(Mutation::Truncate),
+        (any::<usize>(), any::<u8>()).prop_map(|(at, byte)| Mutation::Overwrite(at, byte)),
         (any::<usize>(), proptest::collection::vec(any::<u8>(), 1..12))
-            .prop_map(|(at, b)| Change::Insert(at, b)),
-        // Pointers are what compression goes by.
-        (any::<usize>(), any::<u8>()).prop_map(|(at, to)| Change::Insert(at, vec![0xc0, to])),
-        (any::<usize>(), 1..60usize).prop_map(|(at, length)| Change::Twice(at, length)),
+            .prop_map(|(at, b)| Mutation::Insert(at, b)),
+        // A compression pointer.
+        (any::<usize>(), any::<u8>()).prop_map(|(at, to)| Mutation::Insert(at, vec![0xc0, to])),
+        (any::<usize>(), 1..60usize).prop_map(|(at, length)| Mutation::Repeat(at, length)),
     ]
 }
 
-fn apply(bytes: &mut Vec<u8>, change: &Change) {
+fn apply(bytes: &mut Vec<u8>, mutation: &Mutation) {
     let len = bytes.len().max(1);
-    match change {
-        Change::Cut(at) => bytes.truncate(at % len),
-        Change::Spoil(at, byte) => {
+    match mutation {
+        Mutation::Truncate(at) => bytes.truncate(at % len),
+        Mutation::Overwrite(at, byte) => {
             if let Some(place) = bytes.get_mut(at % len) {
                 *place = *byte;
             }
         }
-        Change::Insert(at, more) => {
+        Mutation::Insert(at, more) => {
             let at = at % len.min(bytes.len() + 1);
             bytes.splice(at..at, more.iter().copied());
         }
-        Change::Twice(at, length) => {
+        Mutation::Repeat(at, length) => {
             let at = at % len;
             let piece = bytes[at.min(bytes.len())..(at + length).min(bytes.len())].to_vec();
             bytes.extend(piece);
@@ -73,53 +74,53 @@
     #![proptest_config(config())]
 
     #[test]
-    fn noise_is_no_answer(bytes in proptest::collection::vec(any::<u8>(), 0..600), id in any::<u16>()) {
-        let stamp = Stamp { id, extended: true, cookie: vec![7; 8] };
+    fn noise_is_not_parsed_as_an_answer(bytes in proptest::collection::vec(any::<u8>(), 0..600), id in any::<u16>()) {
+        let query = QueryParameters { id, edns: true, cookie: vec![7; 8] };
         let mut cookie = Vec::new();
-        let read = read(&bytes, &question(), &stamp, &mut cookie);
-        prop_assert!(!matches!(read, Read::Found(_) | Read::Leads(..)), "{:?}", read);
+        let response = parse_response(&bytes, &question(), &query, &mut cookie);
+        prop_assert!(!matches!(response, Response::Found(_) | Response::Alias(..)), "{:?}", response);
         prop_assert!(cookie.len() <= 40);
     }
 
     #[test]
-    fn a_spoilt_answer_is_bounded_and_never_panics(
-        rows in rows(), ttl in any::<u32>(), changes in proptest::collection::vec(change(), 0..6),
+    fn mutated_answers_never_panic_and_state_stays_bounded(
+        rows in rows(), ttl in any::<u32>(), mutations in proptest::collection::vec(mutation(), 0..6),
     ) {
-        let mut world = World::new(SrvSettings { networks: vec!["127.0.0.0/8".parse().unwrap()], ..settings(1) });
-        world.pass(SECOND / 2, |asked| match asked.zone(&rows, ttl) {
+        let mut harness = Harness::new(SrvSettings { networks: vec!["127.0.0.0/8".parse().unwrap()], ..settings(1) });
+        harness.advance(SECOND / 2, |asked| match asked.zone(&rows, ttl) {
             Reply::Bytes(mut bytes) => {
-                changes.iter().for_each(|change| apply(&mut bytes, change));
+                mutations.iter().for_each(|mutation| apply(&mut bytes, mutation));
                 Reply::Bytes(bytes)
             }
             other => other,
         });
-        for endpoint in world.service.believed() {
+        for endpoint in harness.service.believed() {
             prop_assert!(endpoint.at.ip().is_loopback() && endpoint.at.port() > 0);
             prop_assert!((0.1..=10.0).contains(&endpoint.size));
         }
-        prop_assert!(world.service.believed().len() <= RECORDS_MAX * 16);
-        prop_assert!(world.asked.len() < 200, "{} questions in half a second", world.asked.len());
+        prop_assert!(harness.service.believed().len() <= RECORDS_MAX * 16);
+        prop_assert!(harness.asked.len() < 200, "{} questions in half a second", harness.asked.len());
     }
 
     #[test]
-    fn what_follows_noise_is_served_as_if_there_had_been_none(
+    fn noise_does_not_affect_later_answers(
         bytes in proptest::collection::vec(any::<u8>(), 0..200),
     ) {
         let rows: [Row; 2] = [("a", 80, 0, 10, 1), ("b", 80, 0, 10, 2)];
-        let mut world = World::new(settings(1));
-        world.pass(SECOND, |asked| asked.zone(&rows, 5));
-        world.pass(20 * SECOND, |_| Reply::Bytes(bytes.clone()));
-        prop_assert_eq!(world.there(), [1, 2]);
-        world.pass(31 * SECOND, |asked| asked.zone(&rows[..1], 5));
-        prop_assert_eq!(world.there(), [1]);
+        let mut harness = Harness::new(settings(1));
+        harness.advance(SECOND, |asked| asked.zone(&rows, 5));
+        harness.advance(20 * SECOND, |_| Reply::Bytes(bytes.clone()));
+        prop_assert_eq!(harness.address_bytes(), [1, 2]);
+        harness.advance(31 * SECOND, |asked| asked.zone(&rows[..1], 5));
+        prop_assert_eq!(harness.address_bytes(), [1]);
     }
 
     #[test]
-    fn every_question_is_read_as_it_was_asked(id in any::<u16>(), extended in any::<bool>()) {
-        let stamp = Stamp { id, extended, cookie: vec![3; 8] };
-        let message = hickory_proto::op::Message::from_vec(&ask(&question(), &stamp)).unwrap();
+    fn encoded_queries_decode_to_the_same_question(id in any::<u16>(), edns in any::<bool>()) {
+        let query = QueryParameters { id, edns, cookie: vec![3; 8] };
+        let message = hickory_proto::op::Message::from_vec(&encode_query(&question(), &query)).unwrap();
         prop_assert_eq!(message.metadata.id, id);
-        prop_assert_eq!(message.edns.is_some(), extended);
+        prop_assert_eq!(message.edns.is_some(), edns);
         prop_assert_eq!(&message.queries[0].name, &name(NAME));
     }
 }
--- a/crates/srv/tests/common/mod.rs
+++ b/crates/srv/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A world without sockets: a clock that is set, and servers that are closures over what they are asked.
+//! Test harness without sockets: a simulated clock, and servers implemented as closures over queries.
 #![allow(dead_code)]
 
 use hickory_proto::op::{Message, MessageType, ResponseCode};
@@ -29,14 +29,14 @@
 /// One worker: name, port, priority, weight, last byte of its address.
 pub type Row = (&'static str, u16, u16, u16, u8);
 
-/// What a server does with a question.
+/// A server's reaction to a query.
 pub enum Reply {
-    Nothing,
-    Breaks,
+    None,
+    SocketError,
     Bytes(Vec<u8>),
 }
 
-/// What came with a question.
+/// A query received by a server.
 pub struct Asked {
     pub message: Message,
     pub server: SocketAddr,
@@ -59,7 +59,7 @@
         reply
     }
 
-    /// A zone as it is, addresses along with the records.
+    /// Answers from a zone, with the target addresses in the additional section of SRV responses.
     pub fn zone(&self, rows: &[Row], ttl: u32) -> Reply {
         let mut reply = self.reply();
         match self.kind() {
@@ -121,49 +121,49 @@
     Reply::Bytes(reply.to_vec().unwrap())
 }
 
-/// A service and its surroundings.
-pub struct World {
+/// Drives a service and records its output.
+pub struct Harness {
     pub service: Service,
     pub now: Micros,
-    /// Every question: when, to whom, over what, for what.
+    /// Every query: time, server, whether over TCP, name, record type.
     pub asked: Vec<(Micros, SocketAddr, bool, Name, RecordType)>,
-    /// Each change of what is believed.
-    pub believed: Vec<(Micros, Vec<Endpoint>)>,
-    pub notes: Vec<String>,
+    /// Every published list of endpoints with its time.
+    pub published: Vec<(Micros, Vec<Endpoint>)>,
+    pub logs: Vec<String>,
     open: Vec<u64>,
 }
 
-impl World {
-    pub fn new(settings: SrvSettings) -> World {
-        World::seeded(settings, 7)
+impl Harness {
+    pub fn new(settings: SrvSettings) -> Harness {
+        Harness::seeded(settings, 7)
     }
 
-    pub fn seeded(settings: SrvSettings, seed: u64) -> World {
+    pub fn seeded(settings: SrvSettings, seed: u64) -> Harness {
         let service = Service::new(settings, seed, SECOND);
-        let (asked, believed, notes, open) = (vec![], vec![], vec![], vec![]);
-        World { service, now: SECOND, asked, believed, notes, open }
+        let (asked, published, logs, open) = (vec![], vec![], vec![], vec![]);
+        Harness { service, now: SECOND, asked, published, logs, open }
     }
 
-    /// Lets time pass until an instant; answers come at once.
-    pub fn until(&mut self, until: Micros, mut answer: impl FnMut(&Asked) -> Reply) {
+    /// Advances the clock to a time; servers answer at once.
+    pub fn advance_to(&mut self, end: Micros, mut answer: impl FnMut(&Asked) -> Reply) {
         loop {
             let mut out = Vec::new();
             self.service.tick(self.now, &mut out);
             self.act(out, &mut answer);
-            let next = self.service.wake().map_or(until, |at| at.max(self.now + 1));
-            if next >= until {
-                self.now = self.now.max(until);
+            let next = self.service.wake().map_or(end, |at| at.max(self.now + 1));
+            if next >= end {
+                self.now = self.now.max(end);
                 return;
             }
             self.now = next;
         }
     }
 
-    pub fn pass(&mut self, span: Micros, answer: impl FnMut(&Asked) -> Reply) {
-        self.until(self.now + span, answer);
+    pub fn advance(&mut self, duration: Micros, answer: impl FnMut(&Asked) -> Reply) {
+        self.advance_to(self.now + duration, answer);
     }
 
-    pub fn operator(&mut self, accept: bool, mut answer: impl FnMut(&Asked) -> Reply) {
+    pub fn refresh_by_operator(&mut self, accept: bool, mut answer: impl FnMut(&Asked) -> Reply) {
         let mut out = Vec::new();
         self.service.ask_now(accept, self.now, &mut out);
         self.act(out, &mut answer);
@@ -181,22 +181,22 @@
                         let of = (self.now, server, tcp, asked.name().clone(), asked.kind());
                         self.asked.push(of);
                         match answer(&asked) {
-                            Reply::Nothing => {}
-                            Reply::Breaks => self.service.broke(ask, "refused", self.now, &mut more),
+                            Reply::None => {}
+                            Reply::SocketError => self.service.broke(ask, "refused", self.now, &mut more),
                             Reply::Bytes(bytes) => self.service.heard(ask, &bytes, self.now, &mut more),
                         }
                     }
                     Action::Forget(ask) => self.open.retain(|open| *open != ask),
-                    Action::Believe(endpoints) => self.believed.push((self.now, endpoints)),
-                    Action::Note(what) => self.notes.push(what),
+                    Action::Believe(endpoints) => self.published.push((self.now, endpoints)),
+                    Action::Note(what) => self.logs.push(what),
                 }
             }
             out = more;
         }
     }
 
-    /// The last bytes of the addresses believed, in order.
-    pub fn there(&self) -> Vec<u8> {
+    /// The last bytes of the published addresses, in order.
+    pub fn address_bytes(&self) -> Vec<u8> {
         let last = |at: IpAddr| match at {
             IpAddr::V4(v4) => v4.octets()[3],
             IpAddr::V6(_) => 0,
@@ -204,7 +204,7 @@
         self.service.believed().iter().map(|e| last(e.at.ip())).collect()
     }
 
-    pub fn noted(&self, what: &str) -> bool {
-        self.notes.iter().any(|note| note.contains(what))
+    pub fn has_logged(&self, what: &str) -> bool {
+        self.logs.iter().any(|line| line.contains(what))
     }
 }
