--- a/crates/proxy/src/control.rs
+++ b/crates/proxy/src/control.rs
@@ -101,7 +101,7 @@
     if proxy.view.borrow_mut().apply_drains(proxy.now(), &update.have.drains) {
         proxy.refresh_workers();
     }
-    if proxy.view.borrow_mut().followed_mut().told(proxy.now(), &update.services) {
+    if proxy.view.borrow_mut().followed_mut().apply_index(proxy.now(), &update.services) {
         proxy.relay.restart_following();
     }
     if !proxy.view.borrow().followed().is_complete() {
@@ -131,7 +131,7 @@
 /// Fetches the worker lists of services that this proxy is the home of, and after [`HOME_TIMEOUT`] those that another
 /// home has not delivered.
 async fn fetch_services(proxy: Rc<Proxy>, registry: Rc<Registry>) {
-    let is_home = |name: &str| proxy.relay.home(proxy.now(), name) == Home::Me;
+    let is_home = |name: &str| proxy.relay.home(proxy.now(), name) == Home::Local;
     fetch_due(&proxy, &registry, |name, _| is_home(name)).await;
     tokio::time::sleep(HOME_TIMEOUT).await;
     let timeout = HOME_TIMEOUT.as_micros() as Micros;
@@ -149,7 +149,8 @@
 ) -> Vec<ServiceHave> {
     let now = proxy.now();
     let until = now + SERVICES_HEDGE_DELAY.as_micros() as Micros;
-    let asked = proxy.view.borrow_mut().followed_mut().ask(now, until, |name, waited| due(name, waited));
+    let asked =
+        proxy.view.borrow_mut().followed_mut().next_requests(now, until, |name, waited| due(name, waited));
     if asked.is_empty() {
         return asked;
     }
@@ -157,7 +158,7 @@
     if let Ok(RegistryAnswer::Services(updates)) = answer {
         proxy.apply_services(updates);
     }
-    proxy.view.borrow_mut().followed_mut().unanswered(&asked);
+    proxy.view.borrow_mut().followed_mut().end_request(&asked);
     asked
 }
 
--- a/crates/registry/src/state.rs
+++ b/crates/registry/src/status.rs
@@ -1,46 +1,45 @@
-//! What an operator is told of a registry.
+//! Registry status for operators.
 
 use crate::server::Registry;
 use compact_str::CompactString;
-use hingestage_discovery::Listed;
+use hingestage_discovery::ListedWorker;
 use hingestage_node::settings::InnerPort;
 use hingestage_replication::Micros;
 use hingestage_rpc::messages::ZoneDrains;
 use hingestage_rpc::status::{RegistryStatus, WorkerGroup};
 use std::collections::BTreeMap;
 
-/// Microseconds in a millisecond.
-const MILLI: Micros = 1_000;
+const MICROS_PER_MILLI: Micros = 1_000;
 
 impl Registry {
-    /// The registry's state.
-    pub(crate) fn state(&self) -> RegistryStatus {
+    /// The status of this registry.
+    pub(crate) fn registry_status(&self) -> RegistryStatus {
         let now = self.now();
         let have = self.have(&self.settings.zone);
-        let in_force = self.in_force.borrow();
-        let duty = self.duty.borrow();
+        let committed = self.committed.borrow();
+        let election = self.election.borrow();
         let drained = have.drains.iter().filter(|(_, drain)| drain.drained);
         RegistryStatus {
-            member: duty.me(now),
+            member: election.local_member(now),
             config: have.config,
-            fresh_age: in_force.freshness.age(now).map(|age| age / MILLI),
-            fence: duty.fence(),
+            fresh_age: committed.freshness.age(now).map(|age| age / MICROS_PER_MILLI),
+            fence: election.fence(),
             workers_version: have.workers,
-            workers_age: now.saturating_sub(self.workers_at.get()) / MILLI,
-            workers: group(now, self.workers.borrow().catalog().workers(), &have.drains),
+            workers_age: now.saturating_sub(self.workers_at.get()) / MICROS_PER_MILLI,
+            workers: group_workers(now, self.workers.borrow().catalog().workers(), &have.drains),
             drained: drained.map(|(zone, _)| zone.clone()).collect(),
-            members: in_force.proxies.len() as u32,
+            members: committed.proxies.len() as u32,
             store: self.settings.inner(InnerPort::ConfigStore),
-            registries: duty.members(now),
-            proxies: self.directory.borrow().living(now).cloned().collect(),
+            registries: election.members(now),
+            proxies: self.directory.borrow().live_proxies(now).cloned().collect(),
         }
     }
 }
 
-/// Counts workers by service and zone, as the list tells of them.
-fn group<'a>(
+/// Counts workers by service, zone and state.
+fn group_workers<'a>(
     now: Micros,
-    workers: impl Iterator<Item = &'a Listed>,
+    workers: impl Iterator<Item = &'a ListedWorker>,
     drains: &ZoneDrains,
 ) -> Vec<WorkerGroup> {
     let mut groups: BTreeMap<(CompactString, CompactString), WorkerGroup> = BTreeMap::new();
