--- a/crates/srv/src/service.rs
+++ b/crates/srv/src/service.rs
@@ -668,7 +668,7 @@
             let who = self.settings.servers.get(held.source).map(ToString::to_string).unwrap_or_default();
             let at = if addresses.is_empty() { "no address".into() } else { addresses.join(" ") };
             text += &format!(
-                "  {target}:{port} priority {} weight {}: {at} (from {who}, {:.0} s left)\n",
+                "  {target}:{port} priority {} weight {}: {at} (told by {who}, {:.0} s left)\n",
                 held.priority,
                 held.weight,
                 left(held.expires_at)
--- a/crates/srv/tests/service.rs
+++ b/crates/srv/tests/service.rs
@@ -565,7 +565,7 @@
     for part in [
         "_r._tcp.sala.example.org. fresh",
         "a.sala.example.org.:80 priority 0 weight 10: 127.0.1.1",
-        "from 127.0.0.1:53",
+        "told by 127.0.0.1:53",
     ] {
         assert!(text.contains(part), "{text}");
     }
