--- a/crates/capacity/src/directory.rs
+++ b/crates/capacity/src/directory.rs
@@ -5,7 +5,9 @@
 use eyre::Result;
 use hingestage_registry::directory::{Directory, DirectorySettings};
 use hingestage_rpc::encoded;
-use hingestage_rpc::messages::{Have, RegistryAddress, RegistryAnswer, RegistryRequest, Watched, ZoneDrain};
+use hingestage_rpc::messages::{
+    KnownVersions, RegistryAddress, RegistryAnswer, RegistryRequest, Watched, ZoneDrain,
+};
 use std::hint::black_box;
 
 /// Any moment.
@@ -72,12 +74,12 @@
     );
 }
 
-fn have(zones_drained: usize) -> Have {
+fn have(zones_drained: usize) -> KnownVersions {
     let order = ZoneDrain { order: 1, drained: false };
-    Have {
+    KnownVersions {
         config: Some(fixtures::document(1, fixtures::DocumentSize::of_routes(1)).version),
         drains: (0..zones_drained).map(|number| (fixtures::zone(number), order)).collect(),
-        ..Have::default()
+        ..KnownVersions::default()
     }
 }
 
--- a/crates/capacity/src/fixtures.rs
+++ b/crates/capacity/src/fixtures.rs
@@ -4,7 +4,7 @@
 use hingestage_node::Settings;
 use hingestage_replication::digest;
 use hingestage_rpc::messages::{ConfigDocument, ProcessId, ProxyStatus, StoreMember};
-use hingestage_rpc::workers::{ServiceNews, ServiceUpdate, WorkerRecord, WorkersVersion};
+use hingestage_rpc::workers::{ServiceUpdate, ServiceUpdateContent, WorkerRecord, WorkersVersion};
 use std::fmt::Write;
 use std::net::{Ipv4Addr, SocketAddr};
 
@@ -124,7 +124,7 @@
     let services = services_of(count);
     let update = |place: usize| {
         let workers = (place..count).step_by(services).map(|worker| worker_record(worker, services));
-        service_update(place, number, ServiceNews::Snapshot(workers.collect()))
+        service_update(place, number, ServiceUpdateContent::Snapshot(workers.collect()))
     };
     (0..services).map(update).collect()
 }
@@ -134,11 +134,11 @@
     let draining = number.is_multiple_of(2);
     let listed = vec![WorkerRecord { draining, ..worker_record(0, services_of(count)) }];
     let since = version(number - 1);
-    service_update(0, number, ServiceNews::Changes { since, listed, removed: Vec::new() })
+    service_update(0, number, ServiceUpdateContent::Changes { since, listed, removed: Vec::new() })
 }
 
-fn service_update(place: usize, number: u64, news: ServiceNews) -> ServiceUpdate {
-    ServiceUpdate { service: service(place), version: version(number), news }
+fn service_update(place: usize, number: u64, news: ServiceUpdateContent) -> ServiceUpdate {
+    ServiceUpdate { service: service(place), version: version(number), content: news }
 }
 
 fn version(number: u64) -> WorkersVersion {
--- a/crates/capacity/src/heartbeats.rs
+++ b/crates/capacity/src/heartbeats.rs
@@ -9,7 +9,9 @@
 use eyre::Result;
 use hingestage_node::settings::InnerPort;
 use hingestage_registry::directory::{Directory, DirectorySettings};
-use hingestage_rpc::messages::{ConfigVersion, Have, ProxyStatus, RegistryAnswer, RegistryRequest, Watched};
+use hingestage_rpc::messages::{
+    ConfigVersion, KnownVersions, ProxyStatus, RegistryAnswer, RegistryRequest, Watched,
+};
 use hingestage_rpc::{encoded, Client};
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -216,7 +218,7 @@
 
 impl Hollow {
     async fn watch(self: Rc<Self>, registry: Registry, counts: Rc<Cell<Counts>>) {
-        let mut have = Have::default();
+        let mut have = KnownVersions::default();
         loop {
             let status = self.status.borrow().clone();
             let wait = WAIT.as_millis() as u64;
@@ -231,7 +233,13 @@
         }
     }
 
-    async fn take(&self, registry: &Registry, have: &mut Have, news: Watched, counts: &Rc<Cell<Counts>>) {
+    async fn take(
+        &self,
+        registry: &Registry,
+        have: &mut KnownVersions,
+        news: Watched,
+        counts: &Rc<Cell<Counts>>,
+    ) {
         if let Some(directory) = &news.directory {
             self.told_of.set(directory.len());
         }
@@ -244,7 +252,7 @@
                 self.config.set(Some((document.version, Instant::now())));
             }
         }
-        *have = Have { config: have.config, ..news.have };
+        *have = KnownVersions { config: have.config, ..news.have };
     }
 }
 
--- a/crates/capacity/src/trials.rs
+++ b/crates/capacity/src/trials.rs
@@ -5,7 +5,7 @@
 use eyre::Result;
 use hingestage_registry::trials::TrialLog;
 use hingestage_rpc::encoded;
-use hingestage_rpc::trials::{TrialNews, TrialPosition, TrialRecord};
+use hingestage_rpc::trials::{TrialPosition, TrialRecord, TrialUpdate};
 use hingestage_trial::TrialTracker;
 use std::hint::black_box;
 
@@ -30,8 +30,8 @@
 /// Plays so many trials.
 pub fn play(count: usize) -> Result<()> {
     let report = Report::new("trials", &format!("{count}"));
-    let news = |step| -> Vec<TrialNews> {
-        (0..count).map(|number| TrialNews { record: record(number, step), age: 60_000 }).collect()
+    let news = |step| -> Vec<TrialUpdate> {
+        (0..count).map(|number| TrialUpdate { record: record(number, step), age: 60_000 }).collect()
     };
     let before = resident();
     let mut book = TrialTracker::default();
@@ -46,7 +46,7 @@
         black_box(book.decide(NOW, &names[place]));
     };
     report.seconds("TrialBook::judge", seconds_each(JUDGED, judge));
-    let one = encoded(&vec![TrialNews { record: record(1, 1), age: 0 }]);
+    let one = encoded(&vec![TrialUpdate { record: record(1, 1), age: 0 }]);
     report.bytes("a step to one proxy, as sent", one.len() as u64);
     report.bytes("all steps at a proxy's start, as sent", encoded(&news(1)).len() as u64);
     let mut log = TrialLog::new(1, 0);
--- a/crates/change/src/fields.rs
+++ b/crates/change/src/fields.rs
@@ -30,7 +30,7 @@
     /// One message that names the field and its place.
     pub fn field(&mut self, field: &Form, head: &str, name: &str) -> Result<bool, String> {
         let span = |bounds: (f64, f64)| -> Result<Micros, String> {
-            Ok((field.one(name)?.number(name, bounds.0, bounds.1)? * 1e6).round() as Micros)
+            Ok((field.only_argument(name)?.number(name, bounds.0, bounds.1)? * 1e6).round() as Micros)
         };
         match head {
             "lease" => self.lease = span(LEASE)?,
@@ -57,7 +57,7 @@
 /// # Errors
 /// One message that names the field and its place.
 pub fn number(form: &Form, name: &str) -> Result<u64, String> {
-    form.whole(name, 0.0, NUMBER_MAX)
+    form.integer(name, 0.0, NUMBER_MAX)
 }
 /// Numbers and addresses of keepers, as `(keepers (1 "127.0.0.1:7001") ...)`; gateways' files have the same.
 ///
@@ -65,7 +65,7 @@
 /// One message that names the field and its place.
 pub fn keepers(field: &Form, name: &str) -> Result<BTreeMap<u64, SocketAddr>, String> {
     let mut keepers = BTreeMap::new();
-    for form in field.rest()? {
+    for form in field.arguments()? {
         let pair = form.items()?;
         let [number, at] = pair.as_slice() else {
             return Err(form.error(name, "a number and an address are wanted"));
--- a/crates/change/src/read.rs
+++ b/crates/change/src/read.rs
@@ -2,7 +2,7 @@
 //! known and every figure can be gone by.
 
 use crate::document::{Class, Effect, Override, Plan, Policy, FORM};
-use hingestage_form::{once, Form};
+use hingestage_form::{unique_fields, Form};
 use std::collections::BTreeSet;
 use std::time::{Duration, UNIX_EPOCH};
 
@@ -31,9 +31,9 @@
 /// One message that names the field and its place.
 pub fn read(text: &str) -> Result<Policy, String> {
     let whole = hingestage_form::read(text)?;
-    let section = &whole.sole("policy")?;
+    let section = &whole.only_section("policy")?;
     let (mut policy, mut seen) = (Policy::default(), BTreeSet::new());
-    for field in section.rest()? {
+    for field in section.arguments()? {
         let head = field.head()?;
         if ["form", "version"].contains(&head.as_str()) && !seen.insert(head.clone()) {
             return Err(field.error(&head, "given twice"));
@@ -51,11 +51,11 @@
 
 fn one_field(policy: &mut Policy, field: &Form, head: &str) -> Result<(), String> {
     match head {
-        "form" => match field.one(head)?.whole(head, 0.0, VERSION_MAX)? {
+        "form" => match field.only_argument(head)?.integer(head, 0.0, VERSION_MAX)? {
             form if form == u64::from(FORM) => {}
             other => return Err(field.error(head, &format!("this build reads form {FORM}, not {other}"))),
         },
-        "version" => policy.version = field.one(head)?.whole(head, 0.0, VERSION_MAX)?,
+        "version" => policy.version = field.only_argument(head)?.integer(head, 0.0, VERSION_MAX)?,
         "plan" => {
             let (name, rest) = named(field, head)?;
             if policy.plans.insert(name.clone(), plan(field, &rest)?).is_some() {
@@ -106,7 +106,7 @@
 }
 
 fn named<'a>(field: &Form<'a>, head: &str) -> Result<(String, Vec<Form<'a>>), String> {
-    let mut rest = field.rest()?;
+    let mut rest = field.arguments()?;
     if rest.is_empty() {
         return Err(field.error(head, "a name is missing"));
     }
@@ -124,19 +124,19 @@
 
 fn figures<const N: usize>(field: &Form, name: &str) -> Result<[f64; N], String> {
     let figures: Vec<f64> =
-        field.rest()?.iter().map(|form| thousandths(form, name, UNITS_MAX)).collect::<Result<_, _>>()?;
+        field.arguments()?.iter().map(|form| thousandths(form, name, UNITS_MAX)).collect::<Result<_, _>>()?;
     let count = figures.len();
     figures.try_into().map_err(|_| field.error(name, &format!("{N} values are wanted, {count} are given")))
 }
 
 fn plan(section: &Form, fields: &[Form]) -> Result<Plan, String> {
     let mut plan = Plan { quota: None, ceiling: None, worth: 1.0 };
-    for field in once(fields, "plan", &[]) {
+    for field in unique_fields(fields, "plan", &[]) {
         let (head, name, field) = field?;
         match head.as_str() {
             "quota" => plan.quota = Some(figures::<2>(&field, &name)?.into()),
             "ceiling" => plan.ceiling = Some(figures::<3>(&field, &name)?.into()),
-            "worth" => plan.worth = thousandths(&field.one(&name)?, &name, WORTH_MAX)?,
+            "worth" => plan.worth = thousandths(&field.only_argument(&name)?, &name, WORTH_MAX)?,
             _ => return Err(field.error(&name, "no such field")),
         }
     }
@@ -154,7 +154,7 @@
     for field in fields {
         let head = field.head()?;
         let name = format!("class.{head}");
-        let one = field.one(&name)?;
+        let one = field.only_argument(&name)?;
         match head.as_str() {
             "aim" => aim = Some(span(&one, &name)?),
             "give-up" => give_up = Some(span(&one, &name)?),
@@ -186,8 +186,8 @@
 }
 
 fn accounts(set: &mut BTreeSet<u64>, field: &Form, head: &str) -> Result<(), String> {
-    for form in field.rest()? {
-        let account = form.whole(head, 0.0, ACCOUNTS - 1.0)?;
+    for form in field.arguments()? {
+        let account = form.integer(head, 0.0, ACCOUNTS - 1.0)?;
         if !set.insert(account) {
             return Err(form.error(head, &format!("account {account} is given twice")));
         }
@@ -196,16 +196,16 @@
 }
 
 fn other_plan(field: &Form) -> Result<(u64, Override), String> {
-    let rest = field.rest()?;
+    let rest = field.arguments()?;
     let [account, plan, until] = rest.as_slice() else {
         return Err(field.error("override", "an account, a plan and `(until \"DATE\")` are wanted"));
     };
-    let account = account.whole("override", 0.0, ACCOUNTS - 1.0)?;
+    let account = account.integer("override", 0.0, ACCOUNTS - 1.0)?;
     let plan = plan.text("override")?.to_owned();
     if until.head()? != "until" {
         return Err(until.error("override", "`(until \"DATE\")` is wanted here"));
     }
-    let date = until.one("override.until")?;
+    let date = until.only_argument("override.until")?;
     let text = date.text("override.until")?;
     let at = humantime::parse_rfc3339(text).ok().and_then(|at| at.duration_since(UNIX_EPOCH).ok());
     let at = at.ok_or_else(|| {
--- a/crates/control-sim/src/core_node.rs
+++ b/crates/control-sim/src/core_node.rs
@@ -16,7 +16,8 @@
     Disk as ReplicaDisk, OutgoingRequest, Record, Replica, ReplicaConfig, VoterPolicy,
 };
 use hingestage_rpc::messages::{
-    Change, ConfigVersion, Have, ProcessId, Proposed, ProxyStatus, RegistryMember, StoreMember, Watched,
+    Change, ConfigVersion, KnownVersions, ProcessId, Proposed, ProxyStatus, RegistryMember, StoreMember,
+    Watched,
 };
 use hingestage_rpc::trials::TrialRecord;
 use hingestage_rpc::workers::{ServiceIndex, WorkersVersion};
@@ -438,14 +439,14 @@
         vec![self.envelope(from, None, Message::FetchServices(asked))]
     }
 
-    fn watched(&mut self, clock: Micros, status: ProxyStatus, theirs: Have) -> Watched {
+    fn watched(&mut self, clock: Micros, status: ProxyStatus, theirs: KnownVersions) -> Watched {
         let (name, zone) = (status.id.node.clone(), status.zone.clone());
         self.directory.heard(clock, status, WATCH_WITHIN);
         self.duty.observe_version(theirs.workers_seen);
         self.admissions.observe(&name, &self.in_force.proxies);
         let summary = &self.in_force.summary;
         Watched {
-            have: Have {
+            have: KnownVersions {
                 config: self.in_force.offered_version(clock),
                 drains: summary.drains.clone(),
                 workers: self.workers.catalog().version(),
--- a/crates/control-sim/src/message.rs
+++ b/crates/control-sim/src/message.rs
@@ -2,9 +2,9 @@
 
 use crate::Micros;
 use hingestage_rpc::messages::{
-    ConfigDocument, Have, PeerAnswer, PeerRequest, ProxyStatus, RegistryMember, Watched,
+    ConfigDocument, KnownVersions, PeerAnswer, PeerRequest, ProxyStatus, RegistryMember, Watched,
 };
-use hingestage_rpc::workers::{ServiceHave, ServiceIndex, ServiceUpdate, WorkersVersion};
+use hingestage_rpc::workers::{KnownServiceVersion, ServiceIndex, ServiceUpdate, WorkersVersion};
 
 /// A machine: core machines first, then proxies.
 pub(crate) type NodeId = usize;
@@ -50,7 +50,7 @@
     Watch {
         asked_at: Micros,
         status: ProxyStatus,
-        have: Have,
+        have: KnownVersions,
     },
     Watched {
         asked_at: Micros,
@@ -59,6 +59,6 @@
     FetchConfig,
     Config(ConfigDocument),
     /// A registry or a home is asked for services' workers.
-    FetchServices(Vec<ServiceHave>),
+    FetchServices(Vec<KnownServiceVersion>),
     Services(Vec<ServiceUpdate>),
 }
--- a/crates/control-sim/src/proxy_node.rs
+++ b/crates/control-sim/src/proxy_node.rs
@@ -7,9 +7,9 @@
 use fastrand::Rng;
 use hingestage_discovery::{Home, Homes, PeerProxy};
 use hingestage_proxy::view::{View, ViewSettings};
-use hingestage_rpc::messages::{Have, ProcessId, ProxyStatus, Watched};
+use hingestage_rpc::messages::{KnownVersions, ProcessId, ProxyStatus, Watched};
 use hingestage_rpc::trials::{TrialPosition, TrialRevision};
-use hingestage_rpc::workers::ServiceHave;
+use hingestage_rpc::workers::KnownServiceVersion;
 use hingestage_trial::TrialDecision;
 
 /// Ticks between watches, questions to homes, and questions about what homes are late with.
@@ -110,7 +110,8 @@
         let mut sent = Vec::new();
         if self.ticks.is_multiple_of(WATCH_TICKS) {
             for core in 0..self.cores {
-                let (status, have) = (self.status(), Have { trials: self.trials[core], ..self.view.have() });
+                let (status, have) =
+                    (self.status(), KnownVersions { trials: self.trials[core], ..self.view.have() });
                 sent.push(self.envelope(core, Message::Watch { asked_at: clock, status, have }));
             }
         }
@@ -138,7 +139,7 @@
         for peer in self.homes.peers() {
             let followed = self.view.followed();
             let names = followed.names().filter(|name| self.homes.is_home(clock, name, &peer.name));
-            let have: Vec<ServiceHave> = names.map(|name| followed.have(name)).collect();
+            let have: Vec<KnownServiceVersion> = names.map(|name| followed.have(name)).collect();
             if !have.is_empty() {
                 sent.push(self.envelope(peer.addr.port().into(), Message::FetchServices(have)));
             }
--- a/crates/control-tool/tests/tool.rs
+++ b/crates/control-tool/tests/tool.rs
@@ -125,7 +125,7 @@
         status: Some(200),
         outcome: RequestOutcome::Served,
     };
-    let last_refusal = Some(RequestOutcome::QuotaUsedUp);
+    let last_refusal = Some(RequestOutcome::QuotaExhausted);
     Explanation {
         requests: vec![request],
         tenant: Some(TenantCounters { served: 11, refused: 2, failed: 0, last_refusal }),
--- a/crates/discovery/src/catalog.rs
+++ b/crates/discovery/src/catalog.rs
@@ -3,7 +3,9 @@
 use crate::service_list::{ListedWorker, ServiceList, UpdateOutcome};
 use crate::Micros;
 use compact_str::CompactString;
-use hingestage_rpc::workers::{ServiceHave, ServiceIndex, ServiceUpdate, WorkerRecord, WorkersVersion};
+use hingestage_rpc::workers::{
+    KnownServiceVersion, ServiceIndex, ServiceUpdate, WorkerRecord, WorkersVersion,
+};
 use std::collections::BTreeMap;
 
 /// Maximum number of services; beyond it, services without workers are removed.
@@ -47,7 +49,7 @@
     /// Applies the platform's list, read as `version`, which is above the current one. Returns whether anything
     /// changed. Everything counts as changed if the reader is a new one.
     pub fn apply_list(&mut self, now: Micros, version: WorkersVersion, records: Vec<WorkerRecord>) -> bool {
-        let new_reader = !version.has_reader_of(&self.version);
+        let new_reader = !version.has_same_reader(&self.version);
         let mut records_by_service: BTreeMap<CompactString, Vec<WorkerRecord>> =
             self.services.keys().map(|name| (name.clone(), Vec::new())).collect();
         for record in records {
@@ -95,19 +97,19 @@
     }
 
     /// Updates for a follower that has the given versions. Services that are unknown here are skipped.
-    pub fn updates_for(&self, now: Micros, have: &[ServiceHave]) -> Vec<ServiceUpdate> {
+    pub fn updates_for(&self, now: Micros, have: &[KnownServiceVersion]) -> Vec<ServiceUpdate> {
         let updates = have.iter().filter_map(|have| {
             let list = self.services.get(&have.service)?;
-            let news = list.update_for(now, have.version)?;
-            Some(ServiceUpdate { service: have.service.clone(), version: list.version(), news })
+            let content = list.update_for(now, have.version)?;
+            Some(ServiceUpdate { service: have.service.clone(), version: list.version(), content })
         });
         updates.collect()
     }
 
     /// The version of a service that is held here.
-    pub fn have(&self, service: &CompactString) -> ServiceHave {
+    pub fn have(&self, service: &CompactString) -> KnownServiceVersion {
         let version = self.services.get(service).map(ServiceList::version);
-        ServiceHave { service: service.clone(), version }
+        KnownServiceVersion { service: service.clone(), version }
     }
 
     pub(crate) fn apply(&mut self, now: Micros, update: ServiceUpdate) -> UpdateOutcome {
@@ -115,6 +117,6 @@
         if !known && self.services.len() >= SERVICES_MAX {
             return UpdateOutcome::Stale;
         }
-        self.services.entry(update.service).or_default().apply(now, update.version, update.news)
+        self.services.entry(update.service).or_default().apply(now, update.version, update.content)
     }
 }
--- a/crates/discovery/src/follower.rs
+++ b/crates/discovery/src/follower.rs
@@ -4,7 +4,9 @@
 use crate::service_list::UpdateOutcome;
 use crate::Micros;
 use compact_str::CompactString;
-use hingestage_rpc::workers::{ServiceHave, ServiceIndex, ServiceUpdate, WorkerRecord, WorkersVersion};
+use hingestage_rpc::workers::{
+    KnownServiceVersion, ServiceIndex, ServiceUpdate, WorkerRecord, WorkersVersion,
+};
 use std::collections::BTreeMap;
 
 /// A service that is newer at another process.
@@ -111,7 +113,7 @@
         now: Micros,
         until: Micros,
         due: impl Fn(&CompactString, Micros) -> bool,
-    ) -> Vec<ServiceHave> {
+    ) -> Vec<KnownServiceVersion> {
         let mut names = Vec::new();
         for (name, wanted) in &mut self.wanted {
             if now >= wanted.pending_until && due(name, now - wanted.since) {
@@ -123,7 +125,7 @@
     }
 
     /// Ends a request; services that the answer didn't bring up to date may be requested again.
-    pub fn end_request(&mut self, requested: &[ServiceHave]) {
+    pub fn end_request(&mut self, requested: &[KnownServiceVersion]) {
         for have in requested {
             if let Some(wanted) = self.wanted.get_mut(&have.service) {
                 wanted.pending_until = 0;
@@ -132,10 +134,10 @@
     }
 
     /// The version of a service to request updates from; none if a snapshot is needed.
-    pub fn have(&self, name: &CompactString) -> ServiceHave {
+    pub fn have(&self, name: &CompactString) -> KnownServiceVersion {
         let needs_snapshot = self.wanted.get(name).is_some_and(|wanted| wanted.needs_snapshot);
         let have = self.catalog.have(name);
-        ServiceHave { version: have.version.filter(|_| !needs_snapshot), ..have }
+        KnownServiceVersion { version: have.version.filter(|_| !needs_snapshot), ..have }
     }
 
     /// Applies updates from a registry or a home. Returns the services that have changed.
--- a/crates/discovery/src/service_list.rs
+++ b/crates/discovery/src/service_list.rs
@@ -2,7 +2,7 @@
 
 use crate::{Micros, MICROS_PER_MILLI};
 use compact_str::CompactString;
-use hingestage_rpc::workers::{ServiceNews, WorkerRecord, WorkersVersion};
+use hingestage_rpc::workers::{ServiceUpdateContent, WorkerRecord, WorkersVersion};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 /// Length of the change log; a follower further behind gets a snapshot.
@@ -143,7 +143,7 @@
     }
 
     /// Update for a follower at version `have`; `None` if it is up to date.
-    pub fn update_for(&self, now: Micros, have: Option<WorkersVersion>) -> Option<ServiceNews> {
+    pub fn update_for(&self, now: Micros, have: Option<WorkersVersion>) -> Option<ServiceUpdateContent> {
         if have.unwrap_or_default() >= self.version {
             return None;
         }
@@ -151,12 +151,12 @@
         Some(changes.unwrap_or_else(|| self.snapshot(now)))
     }
 
-    fn snapshot(&self, now: Micros) -> ServiceNews {
-        ServiceNews::Snapshot(self.workers.values().map(|listed| listed.record(now)).collect())
+    fn snapshot(&self, now: Micros) -> ServiceUpdateContent {
+        ServiceUpdateContent::Snapshot(self.workers.values().map(|listed| listed.record(now)).collect())
     }
 
     /// Changes since a version, if the log reaches back to it.
-    fn changes_since(&self, now: Micros, since: WorkersVersion) -> Option<ServiceNews> {
+    fn changes_since(&self, now: Micros, since: WorkersVersion) -> Option<ServiceUpdateContent> {
         let first = self.changes.iter().position(|change| change.since == since)?;
         let ids: BTreeSet<&CompactString> =
             self.changes.iter().skip(first).flat_map(|change| &change.ids).collect();
@@ -168,23 +168,28 @@
                 None => removed.push(id.clone()),
             }
         }
-        Some(ServiceNews::Changes { since, listed, removed })
+        Some(ServiceUpdateContent::Changes { since, listed, removed })
     }
 
     /// Applies an update from another process.
-    pub fn apply(&mut self, now: Micros, version: WorkersVersion, news: ServiceNews) -> UpdateOutcome {
+    pub fn apply(
+        &mut self,
+        now: Micros,
+        version: WorkersVersion,
+        news: ServiceUpdateContent,
+    ) -> UpdateOutcome {
         if version <= self.version {
             return UpdateOutcome::Stale;
         }
         match news {
-            ServiceNews::Snapshot(records) => {
+            ServiceUpdateContent::Snapshot(records) => {
                 let listed =
                     records.into_iter().map(|record| (record.id.clone(), ListedWorker::new(now, record)));
                 self.replace(version, listed.collect());
                 UpdateOutcome::Applied
             }
-            ServiceNews::Changes { since, .. } if since != self.version => UpdateOutcome::Gap,
-            ServiceNews::Changes { listed, removed, .. } => {
+            ServiceUpdateContent::Changes { since, .. } if since != self.version => UpdateOutcome::Gap,
+            ServiceUpdateContent::Changes { listed, removed, .. } => {
                 let ids = removed.iter().chain(listed.iter().map(|record| &record.id)).cloned().collect();
                 for id in &removed {
                     self.workers.remove(id);
--- a/crates/discovery/tests/following.rs
+++ b/crates/discovery/tests/following.rs
@@ -3,7 +3,7 @@
 use compact_str::CompactString;
 use hingestage_discovery::{Catalog, Follower, CHANGE_LOG_MAX};
 use hingestage_fixtures::{worker, workers_version as version};
-use hingestage_rpc::workers::{ServiceNews, WorkerRecord, WorkersVersion};
+use hingestage_rpc::workers::{ServiceUpdateContent, WorkerRecord, WorkersVersion};
 use proptest::prelude::*;
 
 const S: u64 = 1_000_000;
@@ -38,8 +38,9 @@
     assert_eq!(follower.catalog().version(), version(1), "announced, not applied");
     let asked = follower.next_requests(S, 2 * S, |_, _| true);
     let updates = source.updates_for(S, &asked);
-    let change = ServiceNews::Changes { since: version(1), listed: vec![leaving], removed: Vec::new() };
-    assert_eq!(updates[0].news, change);
+    let change =
+        ServiceUpdateContent::Changes { since: version(1), listed: vec![leaving], removed: Vec::new() };
+    assert_eq!(updates[0].content, change);
     assert_eq!(follower.apply_updates(S, updates), ["a"]);
     assert_eq!(follower.catalog().version(), version(3));
 }
@@ -54,11 +55,11 @@
         source.apply_list(S, version(1 + number), vec![worker(&format!("a{number}"), "a")]);
     }
     let have = [follower.have(&"a".into())];
-    let within = source.updates_for(S, &have).remove(0).news;
-    assert!(matches!(within, ServiceNews::Changes { .. }), "the oldest logged change: {within:?}");
+    let within = source.updates_for(S, &have).remove(0).content;
+    assert!(matches!(within, ServiceUpdateContent::Changes { .. }), "the oldest logged change: {within:?}");
     source.apply_list(S, version(90), vec![worker("a90", "a")]);
-    let beyond = source.updates_for(S, &have).remove(0).news;
-    assert_eq!(beyond, ServiceNews::Snapshot(vec![worker("a90", "a")]));
+    let beyond = source.updates_for(S, &have).remove(0).content;
+    assert_eq!(beyond, ServiceUpdateContent::Snapshot(vec![worker("a90", "a")]));
     catch_up(&mut follower, S, &source);
     assert_eq!(ids(follower.catalog()), ["a90"]);
 }
@@ -141,7 +142,7 @@
     let mut last = Follower::default();
     // Each process has a clock of its own.
     let of_relay = relay.catalog().updates_for(4 * S, &[last.have(&"a".into())]);
-    let ServiceNews::Snapshot(records) = &of_relay[0].news else { panic!("{of_relay:?}") };
+    let ServiceUpdateContent::Snapshot(records) = &of_relay[0].content else { panic!("{of_relay:?}") };
     assert_eq!(records[0].cold_left, 2_000);
     last.apply_updates(100 * S, of_relay);
     let until = last.catalog().workers().next().and_then(|listed| listed.cold_until);
--- a/crates/form/src/lib.rs
+++ b/crates/form/src/lib.rs
@@ -14,7 +14,7 @@
 const FILE_BYTES_MAX: usize = 1 << 20;
 
 /// A parsed file.
-pub struct Text(Datum);
+pub struct Document(Datum);
 
 /// An expression and its position.
 #[derive(Clone, Copy)]
@@ -27,7 +27,7 @@
 }
 
 /// Parses a text as a list of sections.
-pub fn read(text: &str) -> Result<Text, String> {
+pub fn read(text: &str) -> Result<Document, String> {
     if text.len() > FILE_BYTES_MAX {
         return Err(format!(" larger than {FILE_BYTES_MAX} bytes"));
     }
@@ -38,7 +38,7 @@
         Some(at) => format!("{}:{}: {e}", at.line().saturating_sub(1), at.column()),
         None => format!(" {e}"),
     })?;
-    Ok(Text(datum))
+    Ok(Document(datum))
 }
 
 /// Rejects deeply nested text before parsing, because the parser is recursive.
@@ -70,7 +70,7 @@
 
 /// Iterates over fields as key, qualified name (`section.field`) and expression. Reports a repeated field as an error
 /// unless it is listed in `repeatable`.
-pub fn once<'f, 'a>(
+pub fn unique_fields<'f, 'a>(
     fields: &'f [Form<'a>],
     section: &'static str,
     repeatable: &'static [&str],
@@ -86,9 +86,9 @@
     })
 }
 
-impl Text {
+impl Document {
     /// The only section, which must have the given name.
-    pub fn sole(&self, name: &str) -> Result<Form<'_>, String> {
+    pub fn only_section(&self, name: &str) -> Result<Form<'_>, String> {
         let sections = self.items()?;
         let [section] = sections.as_slice() else {
             return Err(format!(" field `{name}`: one is wanted, {} are given", sections.len()));
@@ -107,14 +107,14 @@
 
 impl<'a> Form<'a> {
     /// Line and column of its start, counted from 1.
-    pub fn place(&self) -> (usize, usize) {
+    pub fn position(&self) -> (usize, usize) {
         let start = self.0.span().start();
         (start.line().saturating_sub(1), start.column() + 1)
     }
 
     /// Formats an error about a field with the position of this expression.
     pub fn error(&self, field: &str, what: &str) -> String {
-        let (line, column) = self.place();
+        let (line, column) = self.position();
         format!("{line}:{column}: field `{field}`: {what}")
     }
 
@@ -135,13 +135,13 @@
     }
 
     /// The elements after the leading symbol.
-    pub fn rest(&self) -> Result<Vec<Form<'a>>, String> {
+    pub fn arguments(&self) -> Result<Vec<Form<'a>>, String> {
         Ok(self.items()?.split_off(1))
     }
 
     /// The only element after the leading symbol.
-    pub fn one(&self, field: &str) -> Result<Form<'a>, String> {
-        match self.rest()?.as_slice() {
+    pub fn only_argument(&self, field: &str) -> Result<Form<'a>, String> {
+        match self.arguments()?.as_slice() {
             [one] => Ok(*one),
             other => Err(self.error(field, &format!("one value is wanted, {} are given", other.len()))),
         }
@@ -166,7 +166,7 @@
     }
 
     /// An integer within inclusive bounds.
-    pub fn whole(&self, field: &str, min: f64, max: f64) -> Result<u64, String> {
+    pub fn integer(&self, field: &str, min: f64, max: f64) -> Result<u64, String> {
         let number = self.number(field, min, max)?;
         match number.fract() == 0.0 {
             true => Ok(number as u64),
--- a/crates/gateway/src/fleet.rs
+++ b/crates/gateway/src/fleet.rs
@@ -66,7 +66,7 @@
         // A lease outlasts the pause between two marks on the roll, which grows with the fleet.
         let scale = roll.as_ref().map_or(1, |roll| roll.slot().div_ceil(1_000_000).max(1));
         let votes = figures.counter_votes.unwrap_or(gateways / 2);
-        let absent = micros(figures.absent) * scale;
+        let absent = micros(figures.absent_after) * scale;
         let lease = Lease::new(
             me,
             hingestage_shares::LeaseConfig {
@@ -74,8 +74,8 @@
                 counter_votes: if roll.is_some() { votes } else { 0 },
                 lease: micros(figures.lease) * scale,
                 absence_timeout: absent,
-                warm_up: micros(figures.settles) * scale,
-                reserved_fraction: figures.kept,
+                warm_up: micros(figures.warm_up) * scale,
+                reserved_fraction: figures.reserved_fraction,
             },
         );
         let table = Table::new(me, now, gateways, absent);
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -102,7 +102,7 @@
     let book = Book::new(sources(config.srv.as_ref()));
     let follower = config.srv.clone().map(|srv| follow_name(&driver, &server, &book, srv, config.seed));
     follower.iter().for_each(|follower| admin.iter().for_each(|admin| admin.show(follower.clone())));
-    let listed = config.srv.as_ref().is_none_or(|srv| srv.beside_list);
+    let listed = config.srv.as_ref().is_none_or(|srv| srv.use_discovery_list);
     let watcher = listed.then(|| {
         book.apply(&driver, &config.known, ListScope::Cached);
         Watcher::start(driver.clone(), book.clone(), config.discovery, config.known.rev, {
@@ -261,7 +261,7 @@
             driver.platform.log(format_args!("configuration read again"));
             sources.watcher.iter().for_each(|watcher| watcher.go_to(config.discovery));
             match (&sources.follower, config.srv) {
-                (Some(follower), Some(srv)) if srv.beside_list == sources.watcher.is_some() => {
+                (Some(follower), Some(srv)) if srv.use_discovery_list == sources.watcher.is_some() => {
                     sources.book.go_by(self::sources(Some(&srv)));
                     follower.go_by(srv.settings);
                 }
--- a/crates/gateway/src/srv.rs
+++ b/crates/gateway/src/srv.rs
@@ -72,7 +72,7 @@
 
     /// Asks now, for an operator. With `accept` the answer is believed whatever it lacks.
     pub fn ask_now(self: &Rc<Self>, accept: bool) {
-        self.step(|service, now, out| service.ask_now(accept, now, out));
+        self.step(|service, now, out| service.refresh_now(accept, now, out));
     }
 
     /// A worker was not where a record says.
@@ -91,8 +91,8 @@
         let service = self.service.borrow();
         let counts = service.counts();
         SrvFigures {
-            standing: service.standing().word(),
-            believed: service.believed().len(),
+            standing: service.state().as_str(),
+            believed: service.endpoints().len(),
             asked: counts.asked,
             over_tcp: counts.tcp,
             timeouts: counts.timeouts,
@@ -108,7 +108,7 @@
     async fn run(self: Rc<Self>) {
         loop {
             self.step(Service::tick);
-            let own = self.service.borrow().wake();
+            let own = self.service.borrow().next_wakeup();
             let own = own.map(|at| Duration::from_micros(at.saturating_sub(self.now())));
             let waits = own.into_iter().chain(self.hears.lapse()).min();
             // Never twice in one instant: whatever is due then was done just now.
@@ -138,7 +138,7 @@
                     };
                     if let Err(e) = done {
                         let what = e.to_string();
-                        follower.tell(life, |service, now, out| service.broke(number, &what, now, out));
+                        follower.tell(life, |service, now, out| service.on_failure(number, &what, now, out));
                     }
                 });
                 self.asks.borrow_mut().insert(number, task);
@@ -146,8 +146,8 @@
             Action::Forget(ask) => {
                 self.asks.borrow_mut().remove(&ask).into_iter().for_each(|task| task.abort());
             }
-            Action::Believe(endpoints) => self.hears.believe(&endpoints),
-            Action::Note(what) => self.platform.log(format_args!("srv: {what}")),
+            Action::SetEndpoints(endpoints) => self.hears.believe(&endpoints),
+            Action::Log(what) => self.platform.log(format_args!("srv: {what}")),
         }
     }
 
@@ -191,6 +191,6 @@
     }
 
     fn heard(self: &Rc<Self>, ask: &Ask, life: u64, bytes: &[u8]) {
-        self.tell(life, |service, now, out| service.heard(ask.number, bytes, now, out));
+        self.tell(life, |service, now, out| service.on_response(ask.number, bytes, now, out));
     }
 }
--- a/crates/keep/src/config.rs
+++ b/crates/keep/src/config.rs
@@ -2,7 +2,7 @@
 
 use hingestage_change::fields::{address, keepers, number};
 use hingestage_change::keeper::Figures;
-use hingestage_form::{once, Form};
+use hingestage_form::{unique_fields, Form};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -45,9 +45,9 @@
     /// One message that names the field and its place.
     pub fn parse(text: &str) -> Result<Config, String> {
         let whole = hingestage_form::read(text)?;
-        let section = &whole.sole("keeper")?;
+        let section = &whole.only_section("keeper")?;
         let mut read = Read::default();
-        for field in once(&section.rest()?, "keeper", &[]) {
+        for field in unique_fields(&section.arguments()?, "keeper", &[]) {
             let (head, name, field) = field?;
             read.field(&field, &head, &name)?;
         }
@@ -76,13 +76,13 @@
 impl Read {
     fn field(&mut self, field: &Form, head: &str, name: &str) -> Result<(), String> {
         match head {
-            "number" => self.number = Some(number(&field.one(name)?, name)?),
-            "listen" => self.listen = Some(address(&field.one(name)?, name)?),
-            "folder" => self.folder = Some(field.one(name)?.text(name)?.into()),
-            "first" => self.first = Some(field.one(name)?.text(name)?.into()),
+            "number" => self.number = Some(number(&field.only_argument(name)?, name)?),
+            "listen" => self.listen = Some(address(&field.only_argument(name)?, name)?),
+            "folder" => self.folder = Some(field.only_argument(name)?.text(name)?.into()),
+            "first" => self.first = Some(field.only_argument(name)?.text(name)?.into()),
             "keepers" => self.keepers = keepers(field, name)?,
             "heartbeat" => {
-                let seconds = field.one(name)?.number(name, HEARTBEAT.0, HEARTBEAT.1)?;
+                let seconds = field.only_argument(name)?.number(name, HEARTBEAT.0, HEARTBEAT.1)?;
                 self.heartbeat = Duration::from_secs_f64(seconds);
             }
             _ if self.figures.field(field, head, name)? => {}
--- a/crates/lab/src/lib.rs
+++ b/crates/lab/src/lib.rs
@@ -153,7 +153,7 @@
         lifetimes: (LIFETIME.as_secs() * SECOND, LIFETIME.as_secs() * SECOND),
         ..settings
     };
-    Ok(Srv { settings, beside_list: false, cold_at_start: false })
+    Ok(Srv { settings, use_discovery_list: false, cold_at_start: false })
 }
 
 /// On a terminal each table takes the place of the one before.
--- a/crates/operator/src/fleet.rs
+++ b/crates/operator/src/fleet.rs
@@ -1,6 +1,6 @@
 //! Section `fleet` of the operator file: membership of gateways and use of the shares of absent ones.
 
-use hingestage_form::{once, Form};
+use hingestage_form::{unique_fields, Form};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -24,13 +24,13 @@
     /// Votes of the counter; half the number of gateways if not set.
     pub counter_votes: Option<u32>,
     /// Fraction of its share that a gateway may always use.
-    pub kept: f64,
+    pub reserved_fraction: f64,
     /// How long a contact with another gateway remains valid.
     pub lease: Duration,
     /// Time without contact after which a gateway counts as absent.
-    pub absent: Duration,
+    pub absent_after: Duration,
     /// Time after which a new contact counts.
-    pub settles: Duration,
+    pub warm_up: Duration,
     /// Whether gateways take turns in querying the counter.
     pub turns: bool,
 }
@@ -41,28 +41,33 @@
         peers: BTreeMap::new(),
         roll_call: false,
         counter_votes: None,
-        kept: 0.5,
+        reserved_fraction: 0.5,
         lease: Duration::from_millis(1_800),
-        absent: Duration::from_secs(2),
-        settles: Duration::from_secs(2),
+        absent_after: Duration::from_secs(2),
+        warm_up: Duration::from_secs(2),
         turns: false,
     };
-    for field in once(&section.rest()?, "fleet", &["peer"]) {
+    for field in unique_fields(&section.arguments()?, "fleet", &["peer"]) {
         let (head, name, field) = field?;
         let duration = || -> Result<Duration, String> {
-            Ok(Duration::from_secs_f64(field.one(&name)?.number(&name, 0.1, DURATION_SECONDS_MAX)?))
+            Ok(Duration::from_secs_f64(field.only_argument(&name)?.number(
+                &name,
+                0.1,
+                DURATION_SECONDS_MAX,
+            )?))
         };
         match head.as_str() {
             "peer" => peer(&mut fleet, &field, &name)?,
-            "roll-call" => fleet.roll_call = field.one(&name)?.flag(&name)?,
+            "roll-call" => fleet.roll_call = field.only_argument(&name)?.flag(&name)?,
             "counter-votes" => {
-                fleet.counter_votes = Some(field.one(&name)?.whole(&name, 0.0, COUNTER_VOTES_MAX)? as u32)
+                fleet.counter_votes =
+                    Some(field.only_argument(&name)?.integer(&name, 0.0, COUNTER_VOTES_MAX)? as u32)
             }
-            "kept" => fleet.kept = field.one(&name)?.number(&name, 0.0, 0.5)?,
+            "kept" => fleet.reserved_fraction = field.only_argument(&name)?.number(&name, 0.0, 0.5)?,
             "lease" => fleet.lease = duration()?,
-            "absent" => fleet.absent = duration()?,
-            "settles" => fleet.settles = duration()?,
-            "turns" => fleet.turns = field.one(&name)?.flag(&name)?,
+            "absent" => fleet.absent_after = duration()?,
+            "settles" => fleet.warm_up = duration()?,
+            "turns" => fleet.turns = field.only_argument(&name)?.flag(&name)?,
             _ => return Err(field.error(&name, "no such field")),
         }
     }
@@ -70,7 +75,7 @@
         return Err(section.error("fleet.turns", "no `peer` is given to take turns with"));
     }
     let min = fleet.lease.mul_f64(CLOCK_DRIFT_MARGIN);
-    for (name, given) in [("absent", fleet.absent), ("settles", fleet.settles)] {
+    for (name, given) in [("absent", fleet.absent_after), ("settles", fleet.warm_up)] {
         if given < min {
             let what =
                 format!("must be a hundredth longer than the lease of {} s", fleet.lease.as_secs_f64());
@@ -81,11 +86,11 @@
 }
 
 fn peer(fleet: &mut Fleet, field: &Form, name: &str) -> Result<(), String> {
-    let rest = field.rest()?;
+    let rest = field.arguments()?;
     let [number, at] = rest.as_slice() else {
         return Err(field.error(name, "a number and an address are wanted"));
     };
-    let number = number.whole(name, 0.0, GATEWAYS_MAX - 1.0)? as u32;
+    let number = number.integer(name, 0.0, GATEWAYS_MAX - 1.0)? as u32;
     let text = at.text(name)?;
     let at: Option<SocketAddr> = text.parse().ok().filter(|at: &SocketAddr| at.port() > 0);
     let at = at.ok_or_else(|| field.error(name, &format!("`{text}` is no address with a port")))?;
@@ -108,7 +113,7 @@
         assert_eq!((fleet.peers.len(), fleet.roll_call, fleet.counter_votes), (2, true, Some(3)));
         assert!(fleet.turns);
         assert_eq!(
-            (fleet.kept, fleet.lease, fleet.settles),
+            (fleet.reserved_fraction, fleet.lease, fleet.warm_up),
             (0.4, Duration::from_secs(3), Duration::from_secs(5))
         );
         assert!(Operator::parse("(fleet)").unwrap().fleet.is_some());
--- a/crates/operator/src/policy.rs
+++ b/crates/operator/src/policy.rs
@@ -2,7 +2,7 @@
 
 use hingestage_change::fields::{keepers, NAME_MAX};
 use hingestage_change::keeper::{Figures, Mode};
-use hingestage_form::{once, Form};
+use hingestage_form::{unique_fields, Form};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
@@ -22,13 +22,13 @@
 /// Reads the section.
 pub fn read(section: &Form) -> Result<Policy, String> {
     let (mut addresses, mut own_name, mut mode, mut figures) = (None, None, Mode::Stop, Figures::usual());
-    for field in once(&section.rest()?, "policy", &[]) {
+    for field in unique_fields(&section.arguments()?, "policy", &[]) {
         let (head, name, field) = field?;
         match head.as_str() {
             "keepers" => addresses = Some(keepers(&field, &name)?),
             "name" => own_name = Some(self::name(&field, &name)?),
             "mode" => {
-                let one = field.one(&name)?;
+                let one = field.only_argument(&name)?;
                 mode = match one.text(&name)? {
                     "stop" => Mode::Stop,
                     "serve" => Mode::Serve,
@@ -46,7 +46,7 @@
 }
 
 fn name(field: &Form, name: &str) -> Result<String, String> {
-    let one = field.one(name)?;
+    let one = field.only_argument(name)?;
     match one.text(name)? {
         text if (1..=NAME_MAX).contains(&text.len()) => Ok(text.to_owned()),
         text => Err(one.error(name, &format!("a name of {} bytes; 1 to {NAME_MAX} are wanted", text.len()))),
--- a/crates/operator/src/srv.rs
+++ b/crates/operator/src/srv.rs
@@ -1,6 +1,6 @@
 //! Section `srv` of the operator file: worker discovery through DNS.
 
-use hingestage_form::{once, Form};
+use hingestage_form::{unique_fields, Form};
 use hingestage_srv::{Addresses, Micros, SrvSettings, SECOND};
 use std::net::SocketAddr;
 
@@ -15,23 +15,23 @@
     /// The SRV name and how it is followed.
     pub settings: SrvSettings,
     /// Whether workers from the discovery list are used as well.
-    pub beside_list: bool,
+    pub use_discovery_list: bool,
     /// Whether workers in the first response start cold.
     pub cold_at_start: bool,
 }
 
 /// Reads the section.
 pub fn read(section: &Form) -> Result<Srv, String> {
-    let fields = section.rest()?;
-    once(&fields, "srv", &[]).try_for_each(|field| field.map(drop))?;
+    let fields = section.arguments()?;
+    unique_fields(&fields, "srv", &[]).try_for_each(|field| field.map(drop))?;
     let named = |name: &str| fields.iter().find(|field| field.head().is_ok_and(|head| head == name));
     let missing = |name: &str| section.error(&format!("srv.{name}"), "missing");
     let name = named("name").ok_or_else(|| missing("name"))?;
     let servers = named("servers").ok_or_else(|| missing("servers"))?;
-    let text = name.one("srv.name")?;
+    let text = name.only_argument("srv.name")?;
     let settings = SrvSettings::new(text.text("srv.name")?, self::servers(servers)?);
     let settings = settings.map_err(|e| text.error("srv.name", &e))?;
-    let mut srv = Srv { settings, beside_list: false, cold_at_start: true };
+    let mut srv = Srv { settings, use_discovery_list: false, cold_at_start: true };
     for field in &fields {
         read_field(&mut srv, field)?;
     }
@@ -46,13 +46,13 @@
         "name" | "servers" => {}
         "networks" => {
             let one = |form: &Form| form.text(&name)?.parse().map_err(|e: String| form.error(&name, &e));
-            settings.networks = field.rest()?.iter().map(one).collect::<Result<_, String>>()?;
+            settings.networks = field.arguments()?.iter().map(one).collect::<Result<_, String>>()?;
             if settings.networks.is_empty() {
                 return Err(field.error(&name, "names none"));
             }
         }
         "addresses" => {
-            let one = field.one(&name)?;
+            let one = field.only_argument(&name)?;
             settings.addresses = match one.text(&name)? {
                 "ipv4" => Addresses::V4,
                 "ipv6" => Addresses::V6,
@@ -62,15 +62,21 @@
         }
         "lifetimes" => settings.lifetimes = duration_range(field, &name)?,
         "retry" => settings.retry = duration_range(field, &name)?,
-        "timeout" => settings.timeout = duration(&field.one(&name)?, &name, 0.05, 30.0)?,
-        "stale-for" => settings.stale_for = duration(&field.one(&name)?, &name, 0.0, DURATION_SECONDS_MAX)?,
-        "shrink-to" => settings.shrink_to = field.one(&name)?.number(&name, 0.0, 1.0)?,
-        "shrink-for" => settings.shrink_for = duration(&field.one(&name)?, &name, 0.0, DURATION_SECONDS_MAX)?,
-        "grace" => settings.grace = duration(&field.one(&name)?, &name, 0.0, 3_600.0)?,
-        "questions-per-second" => settings.questions = field.one(&name)?.number(&name, 0.1, 10_000.0)?,
-        "beside-list" => srv.beside_list = field.one(&name)?.flag(&name)?,
+        "timeout" => settings.timeout = duration(&field.only_argument(&name)?, &name, 0.05, 30.0)?,
+        "stale-for" => {
+            settings.stale_for = duration(&field.only_argument(&name)?, &name, 0.0, DURATION_SECONDS_MAX)?
+        }
+        "shrink-to" => settings.shrink_to = field.only_argument(&name)?.number(&name, 0.0, 1.0)?,
+        "shrink-for" => {
+            settings.shrink_for = duration(&field.only_argument(&name)?, &name, 0.0, DURATION_SECONDS_MAX)?
+        }
+        "grace" => settings.grace = duration(&field.only_argument(&name)?, &name, 0.0, 3_600.0)?,
+        "questions-per-second" => {
+            settings.questions = field.only_argument(&name)?.number(&name, 0.1, 10_000.0)?
+        }
+        "beside-list" => srv.use_discovery_list = field.only_argument(&name)?.flag(&name)?,
         "at-start" => {
-            let one = field.one(&name)?;
+            let one = field.only_argument(&name)?;
             srv.cold_at_start = match one.text(&name)? {
                 "cold" => true,
                 "warm" => false,
@@ -89,7 +95,7 @@
         let at = at.ok().filter(|at| at.port() > 0 && !at.ip().is_unspecified());
         at.ok_or_else(|| form.error("srv.servers", &format!("`{text}` is no address with a port")))
     };
-    let servers = field.rest()?.iter().map(one).collect::<Result<Vec<_>, _>>()?;
+    let servers = field.arguments()?.iter().map(one).collect::<Result<Vec<_>, _>>()?;
     match servers.len() {
         0 => Err(field.error("srv.servers", "names none")),
         n if n > SERVERS_MAX => {
@@ -106,7 +112,7 @@
 
 /// Reads the minimum and maximum of a duration.
 fn duration_range(field: &Form, name: &str) -> Result<(Micros, Micros), String> {
-    match field.rest()?.as_slice() {
+    match field.arguments()?.as_slice() {
         [min, max] => {
             let range = (
                 duration(min, name, 0.1, DURATION_SECONDS_MAX)?,
--- a/crates/proxy/src/admission.rs
+++ b/crates/proxy/src/admission.rs
@@ -303,10 +303,10 @@
 /// Maps a quota's refusal reason to the outcome that operators see.
 fn quota_outcome(reason: RefusalReason) -> RequestOutcome {
     match reason {
-        RefusalReason::PenaltyBox => RequestOutcome::QuotaPenaltyBox,
-        RefusalReason::OpenCap => RequestOutcome::QuotaOpenCap,
+        RefusalReason::PenaltyBox => RequestOutcome::QuotaPenalty,
+        RefusalReason::OpenCap => RequestOutcome::QuotaConcurrency,
         RefusalReason::NoLease => RequestOutcome::QuotaNoLease,
-        RefusalReason::HardBound => RequestOutcome::QuotaUsedUp,
+        RefusalReason::HardBound => RequestOutcome::QuotaExhausted,
     }
 }
 
--- a/crates/proxy/src/attempts.rs
+++ b/crates/proxy/src/attempts.rs
@@ -80,7 +80,7 @@
     match outcome {
         Outcome::Ok => AttemptOutcome::Served,
         Outcome::Error => AttemptOutcome::Error,
-        Outcome::Full => AttemptOutcome::TurnedAway,
+        Outcome::Full => AttemptOutcome::Rejected,
         Outcome::Timeout => AttemptOutcome::TimedOut,
         Outcome::ConnectFailed => AttemptOutcome::ConnectFailed,
         Outcome::Reset => AttemptOutcome::Reset,
--- a/crates/proxy/src/control.rs
+++ b/crates/proxy/src/control.rs
@@ -5,9 +5,9 @@
 use hingestage_node::settings::InnerPort;
 use hingestage_node::SettingsFile;
 use hingestage_replication::Micros;
-use hingestage_rpc::messages::{ConfigVersion, Have, RegistryAnswer, RegistryRequest, Watched};
+use hingestage_rpc::messages::{ConfigVersion, KnownVersions, RegistryAnswer, RegistryRequest, Watched};
 use hingestage_rpc::trials::TrialRevision;
-use hingestage_rpc::workers::ServiceHave;
+use hingestage_rpc::workers::KnownServiceVersion;
 use hingestage_rpc::Client;
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -71,7 +71,7 @@
     let mut directory = 0;
     let mut trials = TrialRevision::default();
     loop {
-        let have = Have { directory, trials, ..proxy.view.borrow().have() };
+        let have = KnownVersions { directory, trials, ..proxy.view.borrow().have() };
         let asked_at = proxy.now();
         let nearby = proxy.is_nearby(registry.addr());
         let nearby_answers = asked_at < proxy.nearby_answered_at.get() + NEARBY_TIMEOUT;
@@ -146,7 +146,7 @@
     proxy: &Proxy,
     registry: &Registry,
     due: impl Fn(&str, Micros) -> bool,
-) -> Vec<ServiceHave> {
+) -> Vec<KnownServiceVersion> {
     let now = proxy.now();
     let until = now + SERVICES_HEDGE_DELAY.as_micros() as Micros;
     let asked =
--- a/crates/proxy/src/relay.rs
+++ b/crates/proxy/src/relay.rs
@@ -9,7 +9,7 @@
 use hingestage_replication::Micros;
 use hingestage_rpc::messages::{ConfigTransfer, ConfigVersion, ProxyStatus};
 use hingestage_rpc::status::{ProxyAnswer, ProxyRequest};
-use hingestage_rpc::workers::{ServiceHave, ServiceUpdate};
+use hingestage_rpc::workers::{KnownServiceVersion, ServiceUpdate};
 use hingestage_rpc::Client;
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet};
@@ -179,7 +179,7 @@
 
 impl Proxy {
     /// Returns the services that another proxy is the home of, with the versions held here.
-    fn services_followed_at(&self, peer: &PeerProxy) -> Vec<ServiceHave> {
+    fn services_followed_at(&self, peer: &PeerProxy) -> Vec<KnownServiceVersion> {
         let now = self.now();
         let homes = self.relay.homes.borrow();
         let view = self.view.borrow();
@@ -188,7 +188,11 @@
     }
 
     /// Returns updates of services for another proxy; waits until there are any or the wait is over.
-    pub(crate) async fn service_updates(&self, have: Vec<ServiceHave>, wait: Duration) -> Vec<ServiceUpdate> {
+    pub(crate) async fn service_updates(
+        &self,
+        have: Vec<KnownServiceVersion>,
+        wait: Duration,
+    ) -> Vec<ServiceUpdate> {
         let until = tokio::time::Instant::now() + wait.min(FOLLOW_WAIT);
         loop {
             let changed = self.relay.updated.notified();
--- a/crates/proxy/src/view.rs
+++ b/crates/proxy/src/view.rs
@@ -5,8 +5,8 @@
 use hingestage_discovery::{Follower, ListedWorker};
 use hingestage_quota::EvenShare;
 use hingestage_replication::{Freshness, Micros};
-use hingestage_rpc::messages::{ConfigDocument, ConfigVersion, Have, ProxyStatus, ZoneDrains};
-use hingestage_rpc::trials::{TrialNews, TrialRevision};
+use hingestage_rpc::messages::{ConfigDocument, ConfigVersion, KnownVersions, ProxyStatus, ZoneDrains};
+use hingestage_rpc::trials::{TrialRevision, TrialUpdate};
 use hingestage_rpc::workers::{WorkerRecord, WorkersVersion};
 use hingestage_trial::{TrialDecision, TrialTracker};
 use std::collections::BTreeMap;
@@ -113,8 +113,8 @@
     }
 
     /// Versions of the data held here, as sent to registries.
-    pub fn have(&self) -> Have {
-        Have {
+    pub fn have(&self) -> KnownVersions {
+        KnownVersions {
             config: self.config_version(),
             drains: self.drains.clone(),
             workers: self.workers.announced_version(),
@@ -166,7 +166,7 @@
     }
 
     /// Applies trial updates from a registry's answer that was received at `received_at`.
-    pub fn apply_trials(&mut self, received_at: Micros, updates: Vec<TrialNews>) {
+    pub fn apply_trials(&mut self, received_at: Micros, updates: Vec<TrialUpdate>) {
         self.trials.apply_updates(received_at, updates);
     }
 
--- a/crates/proxy/tests/operator_calls.rs
+++ b/crates/proxy/tests/operator_calls.rs
@@ -5,12 +5,12 @@
 use hingestage_node::Settings;
 use hingestage_proxy::server;
 use hingestage_rpc::messages::{
-    ConfigDocument, ConfigTransfer, Have, RegistryAnswer, RegistryRequest, Watched, ZoneDrain,
+    ConfigDocument, ConfigTransfer, KnownVersions, RegistryAnswer, RegistryRequest, Watched, ZoneDrain,
 };
 use hingestage_rpc::status::{
     AttemptOutcome, Explanation, KeyLease, ProxyAnswer, ProxyRequest, ProxyState, RequestOutcome, WorkerGroup,
 };
-use hingestage_rpc::workers::{ServiceIndex, ServiceNews, ServiceUpdate, WorkerRecord};
+use hingestage_rpc::workers::{ServiceIndex, ServiceUpdate, ServiceUpdateContent, WorkerRecord};
 use hingestage_rpc::{serve, Client, Handler};
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -52,22 +52,22 @@
                 RegistryAnswer::Config(Some(ConfigTransfer::new(&Self::document(), None)))
             }
             RegistryRequest::FetchServices(_) => {
-                let news = ServiceNews::Snapshot(vec![self.worker()]);
+                let news = ServiceUpdateContent::Snapshot(vec![self.worker()]);
                 RegistryAnswer::Services(vec![ServiceUpdate {
                     service: "blue".into(),
                     version: workers_version(1),
-                    news,
+                    content: news,
                 }])
             }
             RegistryRequest::Watch { have, .. } if have.config.is_none() => {
                 let drain = ZoneDrain { order: 1, drained: true };
-                let have = Have {
+                let have = KnownVersions {
                     config: Some(Self::document().version),
                     drains: [("south-1".into(), drain)].into(),
                     workers: workers_version(1),
                     workers_seen: workers_version(1),
                     directory: 0,
-                    ..Have::default()
+                    ..KnownVersions::default()
                 };
                 let fresh_age = self.fresh.then_some(0);
                 RegistryAnswer::Watched(Box::new(Watched {
--- a/crates/proxy/tests/relay.rs
+++ b/crates/proxy/tests/relay.rs
@@ -7,11 +7,13 @@
 use hingestage_node::Settings;
 use hingestage_proxy::server;
 use hingestage_rpc::messages::{
-    ConfigDocument, ConfigTransfer, ConfigVersion, Have, ProxyStatus, RegistryAnswer, RegistryRequest,
-    Watched,
+    ConfigDocument, ConfigTransfer, ConfigVersion, KnownVersions, ProxyStatus, RegistryAnswer,
+    RegistryRequest, Watched,
 };
 use hingestage_rpc::status::{ProxyAnswer, ProxyRequest, ProxyState};
-use hingestage_rpc::workers::{ServiceHave, ServiceIndex, ServiceNews, ServiceUpdate, WorkerRecord};
+use hingestage_rpc::workers::{
+    KnownServiceVersion, ServiceIndex, ServiceUpdate, ServiceUpdateContent, WorkerRecord,
+};
 use hingestage_rpc::{serve, Client, Handler};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -64,11 +66,15 @@
         ServiceIndex { version, whole: false, services }
     }
 
-    fn update(&self, have: ServiceHave) -> ServiceUpdate {
+    fn update(&self, have: KnownServiceVersion) -> ServiceUpdate {
         let version = workers_version(self.number.get());
         let id = format_compact!("{}-{}", have.service, version.number);
         let worker = WorkerRecord { zone: "north-1".into(), ..worker(&id, &have.service) };
-        ServiceUpdate { service: have.service, version, news: ServiceNews::Snapshot(vec![worker]) }
+        ServiceUpdate {
+            service: have.service,
+            version,
+            content: ServiceUpdateContent::Snapshot(vec![worker]),
+        }
     }
 }
 
@@ -97,11 +103,11 @@
                     changed.await;
                 }
                 let config = Some(Self::document().version);
-                let have = Have {
+                let have = KnownVersions {
                     config,
                     workers: workers_version(self.number.get()),
                     directory: 1,
-                    ..Have::default()
+                    ..KnownVersions::default()
                 };
                 RegistryAnswer::Watched(Box::new(Watched {
                     have,
--- a/crates/proxy/tests/request_log.rs
+++ b/crates/proxy/tests/request_log.rs
@@ -50,14 +50,14 @@
     for outcome in RequestOutcome::ALL {
         counters.request_ended(&ALPHA, outcome);
     }
-    counters.request_ended(&ALPHA, RequestOutcome::QuotaUsedUp);
+    counters.request_ended(&ALPHA, RequestOutcome::QuotaExhausted);
     counters.request_ended(&ALPHA, RequestOutcome::Served);
     let of_kind = |kind| RequestOutcome::ALL.iter().filter(|outcome| outcome.kind() == kind).count() as u64;
     let expected = TenantCounters {
         served: of_kind(OutcomeKind::Served) + 1,
         refused: of_kind(OutcomeKind::Refused) + 1,
         failed: of_kind(OutcomeKind::Failed),
-        last_refusal: Some(RequestOutcome::QuotaUsedUp),
+        last_refusal: Some(RequestOutcome::QuotaExhausted),
     };
     assert_eq!(counters.tenant("alpha"), Some(&expected));
     assert_eq!(counters.tenant("beta"), None);
--- a/crates/proxy/tests/view.rs
+++ b/crates/proxy/tests/view.rs
@@ -2,7 +2,7 @@
 
 use hingestage_proxy::view::{Usability, View, ViewSettings};
 use hingestage_rpc::messages::{ConfigDocument, ZoneDrain, ZoneDrains};
-use hingestage_rpc::workers::{ServiceNews, ServiceUpdate, WorkerRecord, WorkersVersion};
+use hingestage_rpc::workers::{ServiceUpdate, ServiceUpdateContent, WorkerRecord, WorkersVersion};
 
 /// Microseconds per second.
 const S: u64 = 1_000_000;
@@ -38,7 +38,7 @@
 /// A snapshot of the service's workers under a version.
 fn snapshot(fence: u64, number: u64, workers: &[WorkerRecord]) -> ServiceUpdate {
     let version = WorkersVersion { fence, reader: 1, number };
-    ServiceUpdate { service: "s".into(), version, news: ServiceNews::Snapshot(workers.to_vec()) }
+    ServiceUpdate { service: "s".into(), version, content: ServiceUpdateContent::Snapshot(workers.to_vec()) }
 }
 
 /// Applies an update. Returns whether it changed anything.
--- a/crates/registry/src/committed.rs
+++ b/crates/registry/src/committed.rs
@@ -3,7 +3,7 @@
 use crate::transfers::Transfers;
 use crate::trials::{TrialLog, NOTICE_PERIOD};
 use hingestage_replication::{Freshness, Micros};
-use hingestage_rpc::messages::{ConfigTransfer, ConfigVersion, Millis, ProxyNames, StoreNews, Summary};
+use hingestage_rpc::messages::{ConfigTransfer, ConfigVersion, Millis, ProxyNames, StoreUpdate, Summary};
 
 const MICROS_PER_MILLI: Micros = 1_000;
 /// Time without contact between the store and a majority after which no configuration is offered.
@@ -37,7 +37,7 @@
 
     /// Applies the store's answer to a request sent at `asked_at`. Returns whether state that proxies watch has
     /// changed.
-    pub fn apply(&mut self, now: Micros, asked_at: Micros, news: StoreNews) -> bool {
+    pub fn apply(&mut self, now: Micros, asked_at: Micros, news: StoreUpdate) -> bool {
         let drains_changed = news.summary.drains != self.summary.drains;
         let config_changed = news.config.is_some();
         if let Some(config) = news.config {
--- a/crates/registry/src/reader_election.rs
+++ b/crates/registry/src/reader_election.rs
@@ -124,7 +124,7 @@
         };
         self.fence = Some(fence);
         let first = WorkersVersion { fence, reader, number: 1 };
-        let number = if self.highest_seen.has_reader_of(&first) { self.highest_seen.number + 1 } else { 1 };
+        let number = if self.highest_seen.has_same_reader(&first) { self.highest_seen.number + 1 } else { 1 };
         Some(WorkersVersion { number, ..first })
     }
 
--- a/crates/registry/src/server.rs
+++ b/crates/registry/src/server.rs
@@ -12,7 +12,7 @@
 use hingestage_node::{incarnation, Settings, SettingsFile, Signals};
 use hingestage_replication::Micros;
 use hingestage_rpc::messages::{
-    Change, ConfigVersion, Have, ProcessId, Proposed, ProxyStatus, RegistryAddress, RegistryAnswer,
+    Change, ConfigVersion, KnownVersions, ProcessId, Proposed, ProxyStatus, RegistryAddress, RegistryAnswer,
     RegistryMember, RegistryRequest, StoreAnswer, StoreRequest, Watched, ZoneDrains,
 };
 use hingestage_rpc::workers::{ServiceIndex, WorkerRecord, WorkersVersion};
@@ -210,13 +210,13 @@
     async fn send_heartbeats(self: Rc<Self>, peer: Rc<Peer>) {
         loop {
             let now = self.now();
-            let request = RegistryRequest::Meet {
+            let request = RegistryRequest::Gossip {
                 from: self.election.borrow().local_member(now),
                 members: self.election.borrow().members(now),
                 workers: self.workers.borrow().announced_version(),
                 workers_seen: self.workers.borrow().seen_version(),
             };
-            if let Ok(RegistryAnswer::Met { from, members, workers }) =
+            if let Ok(RegistryAnswer::GossipReply { from, members, workers }) =
                 peer.call(&request, CALL_TIMEOUT).await
             {
                 self.record_peers(from, members);
@@ -277,9 +277,9 @@
     }
 
     /// Versions of the state that this registry offers to proxies of a zone.
-    pub(crate) fn have(&self, zone: &str) -> Have {
+    pub(crate) fn have(&self, zone: &str) -> KnownVersions {
         let committed = self.committed.borrow();
-        Have {
+        KnownVersions {
             config: committed.offered_version(self.now()),
             drains: committed.summary.drains.clone(),
             workers: self.workers.borrow().catalog().version(),
@@ -289,7 +289,12 @@
         }
     }
 
-    async fn watch(self: Rc<Self>, status: ProxyStatus, theirs: Have, wait: Duration) -> RegistryAnswer {
+    async fn watch(
+        self: Rc<Self>,
+        status: ProxyStatus,
+        theirs: KnownVersions,
+        wait: Duration,
+    ) -> RegistryAnswer {
         let until = self.now() + wait.as_micros() as Micros;
         let (name, zone) = (status.id.node.clone(), status.zone.clone());
         if self.directory.borrow_mut().heard(self.now(), status, wait.as_micros() as Micros) {
@@ -314,7 +319,14 @@
         }
     }
 
-    fn watched(&self, now: Micros, have: Have, theirs: &Have, name: &str, zone: &str) -> Watched {
+    fn watched(
+        &self,
+        now: Micros,
+        have: KnownVersions,
+        theirs: &KnownVersions,
+        name: &str,
+        zone: &str,
+    ) -> Watched {
         let config_bytes = if have.config > theirs.config { self.config_bytes(theirs.config) } else { 0 };
         let committed = self.committed.borrow();
         let other_directory = have.directory != theirs.directory;
@@ -380,11 +392,11 @@
             RegistryRequest::Watch { status, have, wait } => {
                 self.watch(status, have, Duration::from_millis(wait)).await
             }
-            RegistryRequest::Meet { from, members, workers, workers_seen } => {
+            RegistryRequest::Gossip { from, members, workers, workers_seen } => {
                 self.record_peers(from, members);
                 self.election.borrow_mut().observe_version(workers_seen);
                 let now = self.now();
-                RegistryAnswer::Met {
+                RegistryAnswer::GossipReply {
                     from: self.election.borrow().local_member(now),
                     members: self.election.borrow().members(now),
                     workers: self.workers.borrow().catalog().index_since(workers),
--- a/crates/registry/src/trials.rs
+++ b/crates/registry/src/trials.rs
@@ -2,7 +2,7 @@
 
 use compact_str::CompactString;
 use hingestage_replication::{signed, Micros};
-use hingestage_rpc::trials::{TrialNews, TrialRecord, TrialRevision, TrialStep};
+use hingestage_rpc::trials::{TrialRecord, TrialRevision, TrialStep, TrialUpdate};
 use hingestage_trial::{due_step, Terms};
 use std::collections::BTreeMap;
 
@@ -39,9 +39,9 @@
     }
 
     /// Applies updates from the store and returns whether any was new.
-    pub fn apply(&mut self, now: Micros, news: Vec<TrialNews>) -> bool {
+    pub fn apply(&mut self, now: Micros, news: Vec<TrialUpdate>) -> bool {
         let number = self.number + 1;
-        for TrialNews { record, age } in news {
+        for TrialUpdate { record, age } in news {
             let held = self.trials.get(&record.tenant);
             if held.is_some_and(|held| held.record.position >= record.position) {
                 continue;
@@ -68,10 +68,10 @@
     }
 
     /// Trials that a receiver at revision `theirs` lacks: all of them if that is of another incarnation.
-    pub fn updates_since(&self, now: Micros, theirs: TrialRevision) -> Vec<TrialNews> {
+    pub fn updates_since(&self, now: Micros, theirs: TrialRevision) -> Vec<TrialUpdate> {
         let known = if theirs.incarnation == self.incarnation { theirs.number } else { 0 };
         let newer = self.trials.values().filter(|trial| trial.number > known);
-        newer.map(|trial| TrialNews { record: trial.record.clone(), age: trial.age(now) }).collect()
+        newer.map(|trial| TrialUpdate { record: trial.record.clone(), age: trial.age(now) }).collect()
     }
 
     /// The trial of a tenant.
--- a/crates/registry/tests/http.rs
+++ b/crates/registry/tests/http.rs
@@ -3,7 +3,7 @@
 use hingestage_fixtures::{block_on, proxy_status};
 use hingestage_node::Settings;
 use hingestage_registry::server as registry;
-use hingestage_rpc::messages::{Have, RegistryAnswer, RegistryRequest, Watched};
+use hingestage_rpc::messages::{KnownVersions, RegistryAnswer, RegistryRequest, Watched};
 use hingestage_rpc::workers::WorkersVersion;
 use hingestage_rpc::Client;
 use std::future::Future;
@@ -272,7 +272,7 @@
     addr
 }
 
-async fn watch(client: &Client<RegistryRequest, RegistryAnswer>, have: &Have, wait: u64) -> Watched {
+async fn watch(client: &Client<RegistryRequest, RegistryAnswer>, have: &KnownVersions, wait: u64) -> Watched {
     let status = proxy_status("p", "zone-1", "x", ([10, 0, 0, 9], 80).into());
     let request = RegistryRequest::Watch { status, have: have.clone(), wait };
     match client.call(&request, CALL_TIMEOUT).await {
@@ -289,7 +289,7 @@
         drop(core.connect(ADMIN_PORT).await);
         let client = Client::new(SocketAddr::from((core.ip(1), FIRST_INNER_PORT)));
         let workers_seen = WorkersVersion { fence: 7, reader: 1, number: 300 };
-        let mut have = Have { workers_seen, ..Have::default() };
+        let mut have = KnownVersions { workers_seen, ..KnownVersions::default() };
         for _ in 0..CALLS_MAX {
             let news = watch(&client, &have, 1_000).await;
             if news.have.workers > workers_seen {
@@ -308,7 +308,8 @@
         drop(core.connect(ADMIN_PORT).await);
         let client = Client::new(SocketAddr::from((core.ip(1), FIRST_INNER_PORT)));
         let drain = hingestage_rpc::messages::ZoneDrain { order: 3, drained: true };
-        let mut have = Have { drains: [("zone-1".into(), drain)].into(), ..Have::default() };
+        let mut have =
+            KnownVersions { drains: [("zone-1".into(), drain)].into(), ..KnownVersions::default() };
         // The registry receives a drain only once it is acknowledged.
         assert_eq!(core.call_until_available("POST", "/drain/zone-1", "").await.status, 200);
         let mut theirs = watch(&client, &have, 0).await.have;
@@ -316,7 +317,7 @@
             if !theirs.drains.is_empty() {
                 break;
             }
-            theirs = watch(&client, &Have::default(), 100).await.have;
+            theirs = watch(&client, &KnownVersions::default(), 100).await.have;
         }
         assert!(!theirs.drains.is_empty(), "the registry has received the drain");
         have.directory = theirs.directory;
--- a/crates/registry/tests/trials.rs
+++ b/crates/registry/tests/trials.rs
@@ -3,7 +3,7 @@
 use hingestage_configuration::Configuration;
 use hingestage_registry::first_terms::FirstTerms;
 use hingestage_registry::trials::{TrialLog, NOTICE_PERIOD};
-use hingestage_rpc::trials::{TrialNews, TrialPosition, TrialRecord, TrialRevision};
+use hingestage_rpc::trials::{TrialPosition, TrialRecord, TrialRevision, TrialUpdate};
 
 const S: u64 = 1_000_000;
 const TERMS: &str =
@@ -11,9 +11,9 @@
 /// End of the trial, in milliseconds since the Unix epoch.
 const END: u64 = 3_600_000;
 
-fn news(tenant: &str, step: u32, age: u64) -> TrialNews {
+fn news(tenant: &str, step: u32, age: u64) -> TrialUpdate {
     let position = TrialPosition { version: 1, digest: 1, step };
-    TrialNews {
+    TrialUpdate {
         record: TrialRecord { tenant: tenant.into(), position, terms: TERMS.as_bytes().to_vec() },
         age,
     }
--- a/crates/rehearse/src/file.rs
+++ b/crates/rehearse/src/file.rs
@@ -32,10 +32,10 @@
 /// One message that names the field and its place.
 pub fn read(text: &str) -> Result<Script, String> {
     let whole = hingestage_form::read(text)?;
-    let section = &whole.sole("rehearsal")?;
+    let section = &whole.only_section("rehearsal")?;
     let mut script = empty();
     let (mut named, mut plans) = (Vec::new(), Vec::new());
-    let fields = section.rest()?;
+    let fields = section.arguments()?;
     // Plans are named by accounts, and the number of gateways bounds their spread, wherever these stand.
     for field in &fields {
         match field.head()?.as_str() {
@@ -97,14 +97,14 @@
 fn one_field(script: &mut Script, field: &Form, head: &str, sites: usize) -> Result<(), String> {
     match head {
         "plan" | "fleet" => {}
-        "name" => script.name = field.one(head)?.text(head)?.to_owned(),
-        "seconds" => script.lasts = span(&field.one(head)?, head, 1.0)?,
-        "notices" => script.notices = span(&field.one(head)?, head, 0.0)?,
+        "name" => script.name = field.only_argument(head)?.text(head)?.to_owned(),
+        "seconds" => script.lasts = span(&field.only_argument(head)?, head, 1.0)?,
+        "notices" => script.notices = span(&field.only_argument(head)?, head, 0.0)?,
         "accounts" => script.groups.push(group(script, field)?),
         "at" => script.faults.push(timed(field, sites)?),
         "drawn" => script.drawn = Some(drawn(field)?),
         "holds" => {
-            for hold in field.rest()? {
+            for hold in field.arguments()? {
                 script.holds.push(one_hold(&hold)?);
             }
         }
@@ -213,11 +213,11 @@
 }
 
 fn count(form: &Form, field: &str, least: f64, most: f64) -> Result<usize, String> {
-    Ok(form.whole(field, least, most)? as usize)
+    Ok(form.integer(field, least, most)? as usize)
 }
 
 fn two(form: &Form, field: &str) -> Result<(Duration, Duration), String> {
-    match form.rest()?.as_slice() {
+    match form.arguments()?.as_slice() {
         [from, to] => Ok((span(from, field, 0.0)?, span(to, field, 0.0)?)),
         other => Err(form.error(field, &format!("two values are wanted, {} are given", other.len()))),
     }
@@ -226,10 +226,10 @@
 fn fleet(section: &Form) -> Result<Fleet, String> {
     let mut fleet = empty().fleet;
     let mut instances = None;
-    for field in section.rest()? {
+    for field in section.arguments()? {
         let head = field.head()?;
         let name = format!("fleet.{head}");
-        let one = || field.one(&name);
+        let one = || field.only_argument(&name);
         match head.as_str() {
             "gateways" => fleet.gateways = count(&one()?, &name, 1.0, GATEWAYS_MAX)?,
             "reserve" => fleet.reserve = count(&one()?, &name, 0.0, GATEWAYS_MAX)?,
@@ -239,7 +239,7 @@
             "queue" => fleet.queue = count(&one()?, &name, 0.0, 10_000.0)?,
             "counter-pace" => fleet.counter_pace = span(&one()?, &name, 0.0)?,
             "peers" => fleet.peers = one()?.flag(&name)?,
-            "twin" => match numbers(&field.rest()?, &name)?.as_slice() {
+            "twin" => match numbers(&field.arguments()?, &name)?.as_slice() {
                 [twin, number] => fleet.twins.push((*twin, *number)),
                 _ => return Err(field.error(&name, "a gateway and the number that it bears are wanted")),
             },
@@ -259,14 +259,14 @@
 
 /// `(clock N SECONDS)`: whose clock is ahead, and by how much.
 fn clock(field: &Form, name: &str) -> Result<(usize, f64), String> {
-    match field.rest()?.as_slice() {
+    match field.arguments()?.as_slice() {
         [of, ahead] => Ok((count(of, name, 0.0, GATEWAYS_MAX)?, ahead.number(name, -CLOCK_MAX, CLOCK_MAX)?)),
         _ => Err(field.error(name, "whose clock, and by how many seconds it is ahead")),
     }
 }
 
 fn keepers(section: &Form, name: &str) -> Result<Keepers, String> {
-    let rest = section.rest()?;
+    let rest = section.arguments()?;
     let Some((first, fields)) = rest.split_first() else {
         return Err(section.error(name, "a number is wanted"));
     };
@@ -275,11 +275,11 @@
     let mut keepers = Keepers { count, serve: false, lease, error, clocks };
     for field in fields {
         match field.head()?.as_str() {
-            "lease" => keepers.lease = span(&field.one(name)?, name, 0.2)?,
-            "error" => keepers.error = span(&field.one(name)?, name, 0.001)?,
+            "lease" => keepers.lease = span(&field.only_argument(name)?, name, 0.2)?,
+            "error" => keepers.error = span(&field.only_argument(name)?, name, 0.001)?,
             "clock" => keepers.clocks.push(clock(field, name)?),
             "mode" => {
-                keepers.serve = match field.one(name)?.text(name)? {
+                keepers.serve = match field.only_argument(name)?.text(name)? {
                     "stop" => false,
                     "serve" => true,
                     other => return Err(field.error(name, &format!("`{other}` is neither stop nor serve"))),
@@ -293,20 +293,20 @@
 
 fn plan(section: &Form) -> Result<Plan, String> {
     let (mut name, mut quota, mut ceiling, mut soft) = (None, None, (0.0, 0.0, 0.0), false);
-    for field in section.rest()? {
+    for field in section.arguments()? {
         let head = field.head()?;
         let place = format!("plan.{head}");
         let figures = || -> Result<Vec<f64>, String> {
-            field.rest()?.iter().map(|form| form.number(&place, 0.0, 1e6)).collect()
+            field.arguments()?.iter().map(|form| form.number(&place, 0.0, 1e6)).collect()
         };
-        match (head.as_str(), field.rest()?.len()) {
-            ("name", 1) => name = Some(field.one(&place)?.text(&place)?.to_owned()),
+        match (head.as_str(), field.arguments()?.len()) {
+            ("name", 1) => name = Some(field.only_argument(&place)?.text(&place)?.to_owned()),
             ("quota", 2) => quota = figures()?.try_into().ok().map(|[rate, burst]: [f64; 2]| (rate, burst)),
             ("ceiling", 3) => {
                 let all: Option<[f64; 3]> = figures()?.try_into().ok();
                 ceiling = all.map_or(ceiling, |[rate, depth, slack]| (rate, depth, slack));
             }
-            ("soft", 1) => soft = field.one(&place)?.flag(&place)?,
+            ("soft", 1) => soft = field.only_argument(&place)?.flag(&place)?,
             ("name" | "quota" | "ceiling" | "soft", n) => {
                 return Err(field.error(&place, &format!("{n} values are not what is wanted")));
             }
@@ -335,10 +335,10 @@
         worth: (1.0, 1.0),
         again: 0,
     };
-    for field in section.rest()? {
+    for field in section.arguments()? {
         let head = field.head()?;
         let name = format!("accounts.{head}");
-        let one = || field.one(&name);
+        let one = || field.only_argument(&name);
         match head.as_str() {
             "count" => group.count = count(&one()?, &name, 1.0, ACCOUNTS_MAX)?,
             "spread" => group.spread = count(&one()?, &name, 1.0, GATEWAYS_MAX)?,
@@ -347,14 +347,14 @@
             "again" => group.again = count(&one()?, &name, 0.0, 20.0)?,
             "witness" => group.witness = one()?.flag(&name)?,
             "pushes" => group.pushes = one()?.number(&name, 0.0, 1.0)?,
-            "worth" => match field.rest()?.as_slice() {
+            "worth" => match field.arguments()?.as_slice() {
                 [pull, push] => {
                     group.worth = (pull.number(&name, 0.0, 1e6)?, push.number(&name, 0.0, 1e6)?);
                 }
                 _ => return Err(field.error(&name, "two values are wanted")),
             },
             "between" => group.span = two(&field, &name)?,
-            "work" => match field.rest()?.as_slice() {
+            "work" => match field.arguments()?.as_slice() {
                 [least, most] => {
                     group.work = (
                         count(least, &name, 0.0, 10_000.0)? as u64,
@@ -381,7 +381,7 @@
 }
 
 fn drawn(section: &Form) -> Result<Drawn, String> {
-    match section.rest()?.as_slice() {
+    match section.arguments()?.as_slice() {
         [n, from, to] => {
             let span = (span(from, "drawn", 0.0)?, span(to, "drawn", 0.0)?);
             match span.0 < span.1 {
@@ -395,10 +395,10 @@
 }
 
 fn timed(section: &Form, sites: usize) -> Result<Timed, String> {
-    let (at, fault, lasts) = match section.rest()?.as_slice() {
+    let (at, fault, lasts) = match section.arguments()?.as_slice() {
         [at, fault] => (*at, *fault, None),
         [at, fault, lasts] if lasts.head()? == "for" => {
-            (*at, *fault, Some(span(&lasts.one("for")?, "for", 0.0)?))
+            (*at, *fault, Some(span(&lasts.only_argument("for")?, "for", 0.0)?))
         }
         _ => return Err(section.error("at", "a time, a fault, and perhaps `(for SECONDS)` are wanted")),
     };
@@ -406,10 +406,10 @@
 }
 
 fn fault(form: &Form, sites: usize) -> Result<Fault, String> {
-    let (head, rest) = (form.head()?, form.rest()?);
+    let (head, rest) = (form.head()?, form.arguments()?);
     let wrong = |what: &str| Err(form.error(&head, what));
     let of_keepers = |form: &Form| form.head().is_ok_and(|head| head == "keepers");
-    let keepers = |form: &Form| numbers(&form.rest()?, "keepers");
+    let keepers = |form: &Form| numbers(&form.arguments()?, "keepers");
     Ok(match (head.as_str(), rest.as_slice()) {
         ("kill", [some]) if of_keepers(some) => Fault::KillKeepers(keepers(some)?),
         ("stall", [some]) if of_keepers(some) => Fault::StallKeepers(keepers(some)?),
@@ -453,7 +453,7 @@
 
 fn loss(form: &Form) -> Result<Loss, String> {
     if form.head().is_ok_and(|head| head == "cut") {
-        return Ok(Loss::Cut(harm(&form.one("cut")?)?));
+        return Ok(Loss::Cut(harm(&form.only_argument("cut")?)?));
     }
     match form.text("site")? {
         "killed" => Ok(Loss::Killed),
@@ -465,7 +465,7 @@
 
 /// A site of the fleet. They come in the order of their names.
 fn place(field: &Form, name: &str, before: usize) -> Result<Place, String> {
-    let rest = field.rest()?;
+    let rest = field.arguments()?;
     let Some((first, fields)) = rest.split_first() else {
         return Err(field.error(name, "a name is wanted"));
     };
@@ -475,9 +475,9 @@
     let mut place = Place::default();
     for field in fields {
         match field.head()?.as_str() {
-            "gateways" => place.gateways = numbers(&field.rest()?, name)?,
-            "workers" => place.workers = numbers(&field.rest()?, name)?,
-            "counter" => place.counter = field.one(name)?.flag(name)?,
+            "gateways" => place.gateways = numbers(&field.arguments()?, name)?,
+            "workers" => place.workers = numbers(&field.arguments()?, name)?,
+            "counter" => place.counter = field.only_argument(name)?.flag(name)?,
             other => return Err(field.error(&format!("{name}.{other}"), "no such field")),
         }
     }
@@ -511,7 +511,7 @@
     let (mut deadline, mut killed) = (Duration::from_secs(5), None);
     for field in fields {
         let head = field.head()?;
-        let time = span(&field.one(&head)?, &head, 0.0)?;
+        let time = span(&field.only_argument(&head)?, &head, 0.0)?;
         match head.as_str() {
             "deadline" => deadline = time,
             "killed" => killed = Some(time),
@@ -525,13 +525,13 @@
     if form.head()? != "gateways" {
         return Err(form.error("gateways", "`(gateways ...)` is wanted here"));
     }
-    let rest = form.rest()?;
+    let rest = form.arguments()?;
     if let [one] = rest.as_slice() {
         if one.text("gateways").is_ok_and(|text| text == "all") {
             return Ok(Which::All);
         }
         if one.head().is_ok_and(|head| head == "share") {
-            return Ok(Which::Share(one.one("share")?.number("share", 0.0, 1.0)?));
+            return Ok(Which::Share(one.only_argument("share")?.number("share", 0.0, 1.0)?));
         }
     }
     Ok(Which::Some(numbers(&rest, "gateways")?))
@@ -545,7 +545,7 @@
             numbers.push(count(form, field, 0.0, GATEWAYS_MAX)?);
             continue;
         }
-        match form.rest()?.as_slice() {
+        match form.arguments()?.as_slice() {
             [from, to] => {
                 numbers.extend(count(from, field, 0.0, GATEWAYS_MAX)?..=count(to, field, 0.0, GATEWAYS_MAX)?)
             }
@@ -556,7 +556,7 @@
 }
 
 fn known(form: &Form) -> Result<Known, String> {
-    match (form.head()?.as_str(), form.one("known")?.text("known")?) {
+    match (form.head()?.as_str(), form.only_argument("known")?.text("known")?) {
         ("known", "old") => Ok(Known::Old),
         ("known", "nothing") => Ok(Known::Nothing),
         ("known", "now") => Ok(Known::Now),
@@ -578,22 +578,22 @@
         };
     }
     match form.head()?.as_str() {
-        "workers" => Ok(Target::Workers(numbers(&form.rest()?, "workers")?)),
-        "peers" => Ok(Target::Peers(numbers(&form.rest()?, "peers")?)),
-        "keepers" => Ok(Target::Keepers(numbers(&form.rest()?, "keepers")?)),
+        "workers" => Ok(Target::Workers(numbers(&form.arguments()?, "workers")?)),
+        "peers" => Ok(Target::Peers(numbers(&form.arguments()?, "peers")?)),
+        "keepers" => Ok(Target::Keepers(numbers(&form.arguments()?, "keepers")?)),
         other => Err(form.error("links", &format!("`{other}` is neither workers nor peers"))),
     }
 }
 
 fn harm(form: &Form) -> Result<Harm, String> {
     let head = form.head()?;
-    let time = || span(&form.one(&head)?, &head, 0.0);
+    let time = || span(&form.only_argument(&head)?, &head, 0.0);
     match head.as_str() {
         "reset" => Ok(Harm::Reset),
         "hold" => Ok(Harm::Hold),
         "delay" => Ok(Harm::Delay(time()?)),
         "trickle" => Ok(Harm::Trickle(time()?)),
-        "silent" => match form.one(&head)?.text(&head)? {
+        "silent" => match form.only_argument(&head)?.text(&head)? {
             "both" => Ok(Harm::Silent(Ways::Both)),
             "out" => Ok(Harm::Silent(Ways::Out)),
             "in" => Ok(Harm::Silent(Ways::In)),
@@ -606,7 +606,7 @@
 fn counter_fault(form: &Form) -> Result<Fault, String> {
     use counter::Mood;
     if form.head().is_ok_and(|head| head == "late") {
-        return Ok(Fault::Counter(Mood::Late(span(&form.one("late")?, "late", 0.0)?)));
+        return Ok(Fault::Counter(Mood::Late(span(&form.only_argument("late")?, "late", 0.0)?)));
     }
     Ok(match form.text("counter")? {
         "forgets" => Fault::Forget,
@@ -621,7 +621,7 @@
 
 fn worker_mood(form: &Form) -> Result<worker::Mood, String> {
     if form.head().is_ok_and(|head| head == "slower") {
-        return Ok(worker::Mood::Slower(form.one("slower")?.number("slower", 0.01, 1_000.0)?));
+        return Ok(worker::Mood::Slower(form.only_argument("slower")?.number("slower", 0.01, 1_000.0)?));
     }
     let text = form.text("worker")?;
     let mood = WORKER_MOODS.iter().find(|(name, _)| *name == text).map(|(_, mood)| *mood);
@@ -630,7 +630,7 @@
 
 fn one_hold(form: &Form) -> Result<Hold, String> {
     let head = form.head()?;
-    let rest = form.rest()?;
+    let rest = form.arguments()?;
     let number = |at: usize, most: f64| match rest.get(at) {
         Some(form) => form.number(&head, 0.0, most),
         None => Err(form.error(&head, "a value is missing")),
--- a/crates/replication/src/replica.rs
+++ b/crates/replication/src/replica.rs
@@ -12,7 +12,8 @@
 use crate::trials::DurableTrials;
 use crate::Micros;
 use hingestage_rpc::messages::{
-    Ballot, Change, Membership, PeerAnswer, PeerRequest, Proposed, Standing, StoreMember, StoreNews, Summary,
+    Ballot, Change, Membership, PeerAnswer, PeerRequest, Proposed, Standing, StoreMember, StoreUpdate,
+    Summary,
 };
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -719,7 +720,7 @@
     }
 
     /// The decided state's parts that differ from those that a registry has.
-    pub fn updates_for(&mut self, now: Micros, have: &Summary) -> StoreNews {
+    pub fn updates_for(&mut self, now: Micros, have: &Summary) -> StoreUpdate {
         let state = &self.decided.state;
         let summary = self.summary();
         let newer = state.config.as_ref().filter(|config| Some(config.version) != have.config);
@@ -727,7 +728,7 @@
         let proxies = (summary.proxies != have.proxies).then(|| state.proxies.as_ref().clone());
         let trials = (summary.trials != have.trials).then(|| self.trials.records_with_age(now));
         let fresh_age = self.current_as_of(now).map(|at| now.saturating_sub(at) / MILLI + 1);
-        StoreNews { summary, config, proxies, trials, fresh_age }
+        StoreUpdate { summary, config, proxies, trials, fresh_age }
     }
 }
 
--- a/crates/replication/src/state.rs
+++ b/crates/replication/src/state.rs
@@ -138,7 +138,7 @@
         }
         let newest = self.trials.record_for_terms(record.clone());
         self.add_trials(vec![newest]);
-        match self.trials.has_terms_of(&record.tenant, &record.position) {
+        match self.trials.has_same_terms(&record.tenant, &record.position) {
             true => Proposed::Durable,
             false => Proposed::Overtaken,
         }
--- a/crates/replication/src/trials.rs
+++ b/crates/replication/src/trials.rs
@@ -3,7 +3,7 @@
 use crate::Micros;
 use compact_str::CompactString;
 use hingestage_rpc::digest;
-use hingestage_rpc::trials::{TrialNews, TrialPosition, TrialRecord, TrialStep, TRIALS_MAX};
+use hingestage_rpc::trials::{TrialPosition, TrialRecord, TrialStep, TrialUpdate, TRIALS_MAX};
 use std::collections::BTreeMap;
 
 /// Microseconds in a millisecond.
@@ -88,15 +88,15 @@
     pub fn records_for_steps(&self, steps: Vec<TrialStep>) -> Vec<TrialRecord> {
         let record = |step: TrialStep| {
             let held = self.records.get(&step.tenant)?;
-            let further = step.position.has_terms_of(&held.position) && step.position > held.position;
+            let further = step.position.has_same_terms(&held.position) && step.position > held.position;
             further.then(|| TrialRecord { position: step.position, ..held.clone() })
         };
         steps.into_iter().filter_map(record).collect()
     }
 
     /// Whether the tenant's current terms are those that the position names.
-    pub fn has_terms_of(&self, tenant: &str, position: &TrialPosition) -> bool {
-        self.get(tenant).is_some_and(|held| held.position.has_terms_of(position))
+    pub fn has_same_terms(&self, tenant: &str, position: &TrialPosition) -> bool {
+        self.get(tenant).is_some_and(|held| held.position.has_same_terms(position))
     }
 }
 
@@ -128,14 +128,14 @@
     }
 
     /// All trials, each with its age in milliseconds since it was known to be durable.
-    pub fn records_with_age(&self, now: Micros) -> Vec<TrialNews> {
+    pub fn records_with_age(&self, now: Micros) -> Vec<TrialUpdate> {
         let age = |tenant: &CompactString| {
             let known_at = self.known_at.get(tenant).copied().unwrap_or(now);
             now.saturating_sub(known_at) / MILLI
         };
         self.set
             .records()
-            .map(|record| TrialNews { record: record.clone(), age: age(&record.tenant) })
+            .map(|record| TrialUpdate { record: record.clone(), age: age(&record.tenant) })
             .collect()
     }
 }
--- a/crates/rpc/src/messages.rs
+++ b/crates/rpc/src/messages.rs
@@ -2,8 +2,8 @@
 
 use crate::digest;
 use crate::status::{RegistryStatus, StoreStatus};
-use crate::trials::{AuditEntry, TrialNews, TrialRecord, TrialRevision, TrialStep};
-use crate::workers::{ServiceHave, ServiceIndex, ServiceUpdate, WorkersVersion};
+use crate::trials::{AuditEntry, TrialRecord, TrialRevision, TrialStep, TrialUpdate};
+use crate::workers::{KnownServiceVersion, ServiceIndex, ServiceUpdate, WorkersVersion};
 use compact_str::CompactString;
 use hingestage_configuration::transfer;
 use serde::{Deserialize, Serialize};
@@ -333,7 +333,7 @@
     /// Result of a proposed change.
     Proposed(Proposed),
     /// Changes for a registry.
-    Watched(Box<StoreNews>),
+    Watched(Box<StoreUpdate>),
     /// The newest configuration, and whether a quorum answered.
     Read(Option<ConfigDocument>, ReadState),
     /// A disk write failed.
@@ -370,7 +370,7 @@
 
 /// Update of a registry by its store.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
-pub struct StoreNews {
+pub struct StoreUpdate {
     /// Summary of the state in force.
     pub summary: Summary,
     /// The configuration in force, if newer than the caller's.
@@ -378,7 +378,7 @@
     /// The proxy names, if changed.
     pub proxies: Option<ProxyNames>,
     /// The durable trials, if changed.
-    pub trials: Option<Vec<TrialNews>>,
+    pub trials: Option<Vec<TrialUpdate>>,
     /// Time since this state was last known to be the newest acknowledged one, in milliseconds.
     pub fresh_age: Option<Millis>,
 }
@@ -411,7 +411,7 @@
 
 /// Versions of the state that a proxy or registry has.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Have {
+pub struct KnownVersions {
     /// The configuration.
     pub config: Option<ConfigVersion>,
     /// Evacuation orders.
@@ -456,12 +456,13 @@
         /// Status of the proxy.
         status: ProxyStatus,
         /// Versions that it has.
-        have: Have,
+        have: KnownVersions,
         /// Maximum wait for a change.
         wait: Millis,
     },
     /// Heartbeat of another registry.
-    Meet {
+    #[serde(rename = "Meet")]
+    Gossip {
         /// The sender.
         from: RegistryMember,
         /// Registries known to the sender.
@@ -477,7 +478,7 @@
         have: Option<ConfigVersion>,
     },
     /// Fetches the workers of services that are newer than the given versions.
-    FetchServices(Vec<ServiceHave>),
+    FetchServices(Vec<KnownServiceVersion>),
     /// Returns the process's status to an operator.
     Status,
 }
@@ -488,7 +489,8 @@
     /// Answer to a proxy's heartbeat.
     Watched(Box<Watched>),
     /// Answer to a registry's heartbeat.
-    Met {
+    #[serde(rename = "Met")]
+    GossipReply {
         /// The responder.
         from: RegistryMember,
         /// Registries known to the sender.
@@ -508,7 +510,7 @@
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Watched {
     /// The registry's versions; the proxy fetches whatever is newer.
-    pub have: Have,
+    pub have: KnownVersions,
     /// Transfer size of the configuration in bytes, from which the proxy derives its fetch timeout.
     pub config_bytes: u64,
     /// Services whose workers are newer than the proxy's.
@@ -516,7 +518,7 @@
     /// The proxy directory, if changed.
     pub directory: Option<Vec<ProxyStatus>>,
     /// Trials newer than the proxy's.
-    pub trials: Vec<TrialNews>,
+    pub trials: Vec<TrialUpdate>,
     /// All registries.
     pub registries: Vec<RegistryAddress>,
     /// Time since this state was last known to be the newest acknowledged one, in milliseconds.
--- a/crates/rpc/src/status.rs
+++ b/crates/rpc/src/status.rs
@@ -2,7 +2,7 @@
 
 use crate::messages::{ConfigTransfer, ConfigVersion, Millis, ProxyStatus, RegistryMember, StoreMember};
 use crate::trials::TrialView;
-use crate::workers::{ServiceHave, ServiceUpdate, WorkersVersion};
+use crate::workers::{KnownServiceVersion, ServiceUpdate, WorkersVersion};
 use compact_str::CompactString;
 use serde::{Deserialize, Serialize};
 use std::fmt;
@@ -26,7 +26,7 @@
     /// Long-polls for the workers of services that this proxy relays to the other proxies of its zone.
     FollowServices {
         /// Versions that the caller has.
-        have: Vec<ServiceHave>,
+        have: Vec<KnownServiceVersion>,
         /// Maximum wait for a change.
         wait: Millis,
     },
@@ -62,13 +62,16 @@
     /// A worker's answer was forwarded.
     Served,
     /// The tenant exceeds its quota summed over all proxies, and its penalty rate is exhausted.
-    QuotaPenaltyBox,
+    #[serde(rename = "QuotaPenaltyBox")]
+    QuotaPenalty,
     /// The tenant has too many open requests.
-    QuotaOpenCap,
+    #[serde(rename = "QuotaOpenCap")]
+    QuotaConcurrency,
     /// This proxy holds no valid lease on a share of the tenant's quota.
     QuotaNoLease,
     /// This proxy's share of the tenant's quota is exhausted.
-    QuotaUsedUp,
+    #[serde(rename = "QuotaUsedUp")]
+    QuotaExhausted,
     /// The current step of the tenant's trial reduces its quota.
     TrialSlowed,
     /// The tenant's trial has ended.
@@ -105,10 +108,10 @@
     /// All variants in declaration order.
     pub const ALL: [RequestOutcome; 20] = [
         RequestOutcome::Served,
-        RequestOutcome::QuotaPenaltyBox,
-        RequestOutcome::QuotaOpenCap,
+        RequestOutcome::QuotaPenalty,
+        RequestOutcome::QuotaConcurrency,
         RequestOutcome::QuotaNoLease,
-        RequestOutcome::QuotaUsedUp,
+        RequestOutcome::QuotaExhausted,
         RequestOutcome::TrialSlowed,
         RequestOutcome::TrialEnded,
         RequestOutcome::TrialUnknown,
@@ -142,10 +145,10 @@
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         f.write_str(match self {
             RequestOutcome::Served => "served",
-            RequestOutcome::QuotaPenaltyBox => "quota: beyond the rate over all proxies",
-            RequestOutcome::QuotaOpenCap => "quota: too many open requests",
+            RequestOutcome::QuotaPenalty => "quota: beyond the rate over all proxies",
+            RequestOutcome::QuotaConcurrency => "quota: too many open requests",
             RequestOutcome::QuotaNoLease => "quota: this proxy holds no part of it",
-            RequestOutcome::QuotaUsedUp => "quota: this proxy's part is used up",
+            RequestOutcome::QuotaExhausted => "quota: this proxy's part is used up",
             RequestOutcome::TrialSlowed => "trial: slowed",
             RequestOutcome::TrialEnded => "trial: ended",
             RequestOutcome::TrialUnknown => "trial: can't be judged",
@@ -184,7 +187,8 @@
     /// The worker answered with an error; it may have run.
     Error,
     /// The worker rejected the request; it has not run.
-    TurnedAway,
+    #[serde(rename = "TurnedAway")]
+    Rejected,
     /// No answer in time; it may have run.
     TimedOut,
     /// The connection could not be established; the request has not run.
@@ -204,7 +208,7 @@
         f.write_str(match self {
             AttemptOutcome::Served => "served",
             AttemptOutcome::Error => "answered with an error",
-            AttemptOutcome::TurnedAway => "turned it away",
+            AttemptOutcome::Rejected => "turned it away",
             AttemptOutcome::TimedOut => "no answer in time",
             AttemptOutcome::ConnectFailed => "no connection",
             AttemptOutcome::Reset => "connection broke",
--- a/crates/rpc/src/trials.rs
+++ b/crates/rpc/src/trials.rs
@@ -22,7 +22,7 @@
 
 impl TrialPosition {
     /// Whether both positions refer to the same terms.
-    pub fn has_terms_of(&self, other: &TrialPosition) -> bool {
+    pub fn has_same_terms(&self, other: &TrialPosition) -> bool {
         (self.version, self.digest) == (other.version, other.digest)
     }
 }
@@ -40,7 +40,7 @@
 
 /// A durable trial record with its age.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct TrialNews {
+pub struct TrialUpdate {
     /// The record.
     pub record: TrialRecord,
     /// Lower bound of the time since the record was known to be durable, in milliseconds.
--- a/crates/rpc/src/workers.rs
+++ b/crates/rpc/src/workers.rs
@@ -19,7 +19,7 @@
 
 impl WorkersVersion {
     /// Whether both lists were read by the same process with the same fencing token.
-    pub fn has_reader_of(&self, other: &WorkersVersion) -> bool {
+    pub fn has_same_reader(&self, other: &WorkersVersion) -> bool {
         (self.fence, self.reader) == (other.fence, other.reader)
     }
 }
@@ -45,7 +45,7 @@
 
 /// A service and the version of its worker list that the sender has.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ServiceHave {
+pub struct KnownServiceVersion {
     /// Name of the service.
     pub service: CompactString,
     /// The version; none if the list is unknown.
@@ -71,12 +71,13 @@
     /// The version after the update.
     pub version: WorkersVersion,
     /// The snapshot or the changes.
-    pub news: ServiceNews,
+    #[serde(rename = "news")]
+    pub content: ServiceUpdateContent,
 }
 
 /// Content of an update of a service's worker list.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum ServiceNews {
+pub enum ServiceUpdateContent {
     /// The complete list.
     Snapshot(Vec<WorkerRecord>),
     /// Changes since an earlier version.
--- a/crates/sim/src/world/dns.rs
+++ b/crates/sim/src/world/dns.rs
@@ -55,7 +55,7 @@
             questions: 100.0,
             ..settings
         };
-        Some(Srv { settings, beside_list, cold_at_start: true })
+        Some(Srv { settings, use_discovery_list: beside_list, cold_at_start: true })
     }
 
     /// Lets the zone know of a worker: it has a record while it is up.
--- a/crates/sim/src/world/mod.rs
+++ b/crates/sim/src/world/mod.rs
@@ -344,7 +344,7 @@
     fn check_floor(&self) {
         let (tasks, descriptors) = self.floor.get();
         // Questions after names go on for ever, each with a socket.
-        let asks = if self.script.site.srv.is_some() { hingestage_srv::resolver::FLYING_MAX } else { 0 };
+        let asks = if self.script.site.srv.is_some() { hingestage_srv::resolver::IN_FLIGHT_MAX } else { 0 };
         let (tasks, descriptors) = (tasks + asks, descriptors + asks);
         for g in 0..self.gateways.len() {
             let host = GATEWAY + g as Host;
--- a/crates/sites/src/file.rs
+++ b/crates/sites/src/file.rs
@@ -1,7 +1,7 @@
 //! Files of sites, checked like any configuration: what is wrong is one message with field, line and column.
 
 use crate::model::{Load, Site, Sites};
-use hingestage_form::{once, Form};
+use hingestage_form::{unique_fields, Form};
 use std::collections::BTreeSet;
 
 /// Most sites.
@@ -20,7 +20,7 @@
 /// # Errors
 /// One message that names the field and its place.
 pub fn read(text: &str) -> Result<Sites, String> {
-    read_section(&hingestage_form::read(text)?.sole("sites")?)
+    read_section(&hingestage_form::read(text)?.only_section("sites")?)
 }
 
 /// Reads and checks the list `(sites ...)` where a file holds others beside it.
@@ -29,11 +29,11 @@
 /// As [`read`].
 pub fn read_section(section: &Form) -> Result<Sites, String> {
     let mut sites = Sites::default();
-    for field in section.rest()? {
+    for field in section.arguments()? {
         match field.head()?.as_str() {
             "site" => sites.sites.push(site(&field, &sites)?),
             "load" => sites.loads.push(load(&field)?),
-            "stays" => sites.stays.extend(texts(&field.rest()?, "stays")?),
+            "stays" => sites.stays.extend(texts(&field.arguments()?, "stays")?),
             other => return Err(field.error(other, "no such field")),
         }
     }
@@ -88,7 +88,7 @@
 }
 
 fn site(section: &Form, known: &Sites) -> Result<Site, String> {
-    let rest = section.rest()?;
+    let rest = section.arguments()?;
     let Some((name, fields)) = rest.split_first() else {
         return Err(section.error("site", "a name is missing"));
     };
@@ -97,21 +97,23 @@
         return Err(section.error("site", &format!("`{name}` is given twice")));
     }
     let mut site = Site { zones: vec![name.clone()], name, workers: 1, ..Site::default() };
-    for field in once(fields, "site", &[]) {
+    for field in unique_fields(fields, "site", &[]) {
         let (head, place, field) = field?;
         match head.as_str() {
-            "zones" => site.zones = texts(&field.rest()?, &place)?,
-            "to" => site.to = texts(&field.rest()?, &place)?,
+            "zones" => site.zones = texts(&field.arguments()?, &place)?,
+            "to" => site.to = texts(&field.arguments()?, &place)?,
             "gateways" => {
-                for number in field.rest()? {
-                    site.gateways.insert(number.whole(&place, 0.0, GATEWAYS_MAX)? as u32);
+                for number in field.arguments()? {
+                    site.gateways.insert(number.integer(&place, 0.0, GATEWAYS_MAX)? as u32);
                 }
             }
-            "counter" => site.counter = field.one(&place)?.flag(&place)?,
-            "workers" => site.workers = field.one(&place)?.whole(&place, 1.0, WORKERS_MAX)? as usize,
-            "reserve" => site.reserve = field.one(&place)?.number(&place, 0.0, 0.9)?,
+            "counter" => site.counter = field.only_argument(&place)?.flag(&place)?,
+            "workers" => {
+                site.workers = field.only_argument(&place)?.integer(&place, 1.0, WORKERS_MAX)? as usize
+            }
+            "reserve" => site.reserve = field.only_argument(&place)?.number(&place, 0.0, 0.9)?,
             "capacity" => {
-                for pair in field.rest()? {
+                for pair in field.arguments()? {
                     let parts = pair.items()?;
                     let [class, rate] = parts.as_slice() else {
                         return Err(pair.error(&place, "a class and requests a second are wanted"));
@@ -132,7 +134,7 @@
 }
 
 fn load(field: &Form) -> Result<Load, String> {
-    let rest = field.rest()?;
+    let rest = field.arguments()?;
     let [site, plan, class, rate, worth] = rest.as_slice() else {
         return Err(
             field.error("load", "a site, a plan, a class, requests a second and their worth are wanted")
--- a/crates/srv/examples/figures.rs
+++ b/crates/srv/examples/figures.rs
@@ -58,13 +58,13 @@
                     asked += 1;
                     let first = usize::from(now >= change);
                     let bytes = answer(&ask.bytes, workers, first, ttl, along);
-                    service.heard(ask.number, &bytes, now, &mut out);
+                    service.on_response(ask.number, &bytes, now, &mut out);
                 }
-                Action::Believe(_) if now >= change && late.is_none() => late = Some(now - change),
+                Action::SetEndpoints(_) if now >= change && late.is_none() => late = Some(now - change),
                 _ => {}
             }
         }
-        now = service.wake().unwrap_or(span).max(now + 1);
+        now = service.next_wakeup().unwrap_or(span).max(now + 1);
     }
     (asked, late.unwrap_or(span))
 }
--- a/crates/srv/src/resolver.rs
+++ b/crates/srv/src/resolver.rs
@@ -13,7 +13,7 @@
 use std::net::SocketAddr;
 
 /// Maximum number of queries in flight; each uses one reserved socket.
-pub const FLYING_MAX: usize = 4;
+pub const IN_FLIGHT_MAX: usize = 4;
 /// Maximum number of queued questions; further ones are rejected and retried by the caller.
 pub const WAITING_MAX: usize = 4_096;
 /// Mismatched UDP responses to a query after which it is retried over TCP, as a defence against spoofing.
@@ -191,7 +191,7 @@
     pub fn next_wakeup(&self) -> Option<Micros> {
         let timeout = self.in_flight.values().map(|f| f.deadline).min();
         let token =
-            (!self.waiting.is_empty() && self.in_flight.len() < FLYING_MAX).then(|| self.next_token_at());
+            (!self.waiting.is_empty() && self.in_flight.len() < IN_FLIGHT_MAX).then(|| self.next_token_at());
         timeout.into_iter().chain(token).min()
     }
 
@@ -332,7 +332,7 @@
         let elapsed = now.saturating_sub(self.tokens_at) as f64 / SECOND as f64;
         self.tokens = (self.tokens + elapsed * rate).min(rate.max(1.0));
         self.tokens_at = self.tokens_at.max(now);
-        while self.in_flight.len() < FLYING_MAX && self.tokens >= 1.0 {
+        while self.in_flight.len() < IN_FLIGHT_MAX && self.tokens >= 1.0 {
             let Some(lookup) = self.waiting.pop_front() else { return };
             self.send_one(lookup, now, out);
         }
--- a/crates/srv/src/service.rs
+++ b/crates/srv/src/service.rs
@@ -65,7 +65,7 @@
 
 impl AnswerState {
     /// Name for logs and metrics.
-    pub fn word(&self) -> &'static str {
+    pub fn as_str(&self) -> &'static str {
         match self {
             AnswerState::Pending => "unheard",
             AnswerState::Fresh => "fresh",
@@ -84,9 +84,9 @@
     /// Close the socket of a query.
     Forget(u64),
     /// Replace the endpoints.
-    Believe(Vec<Endpoint>),
+    SetEndpoints(Vec<Endpoint>),
     /// Write a log line.
-    Note(String),
+    Log(String),
 }
 
 /// State of one SRV record.
@@ -123,7 +123,7 @@
     rng: Rng,
     records: BTreeMap<RecordKey, RecordState>,
     targets: BTreeMap<Name, BTreeMap<RecordKind, AddressSet>>,
-    standing: AnswerState,
+    state: AnswerState,
     /// Index of the server that gave the last good response.
     server: usize,
     /// Time of the next SRV query; none while one is pending.
@@ -151,7 +151,7 @@
             settings,
             records: BTreeMap::new(),
             targets: BTreeMap::new(),
-            standing: AnswerState::Pending,
+            state: AnswerState::Pending,
             server: 0,
             refresh: Some(now),
             failures: 0,
@@ -165,12 +165,12 @@
     }
 
     /// Trustworthiness of the current records.
-    pub fn standing(&self) -> AnswerState {
-        self.standing
+    pub fn state(&self) -> AnswerState {
+        self.state
     }
 
     /// The endpoints as last published.
-    pub fn believed(&self) -> &[Endpoint] {
+    pub fn endpoints(&self) -> &[Endpoint] {
         &self.published
     }
 
@@ -185,11 +185,11 @@
     }
 
     /// The latest time for the next call of [`Service::tick`].
-    pub fn wake(&self) -> Option<Micros> {
+    pub fn next_wakeup(&self) -> Option<Micros> {
         let is_active = !self.is_stale();
         let families = self.targets.values().flat_map(|of| of.values()).filter(|_| is_active);
         let publish = self.changed_at.map(|at| at + PUBLISH_INTERVAL);
-        let expiry = match self.standing {
+        let expiry = match self.state {
             AnswerState::Stale { since } => Some(since + self.settings.stale_for),
             AnswerState::Fresh => {
                 self.records.values().filter(|r| r.source != self.server).map(|r| r.expires_at).min()
@@ -202,7 +202,7 @@
 
     /// Whether SRV queries fail; address queries are then suspended.
     fn is_stale(&self) -> bool {
-        matches!(self.standing, AnswerState::Stale { .. })
+        matches!(self.state, AnswerState::Stale { .. })
     }
 
     /// Whether an address query is due.
@@ -232,21 +232,21 @@
     }
 
     /// Handles a response to a query.
-    pub fn heard(&mut self, ask: u64, bytes: &[u8], now: Micros, out: &mut Vec<Action>) {
+    pub fn on_response(&mut self, ask: u64, bytes: &[u8], now: Micros, out: &mut Vec<Action>) {
         let mut outputs = Vec::new();
         self.resolver.on_response(ask, bytes, now, &mut outputs);
         self.handle_outputs(outputs, now, out);
     }
 
     /// Handles the failure of a query's socket.
-    pub fn broke(&mut self, ask: u64, what: &str, now: Micros, out: &mut Vec<Action>) {
+    pub fn on_failure(&mut self, ask: u64, what: &str, now: Micros, out: &mut Vec<Action>) {
         let mut outputs = Vec::new();
         self.resolver.on_failure(ask, what, now, &mut outputs);
         self.handle_outputs(outputs, now, out);
     }
 
     /// Queries at once at an operator's request. With `accept`, missing records in the response are trusted.
-    pub fn ask_now(&mut self, accept: bool, now: Micros, out: &mut Vec<Action>) {
+    pub fn refresh_now(&mut self, accept: bool, now: Micros, out: &mut Vec<Action>) {
         self.accept_next |= accept;
         self.refresh = Some(now);
         self.log(
@@ -261,7 +261,7 @@
     /// lifetime.
     pub fn suspect(&mut self, now: Micros) {
         let soonest = (self.queried_at + self.settings.lifetimes.0).max(now);
-        if matches!(self.standing, AnswerState::Fresh) {
+        if matches!(self.state, AnswerState::Fresh) {
             self.refresh = self.refresh.map(|at| at.min(soonest));
         }
     }
@@ -292,13 +292,13 @@
                 self.failures = self.failures.saturating_add(1);
                 self.refresh = Some(self.retry_at(self.failures, now));
                 if matches!(
-                    self.standing,
+                    self.state,
                     AnswerState::Pending | AnswerState::Fresh | AnswerState::Unconfirmed { .. }
                 ) {
                     self.log(now, format!("no answer: {what}; {} records held", self.records.len()), out);
                 }
-                if matches!(self.standing, AnswerState::Fresh | AnswerState::Unconfirmed { .. }) {
-                    self.standing = AnswerState::Stale { since: now };
+                if matches!(self.state, AnswerState::Fresh | AnswerState::Unconfirmed { .. }) {
+                    self.state = AnswerState::Stale { since: now };
                 }
             }
             Outcome::Absent { unknown, ttl } => {
@@ -333,7 +333,7 @@
         (self.failures, self.server) = (0, server);
         let refresh_at = self.refresh_at(lifetime, now);
         let shrink = self.shrink(received.len(), now);
-        let (before, accept) = (self.standing, std::mem::take(&mut self.accept_next));
+        let (before, accept) = (self.state, std::mem::take(&mut self.accept_next));
         let expires_at = now + lifetime;
         let mut new = Vec::new();
         for (key, (priority, weight)) in &received {
@@ -345,7 +345,7 @@
         self.log_records("new", &new, now, out);
         match shrink {
             Some((since, false)) if !accept => {
-                self.standing = AnswerState::Unconfirmed { since };
+                self.state = AnswerState::Unconfirmed { since };
                 // Query again soon to confirm.
                 self.poor_responses = self.poor_responses.saturating_add(1);
                 self.refresh = Some(refresh_at.min(self.retry_at(self.poor_responses, now)));
@@ -355,7 +355,7 @@
                 }
             }
             _ => {
-                self.standing = AnswerState::Fresh;
+                self.state = AnswerState::Fresh;
                 // An empty list is queried again with the retry backoff.
                 self.poor_responses =
                     if received.is_empty() { self.poor_responses.saturating_add(1) } else { 0 };
@@ -410,7 +410,7 @@
         if held == 0 || received as f64 >= self.settings.shrink_to * held as f64 {
             return None;
         }
-        let since = match self.standing {
+        let since = match self.state {
             AnswerState::Unconfirmed { since } => since,
             _ => now,
         };
@@ -451,10 +451,10 @@
 
     /// Removes records whose time has passed.
     fn expire(&mut self, now: Micros, out: &mut Vec<Action>) {
-        match self.standing {
+        match self.state {
             AnswerState::Stale { since } if now >= since + self.settings.stale_for => {
                 self.log(now, "no answer for too long: all records dropped".into(), out);
-                self.standing = AnswerState::Expired;
+                self.state = AnswerState::Expired;
                 self.remove_records(|_, _| true, now, out);
                 self.sync_targets(now);
             }
@@ -605,10 +605,10 @@
             return;
         }
         self.changed_at = None;
-        let endpoints = self.endpoints();
+        let endpoints = self.join_endpoints();
         if endpoints != self.published {
             self.published.clone_from(&endpoints);
-            out.push(Action::Believe(endpoints));
+            out.push(Action::SetEndpoints(endpoints));
         }
     }
 
@@ -619,7 +619,7 @@
     }
 
     /// Joins records and addresses. Several targets at one address form one endpoint with the sum of their sizes.
-    fn endpoints(&self) -> Vec<Endpoint> {
+    fn join_endpoints(&self) -> Vec<Endpoint> {
         let mut sums: BTreeMap<u16, (u64, u64)> = BTreeMap::new();
         for held in self.records.values() {
             let (sum, count) = sums.entry(held.priority).or_default();
@@ -649,13 +649,13 @@
             self.log.pop_front();
         }
         self.log.push_back((now, what.clone()));
-        out.push(Action::Note(what));
+        out.push(Action::Log(what));
     }
 
     /// Describes the records and recent changes as text.
     pub fn explain(&self, now: Micros) -> String {
         let ago = |at: Micros| now.saturating_sub(at) as f64 / SECOND as f64;
-        let mut text = format!("{} {}\n", self.settings.name, self.standing.word());
+        let mut text = format!("{} {}\n", self.settings.name, self.state.as_str());
         let left = |at: Micros| at.saturating_sub(now) as f64 / SECOND as f64;
         let next = self.refresh.map_or("under way".into(), |at| format!("in {:.1} s", left(at)));
         let counts = self.resolver.counts;
--- a/crates/srv/tests/bytes.rs
+++ b/crates/srv/tests/bytes.rs
@@ -94,11 +94,11 @@
             }
             other => other,
         });
-        for endpoint in harness.service.believed() {
+        for endpoint in harness.service.endpoints() {
             prop_assert!(endpoint.at.ip().is_loopback() && endpoint.at.port() > 0);
             prop_assert!((0.1..=10.0).contains(&endpoint.size));
         }
-        prop_assert!(harness.service.believed().len() <= RECORDS_MAX * 16);
+        prop_assert!(harness.service.endpoints().len() <= RECORDS_MAX * 16);
         prop_assert!(harness.asked.len() < 200, "{} questions in half a second", harness.asked.len());
     }
 
--- a/crates/srv/tests/common/mod.rs
+++ b/crates/srv/tests/common/mod.rs
@@ -150,7 +150,7 @@
             let mut out = Vec::new();
             self.service.tick(self.now, &mut out);
             self.act(out, &mut answer);
-            let next = self.service.wake().map_or(end, |at| at.max(self.now + 1));
+            let next = self.service.next_wakeup().map_or(end, |at| at.max(self.now + 1));
             if next >= end {
                 self.now = self.now.max(end);
                 return;
@@ -165,7 +165,7 @@
 
     pub fn refresh_by_operator(&mut self, accept: bool, mut answer: impl FnMut(&Asked) -> Reply) {
         let mut out = Vec::new();
-        self.service.ask_now(accept, self.now, &mut out);
+        self.service.refresh_now(accept, self.now, &mut out);
         self.act(out, &mut answer);
     }
 
@@ -176,19 +176,21 @@
                 match action {
                     Action::Ask(Ask { number: ask, server, tcp, bytes }) => {
                         self.open.push(ask);
-                        assert!(self.open.len() <= hingestage_srv::resolver::FLYING_MAX);
+                        assert!(self.open.len() <= hingestage_srv::resolver::IN_FLIGHT_MAX);
                         let asked = Asked { message: Message::from_vec(&bytes).unwrap(), server, tcp };
                         let of = (self.now, server, tcp, asked.name().clone(), asked.kind());
                         self.asked.push(of);
                         match answer(&asked) {
                             Reply::None => {}
-                            Reply::SocketError => self.service.broke(ask, "refused", self.now, &mut more),
-                            Reply::Bytes(bytes) => self.service.heard(ask, &bytes, self.now, &mut more),
+                            Reply::SocketError => {
+                                self.service.on_failure(ask, "refused", self.now, &mut more)
+                            }
+                            Reply::Bytes(bytes) => self.service.on_response(ask, &bytes, self.now, &mut more),
                         }
                     }
                     Action::Forget(ask) => self.open.retain(|open| *open != ask),
-                    Action::Believe(endpoints) => self.published.push((self.now, endpoints)),
-                    Action::Note(what) => self.logs.push(what),
+                    Action::SetEndpoints(endpoints) => self.published.push((self.now, endpoints)),
+                    Action::Log(what) => self.logs.push(what),
                 }
             }
             out = more;
@@ -201,7 +203,7 @@
             IpAddr::V4(v4) => v4.octets()[3],
             IpAddr::V6(_) => 0,
         };
-        self.service.believed().iter().map(|e| last(e.at.ip())).collect()
+        self.service.endpoints().iter().map(|e| last(e.at.ip())).collect()
     }
 
     pub fn has_logged(&self, what: &str) -> bool {
--- a/crates/srv/tests/service.rs
+++ b/crates/srv/tests/service.rs
@@ -63,7 +63,7 @@
         harness.advance(60 * SECOND, |asked| asked.zone(&zone, 60));
         assert_eq!(harness.address_bytes(), (step..step + 4).collect::<Vec<u8>>(), "step {step}");
     }
-    assert_eq!(harness.service.standing(), AnswerState::Fresh);
+    assert_eq!(harness.service.state(), AnswerState::Fresh);
 }
 
 #[test]
@@ -88,11 +88,11 @@
         let mut harness = warm(SrvSettings { stale_for: 600 * SECOND, ..settings(1) });
         harness.advance(500 * SECOND, answer);
         assert_eq!(harness.address_bytes(), [1, 2, 3, 4], "{what}");
-        assert!(matches!(harness.service.standing(), AnswerState::Stale { .. }), "{what}");
+        assert!(matches!(harness.service.state(), AnswerState::Stale { .. }), "{what}");
         assert!(harness.has_logged("4 records held"), "{what}: {:?}", harness.logs);
         harness.advance(200 * SECOND, answer);
         assert_eq!(harness.address_bytes(), [0u8; 0], "{what}: past the stale time");
-        assert_eq!(harness.service.standing(), AnswerState::Expired, "{what}");
+        assert_eq!(harness.service.state(), AnswerState::Expired, "{what}");
         harness.advance(40 * SECOND, |asked| asked.zone(&ABC, 60));
         assert_eq!(harness.address_bytes(), [1, 2, 3], "{what}: a good answer ends it");
     }
@@ -117,11 +117,11 @@
         let gone = |asked: &Asked| absent(&mut asked.reply(), unknown, 10);
         harness.advance(100 * SECOND, gone);
         assert_eq!(harness.address_bytes(), [1, 2, 3, 4]);
-        assert!(matches!(harness.service.standing(), AnswerState::Unconfirmed { .. }));
+        assert!(matches!(harness.service.state(), AnswerState::Unconfirmed { .. }));
         assert!(harness.has_logged("0 of 4 records, doubted"), "{:?}", harness.logs);
         harness.advance(140 * SECOND, gone);
         assert_eq!(harness.address_bytes(), [0u8; 0], "accepted after the confirmation time");
-        assert_eq!(harness.service.standing(), AnswerState::Fresh);
+        assert_eq!(harness.service.state(), AnswerState::Fresh);
     }
 }
 
@@ -133,7 +133,7 @@
     assert_eq!(harness.address_bytes(), [1, 2, 3, 4, 5]);
     harness.advance(30 * SECOND, |asked| asked.zone(&ABCD, 60));
     assert_eq!(harness.address_bytes(), [1, 2, 3, 4], "a complete answer is accepted at once");
-    assert_eq!(harness.service.standing(), AnswerState::Fresh);
+    assert_eq!(harness.service.state(), AnswerState::Fresh);
 }
 
 #[test]
@@ -343,7 +343,7 @@
     let mut harness = Harness::new(settings(1));
     let rows: [Row; 3] = [("a", 80, 5, 30, 1), ("a2", 80, 2, 10, 1), ("b", 80, 2, 10, 2)];
     harness.advance(SECOND, |asked| asked.zone(&rows, 60));
-    let Endpoint { priority, size, names, .. } = &harness.service.believed()[0];
+    let Endpoint { priority, size, names, .. } = &harness.service.endpoints()[0];
     assert_eq!((harness.address_bytes(), *priority, *size, names.len()), (vec![1, 2], 2, 2.0, 2));
 }
 
@@ -352,7 +352,7 @@
     let sizes = |rows: &[Row]| {
         let mut harness = Harness::new(settings(1));
         harness.advance(SECOND, |asked| asked.zone(rows, 60));
-        harness.service.believed().iter().map(|e| e.size).collect::<Vec<_>>()
+        harness.service.endpoints().iter().map(|e| e.size).collect::<Vec<_>>()
     };
     assert_eq!(sizes(&[("a", 80, 0, 30, 1), ("b", 80, 0, 10, 2)]), [1.5, 0.5]);
     assert_eq!(sizes(&[("a", 80, 0, 0, 1), ("b", 80, 0, 0, 2)]), [1.0, 1.0]);
@@ -465,13 +465,13 @@
         bytes(&reply)
     });
     assert_eq!(
-        harness.service.believed().len(),
+        harness.service.endpoints().len(),
         RECORDS_MAX,
         "{:?} {:?}",
         harness.logs,
         harness.service.counts()
     );
-    let better = harness.service.believed().iter().filter(|e| e.priority == 0).count();
+    let better = harness.service.endpoints().iter().filter(|e| e.priority == 0).count();
     assert_eq!(better, 1_000, "all records of the better priority are kept");
     assert!(harness.published.len() < 30, "{} updates for one answer", harness.published.len());
 }
@@ -512,7 +512,7 @@
 fn empty_zone_at_start_is_retried_before_its_lifetime() {
     let mut harness = Harness::new(settings(1));
     harness.advance(SECOND, |asked| absent(&mut asked.reply(), true, 300));
-    assert_eq!(harness.service.standing(), AnswerState::Fresh);
+    assert_eq!(harness.service.state(), AnswerState::Fresh);
     harness.advance(31 * SECOND, |asked| asked.zone(&ABC, 60));
     assert_eq!(harness.address_bytes(), [1, 2, 3]);
 }
--- a/crates/trial/src/tracker.rs
+++ b/crates/trial/src/tracker.rs
@@ -4,7 +4,7 @@
 use crate::timeline::{StepInEffect, Timeline, TrialTiming};
 use compact_str::CompactString;
 use hingestage_replication::{signed, Freshness, Micros};
-use hingestage_rpc::trials::{TrialNews, TrialPosition, TrialRecord, TRIALS_MAX};
+use hingestage_rpc::trials::{TrialPosition, TrialRecord, TrialUpdate, TRIALS_MAX};
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
@@ -65,8 +65,8 @@
     }
 
     /// Applies trial records from a registry's answer that arrived at `received_at`.
-    pub fn apply_updates(&mut self, received_at: Micros, updates: Vec<TrialNews>) {
-        for TrialNews { record, age } in updates {
+    pub fn apply_updates(&mut self, received_at: Micros, updates: Vec<TrialUpdate>) {
+        for TrialUpdate { record, age } in updates {
             let known_by = signed(received_at).saturating_sub(signed(age.saturating_mul(MILLI)));
             self.apply_record(received_at, record, known_by);
         }
@@ -130,12 +130,12 @@
 
 impl Trial {
     fn knows_terms_of(&self, position: &TrialPosition) -> bool {
-        self.terms.iter().any(|known| known.position.has_terms_of(position))
+        self.terms.iter().any(|known| known.position.has_same_terms(position))
     }
 
     fn decision_at(&mut self, position: TrialPosition) -> TrialDecision {
         // Terms older than those in effect are no longer needed.
-        let in_effect = self.terms.iter().position(|known| known.position.has_terms_of(&position));
+        let in_effect = self.terms.iter().position(|known| known.position.has_same_terms(&position));
         self.terms.drain(..in_effect.unwrap_or_default());
         let Some(known) = self.terms.first() else { return TrialDecision::NoTrial };
         let level = known.terms.level(position.step);
--- a/crates/trial/tests/tracker.rs
+++ b/crates/trial/tests/tracker.rs
@@ -1,6 +1,6 @@
 //! The step that applies at a proxy when updates are late, lost, repeated or known to some proxies only.
 
-use hingestage_rpc::trials::{TrialNews, TrialPosition, TrialRecord};
+use hingestage_rpc::trials::{TrialPosition, TrialRecord, TrialUpdate};
 use hingestage_trial::{Phase, TrialDecision, TrialTiming, TrialTracker};
 
 const S: u64 = 1_000_000;
@@ -13,12 +13,12 @@
     TrialRecord { tenant: "t".into(), position, terms: TERMS.as_bytes().to_vec() }
 }
 
-fn news(version: u64, step: u32, age: u64) -> Vec<TrialNews> {
-    vec![TrialNews { record: record(version, step), age }]
+fn news(version: u64, step: u32, age: u64) -> Vec<TrialUpdate> {
+    vec![TrialUpdate { record: record(version, step), age }]
 }
 
 /// Applies an up-to-date answer of a registry at `now`.
-fn receive(tracker: &mut TrialTracker, now: u64, updates: Vec<TrialNews>) {
+fn receive(tracker: &mut TrialTracker, now: u64, updates: Vec<TrialUpdate>) {
     tracker.apply_updates(now, updates);
     tracker.observe_freshness(now, Some(0));
 }
@@ -154,9 +154,9 @@
 #[test]
 fn two_hundred_trials_end_together() {
     let mut tracker = TrialTracker::new(TIMING);
-    let all = |step: u32, age: u64| -> Vec<TrialNews> {
+    let all = |step: u32, age: u64| -> Vec<TrialUpdate> {
         let tenant = |number: u64| TrialRecord { tenant: format!("t-{number}").into(), ..record(1, step) };
-        (0..200).map(|number| TrialNews { record: tenant(number), age: age + number }).collect()
+        (0..200).map(|number| TrialUpdate { record: tenant(number), age: age + number }).collect()
     };
     receive(&mut tracker, 0, all(0, 0));
     for second in 1..=20 {
@@ -175,7 +175,7 @@
 fn unreadable_terms_and_unknown_tenants_are_no_trial() {
     let mut tracker = proxy();
     let unreadable = TrialRecord { tenant: "u".into(), terms: b"{".to_vec(), ..record(1, 1) };
-    receive(&mut tracker, 20 * S, vec![TrialNews { record: unreadable, age: 60_000 }]);
+    receive(&mut tracker, 20 * S, vec![TrialUpdate { record: unreadable, age: 60_000 }]);
     assert!(matches!(tracker.decide(20 * S, "u"), TrialDecision::NoTrial));
     assert!(matches!(tracker.decide(20 * S, "v"), TrialDecision::NoTrial));
     assert_eq!(tracker.len(), 1);
