--- a/crates/change/src/fields.rs
+++ b/crates/change/src/fields.rs
@@ -30,7 +30,8 @@
     /// One message that names the field and its place.
     pub fn parse_field(&mut self, field: &Form, head: &str, name: &str) -> Result<bool, String> {
         let parse_micros = |bounds: RangeInclusive<f64>| -> Result<Micros, String> {
-            Ok((field.one(name)?.number(name, *bounds.start(), *bounds.end())? * 1e6).round() as Micros)
+            Ok((field.only_argument(name)?.number(name, *bounds.start(), *bounds.end())? * 1e6).round()
+                as Micros)
         };
         match head {
             "lease" => self.lease = parse_micros(LEASE_SECONDS)?,
@@ -57,7 +58,7 @@
 /// # Errors
 /// One message that names the field and its place.
 pub fn parse_keeper_number(form: &Form, name: &str) -> Result<u64, String> {
-    form.whole(name, 0.0, MAX_KEEPER_NUMBER)
+    form.integer(name, 0.0, MAX_KEEPER_NUMBER)
 }
 
 /// Parses keeper numbers and addresses, as in `(keepers (1 "127.0.0.1:7001") ...)`.
@@ -66,7 +67,7 @@
 /// One message that names the field and its place.
 pub fn parse_keepers(field: &Form, name: &str) -> Result<BTreeMap<u64, SocketAddr>, String> {
     let mut keepers = BTreeMap::new();
-    for form in field.rest()? {
+    for form in field.arguments()? {
         let pair = form.items()?;
         let [number, at] = pair.as_slice() else {
             return Err(form.error(name, "a number and an address are wanted"));
--- a/crates/keep/src/config.rs
+++ b/crates/keep/src/config.rs
@@ -3,7 +3,7 @@
 
 use hingestage_change::fields::{parse_address, parse_keeper_number, parse_keepers};
 use hingestage_change::rollout::LeaseConfig;
-use hingestage_form::{once, Form};
+use hingestage_form::{unique_fields, Form};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::ops::RangeInclusive;
@@ -48,9 +48,9 @@
     /// One message that names the field and its place.
     pub fn parse(text: &str) -> Result<Config, String> {
         let parsed = hingestage_form::read(text)?;
-        let section = &parsed.sole("keeper")?;
+        let section = &parsed.only_section("keeper")?;
         let mut partial = PartialConfig::default();
-        for field in once(&section.rest()?, "keeper", &[]) {
+        for field in unique_fields(&section.arguments()?, "keeper", &[]) {
             let (head, name, field) = field?;
             partial.parse_field(&field, &head, &name)?;
         }
@@ -88,14 +88,17 @@
 impl PartialConfig {
     fn parse_field(&mut self, field: &Form, head: &str, name: &str) -> Result<(), String> {
         match head {
-            "number" => self.number = Some(parse_keeper_number(&field.one(name)?, name)?),
-            "listen" => self.listen = Some(parse_address(&field.one(name)?, name)?),
-            "folder" => self.folder = Some(field.one(name)?.text(name)?.into()),
-            "first" => self.first = Some(field.one(name)?.text(name)?.into()),
+            "number" => self.number = Some(parse_keeper_number(&field.only_argument(name)?, name)?),
+            "listen" => self.listen = Some(parse_address(&field.only_argument(name)?, name)?),
+            "folder" => self.folder = Some(field.only_argument(name)?.text(name)?.into()),
+            "first" => self.first = Some(field.only_argument(name)?.text(name)?.into()),
             "keepers" => self.keepers = parse_keepers(field, name)?,
             "heartbeat" => {
-                let seconds =
-                    field.one(name)?.number(name, *HEARTBEAT_SECONDS.start(), *HEARTBEAT_SECONDS.end())?;
+                let seconds = field.only_argument(name)?.number(
+                    name,
+                    *HEARTBEAT_SECONDS.start(),
+                    *HEARTBEAT_SECONDS.end(),
+                )?;
                 self.heartbeat = Duration::from_secs_f64(seconds);
             }
             _ if self.lease_config.parse_field(field, head, name)? => {}
--- a/crates/operator/src/policy.rs
+++ b/crates/operator/src/policy.rs
@@ -1,34 +1,35 @@
-//! The section `policy`.
+//! Section `policy` of the operator file: where a gateway obtains its policy.
 
 use hingestage_change::fields::{parse_keepers, NAME_MAX};
 use hingestage_change::rollout::{LeaseConfig, Mode};
-use hingestage_form::{once, Form};
+use hingestage_form::{unique_fields, Form};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// Whose word a gateway goes by.
+/// Settings of the policy source.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Policy {
-    /// The keepers, by number.
+    /// Keeper addresses by number.
     pub keepers: BTreeMap<u64, SocketAddr>,
-    /// This gateway's name before them; one no other has.
+    /// Unique name of this gateway at the keepers.
     pub name: String,
-    /// What it does whose lease is over.
+    /// Behaviour after the lease has expired.
     pub mode: Mode,
-    /// What all go by.
+    /// Lease settings shared by all gateways and keepers.
     pub figures: LeaseConfig,
 }
 
 /// Reads the section.
 pub fn read(section: &Form) -> Result<Policy, String> {
-    let (mut at, mut own, mut mode, mut figures) = (None, None, Mode::Stop, LeaseConfig::defaults());
-    for field in once(&section.rest()?, "policy", &[]) {
+    let (mut addresses, mut own_name, mut mode, mut figures) =
+        (None, None, Mode::Stop, LeaseConfig::defaults());
+    for field in unique_fields(&section.arguments()?, "policy", &[]) {
         let (head, name, field) = field?;
         match head.as_str() {
-            "keepers" => at = Some(parse_keepers(&field, &name)?),
-            "name" => own = Some(self::name(&field, &name)?),
+            "keepers" => addresses = Some(parse_keepers(&field, &name)?),
+            "name" => own_name = Some(self::name(&field, &name)?),
             "mode" => {
-                let one = field.one(&name)?;
+                let one = field.only_argument(&name)?;
                 mode = match one.text(&name)? {
                     "stop" => Mode::Stop,
                     "serve" => Mode::Serve,
@@ -41,12 +42,12 @@
     }
     figures.validate(section, "policy")?;
     let missing = |field: &str| section.error(&format!("policy.{field}"), "missing");
-    let keepers = at.ok_or_else(|| missing("keepers"))?;
-    Ok(Policy { keepers, name: own.ok_or_else(|| missing("name"))?, mode, figures })
+    let keepers = addresses.ok_or_else(|| missing("keepers"))?;
+    Ok(Policy { keepers, name: own_name.ok_or_else(|| missing("name"))?, mode, figures })
 }
 
 fn name(field: &Form, name: &str) -> Result<String, String> {
-    let one = field.one(name)?;
+    let one = field.only_argument(name)?;
     match one.text(name)? {
         text if (1..=NAME_MAX).contains(&text.len()) => Ok(text.to_owned()),
         text => Err(one.error(name, &format!("a name of {} bytes; 1 to {NAME_MAX} are wanted", text.len()))),
@@ -59,7 +60,7 @@
     use hingestage_change::rollout::{LeaseConfig, Mode};
 
     #[test]
-    fn every_field_is_read() {
+    fn all_fields_are_read() {
         let text =
             "(policy (keepers (0 \"127.0.0.1:7000\") (1 \"127.0.0.1:7001\")) (name \"n12\") (mode serve)
                      (lease 3) (error 0.1))";
@@ -69,7 +70,7 @@
     }
 
     #[test]
-    fn every_fault_is_named_with_its_field_and_place() {
+    fn errors_name_the_field_and_position() {
         let usual = "(policy (keepers (0 \"127.0.0.1:7000\")) (name \"n\"))";
         for (from, to, wanted) in [
             ("(name \"n\")", "(name \"n\") (colour 1)", "1:51: field `policy.colour`: no such field"),
--- a/crates/sites/src/file.rs
+++ b/crates/sites/src/file.rs
@@ -1,7 +1,7 @@
 //! Reads and validates site files. An error is one message with field, line and column.
 
 use crate::model::{Load, Site, Sites};
-use hingestage_form::{once, Form};
+use hingestage_form::{unique_fields, Form};
 use std::collections::BTreeSet;
 
 /// Maximum number of sites.
@@ -20,7 +20,7 @@
 /// # Errors
 /// One message that names the field and its place.
 pub fn parse(text: &str) -> Result<Sites, String> {
-    parse_section(&hingestage_form::read(text)?.sole("sites")?)
+    parse_section(&hingestage_form::read(text)?.only_section("sites")?)
 }
 
 /// Reads and checks the list `(sites ...)` where a file holds others beside it.
@@ -29,11 +29,11 @@
 /// As [`parse`].
 pub fn parse_section(section: &Form) -> Result<Sites, String> {
     let mut sites = Sites::default();
-    for field in section.rest()? {
+    for field in section.arguments()? {
         match field.head()?.as_str() {
             "site" => sites.sites.push(parse_site(&field, &sites)?),
             "load" => sites.loads.push(parse_load(&field)?),
-            "stays" => sites.pinned_classes.extend(parse_texts(&field.rest()?, "stays")?),
+            "stays" => sites.pinned_classes.extend(parse_texts(&field.arguments()?, "stays")?),
             other => return Err(field.error(other, "no such field")),
         }
     }
@@ -91,7 +91,7 @@
 }
 
 fn parse_site(section: &Form, known: &Sites) -> Result<Site, String> {
-    let rest = section.rest()?;
+    let rest = section.arguments()?;
     let Some((name, fields)) = rest.split_first() else {
         return Err(section.error("site", "a name is missing"));
     };
@@ -100,21 +100,23 @@
         return Err(section.error("site", &format!("`{name}` is given twice")));
     }
     let mut site = Site { zones: vec![name.clone()], name, workers: 1, ..Site::default() };
-    for field in once(fields, "site", &[]) {
+    for field in unique_fields(fields, "site", &[]) {
         let (head, place, field) = field?;
         match head.as_str() {
-            "zones" => site.zones = parse_texts(&field.rest()?, &place)?,
-            "to" => site.fallbacks = parse_texts(&field.rest()?, &place)?,
+            "zones" => site.zones = parse_texts(&field.arguments()?, &place)?,
+            "to" => site.fallbacks = parse_texts(&field.arguments()?, &place)?,
             "gateways" => {
-                for number in field.rest()? {
-                    site.gateways.insert(number.whole(&place, 0.0, MAX_GATEWAY)? as u32);
+                for number in field.arguments()? {
+                    site.gateways.insert(number.integer(&place, 0.0, MAX_GATEWAY)? as u32);
                 }
             }
-            "counter" => site.counter = field.one(&place)?.flag(&place)?,
-            "workers" => site.workers = field.one(&place)?.whole(&place, 1.0, MAX_WORKERS)? as usize,
-            "reserve" => site.reserve = field.one(&place)?.number(&place, 0.0, 0.9)?,
+            "counter" => site.counter = field.only_argument(&place)?.flag(&place)?,
+            "workers" => {
+                site.workers = field.only_argument(&place)?.integer(&place, 1.0, MAX_WORKERS)? as usize
+            }
+            "reserve" => site.reserve = field.only_argument(&place)?.number(&place, 0.0, 0.9)?,
             "capacity" => {
-                for pair in field.rest()? {
+                for pair in field.arguments()? {
                     let parts = pair.items()?;
                     let [class, rate] = parts.as_slice() else {
                         return Err(pair.error(&place, "a class and requests a second are wanted"));
@@ -136,7 +138,7 @@
 }
 
 fn parse_load(field: &Form) -> Result<Load, String> {
-    let rest = field.rest()?;
+    let rest = field.arguments()?;
     let [site, plan, class, rate, worth] = rest.as_slice() else {
         return Err(
             field.error("load", "a site, a plan, a class, requests a second and their worth are wanted")
