--- a/crates/dataplane/src/wire.rs
+++ b/crates/dataplane/src/tracked_connection.rs
@@ -1,5 +1,5 @@
-//! A connection that counts what passes, can be closed at once from outside, and writes nothing new
-//! where something unasked has come in.
+//! A connection that counts its bytes, can be closed from outside, and refuses to write after
+//! unsolicited input.
 
 use hingestage_platform::{Stream, Task};
 use std::cell::{Cell, RefCell};
@@ -10,94 +10,96 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::sync::Notify;
 
-/// One of a bounded number of places; free again when dropped.
-pub struct Place(Rc<Cell<usize>>);
+/// A slot of a limited number of connections; freed on drop.
+pub struct ConnectionSlot(Rc<Cell<usize>>);
 
-impl Place {
-    /// Takes a place if fewer than `most` are taken.
-    pub fn take(taken: &Rc<Cell<usize>>, most: usize) -> Option<Place> {
-        (taken.get() < most).then(|| {
+impl ConnectionSlot {
+    /// Takes a slot if fewer than `max` are taken.
+    pub fn take(taken: &Rc<Cell<usize>>, max: usize) -> Option<ConnectionSlot> {
+        (taken.get() < max).then(|| {
             taken.set(taken.get() + 1);
-            Place(taken.clone())
+            ConnectionSlot(taken.clone())
         })
     }
 }
 
-impl Drop for Place {
+impl Drop for ConnectionSlot {
     fn drop(&mut self) {
         self.0.set(self.0.get() - 1);
     }
 }
 
-/// The part of a connection that stays in hand while the HTTP library drives the rest.
-pub struct Wire<S> {
-    stream: RefCell<Option<(S, Place)>>,
+/// The gateway's handle on a connection that the HTTP library drives.
+pub struct TrackedConnection<S> {
+    stream: RefCell<Option<(S, ConnectionSlot)>>,
     written: Cell<u64>,
     read: Cell<u64>,
-    /// Told of whatever has been read.
-    heard: Notify,
-    /// Whether nothing may have come in by the time of the next write.
-    silent: Cell<bool>,
-    driver: RefCell<Option<Box<dyn Task>>>,
+    /// Notified on each read.
+    read_notify: Notify,
+    /// Whether unsolicited input must fail the next write.
+    fail_on_input: Cell<bool>,
+    task: RefCell<Option<Box<dyn Task>>>,
 }
 
-impl<S: Stream> Wire<S> {
-    /// Takes a connection in.
-    pub fn new(stream: S, place: Place) -> Rc<Self> {
+impl<S: Stream> TrackedConnection<S> {
+    /// Wraps a connected stream.
+    pub fn new(stream: S, place: ConnectionSlot) -> Rc<Self> {
         let stream = RefCell::new(Some((stream, place)));
-        Rc::new(Wire {
+        Rc::new(TrackedConnection {
             stream,
             written: Cell::new(0),
             read: Cell::new(0),
-            heard: Notify::new(),
-            silent: Cell::new(false),
-            driver: RefCell::new(None),
+            read_notify: Notify::new(),
+            fail_on_input: Cell::new(false),
+            task: RefCell::new(None),
         })
     }
 
-    /// Names the task that drives it, which ends with it.
-    pub fn driven_by(&self, task: impl Task) {
-        *self.driver.borrow_mut() = Some(Box::new(task));
+    /// Sets the task that drives the connection; it is aborted on close.
+    pub fn set_driver(&self, task: impl Task) {
+        *self.task.borrow_mut() = Some(Box::new(task));
     }
 
-    /// Bytes that the system has taken for sending so far.
-    pub fn written(&self) -> u64 {
+    /// Bytes written to the socket so far.
+    pub fn bytes_written(&self) -> u64 {
         self.written.get()
     }
 
     /// Waits until more than `mark` bytes have been read.
     pub async fn read_past(&self, mark: u64) {
         while self.read.get() <= mark {
-            self.heard.notified().await;
+            self.read_notify.notified().await;
         }
     }
 
     /// Bytes read so far.
-    pub fn read(&self) -> u64 {
+    pub fn bytes_read(&self) -> u64 {
         self.read.get()
     }
 
-    /// Lets the next write fail, with nothing written, if anything can be read by then. What has come in
-    /// unasked would be taken for the answer to what is written next. The system itself is asked: the
-    /// runtime knows only what it was told when it last waited.
-    pub fn expect_silence(&self) {
-        self.silent.set(true);
+    /// Makes the next write fail, with nothing written, if any input is pending: unsolicited input would be
+    /// taken for the response to the next request. This asks the operating system, because the runtime's
+    /// readiness may be stale.
+    pub fn fail_on_pending_input(&self) {
+        self.fail_on_input.set(true);
     }
 
-    fn check_silence(&self) -> io::Result<()> {
+    fn check_no_input(&self) -> io::Result<()> {
         let stream = self.stream.borrow();
-        let (true, Some((stream, _))) = (self.silent.replace(false), stream.as_ref()) else { return Ok(()) };
+        let (true, Some((stream, _))) = (self.fail_on_input.replace(false), stream.as_ref()) else {
+            return Ok(());
+        };
         match stream.is_quiet() {
             true => Ok(()),
             false => Err(io::ErrorKind::ConnectionAborted.into()),
         }
     }
 
-    /// Closes the connection before this returns. Merely ending the tasks round it would leave it open until
-    /// they are next run, and a further attempt could meet this one still out.
+    /// Closes the socket before returning. Aborting the tasks alone would leave it open until they next run,
+    /// and a retry could overlap with this attempt.
     pub fn close(&self) {
         drop(self.stream.borrow_mut().take());
-        if let Some(task) = self.driver.borrow_mut().take() {
+        if let Some(task) = self.task.borrow_mut().take() {
             task.abort();
         }
     }
@@ -110,7 +112,7 @@
     }
 
     fn write(&self, poll: impl FnOnce(Pin<&mut S>) -> Poll<io::Result<usize>>) -> Poll<io::Result<usize>> {
-        self.check_silence()?;
+        self.check_no_input()?;
         let polled = self.poll(poll);
         if let Poll::Ready(Ok(n)) = polled {
             self.written.set(self.written.get() + n as u64);
@@ -119,30 +121,30 @@
     }
 }
 
-/// The side of a [`Wire`] that the HTTP library reads and writes.
-pub struct WireIo<S: Stream>(pub Rc<Wire<S>>);
+/// The I/O side of a [`TrackedConnection`], used by the HTTP library.
+pub struct TrackedIo<S: Stream>(pub Rc<TrackedConnection<S>>);
 
-impl<S: Stream> Drop for WireIo<S> {
+impl<S: Stream> Drop for TrackedIo<S> {
     fn drop(&mut self) {
-        // The library is done with it: no descriptor may outlive that.
+        // The HTTP library has finished: free the descriptor at once.
         drop(self.0.stream.borrow_mut().take());
     }
 }
 
-impl<S: Stream> AsyncRead for WireIo<S> {
+impl<S: Stream> AsyncRead for TrackedIo<S> {
     fn poll_read(self: Pin<&mut Self>, cx: &mut Context, buf: &mut ReadBuf) -> Poll<io::Result<()>> {
         let before = buf.filled().len();
         let polled = self.0.poll(|stream| stream.poll_read(cx, buf));
         let read = (buf.filled().len() - before) as u64;
         if read > 0 {
             self.0.read.set(self.0.read.get() + read);
-            self.0.heard.notify_one();
+            self.0.read_notify.notify_one();
         }
         polled
     }
 }
 
-impl<S: Stream> AsyncWrite for WireIo<S> {
+impl<S: Stream> AsyncWrite for TrackedIo<S> {
     fn poll_write(self: Pin<&mut Self>, cx: &mut Context, buf: &[u8]) -> Poll<io::Result<usize>> {
         self.0.write(|stream| stream.poll_write(cx, buf))
     }
@@ -174,28 +176,28 @@
     use std::future::poll_fn;
     use tokio::net::TcpStream;
 
-    /// What has come in and the runtime has not noticed yet must stop a write all the same.
+    /// Input that the runtime has not noticed yet must still fail the write.
     #[tokio::test]
-    async fn nothing_is_written_where_something_unasked_has_come_in() {
+    async fn a_write_fails_after_unsolicited_input() {
         let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
         let stream = TcpStream::connect(listener.local_addr().unwrap()).await.unwrap();
         let (mut peer, _) = listener.accept().unwrap();
-        let wire = Wire::new(stream, Place::take(&Rc::default(), 1).unwrap());
-        let mut io = WireIo(wire.clone());
+        let handle = TrackedConnection::new(stream, ConnectionSlot::take(&Rc::default(), 1).unwrap());
+        let mut io = TrackedIo(handle.clone());
         let mut buffer = [0; 8];
-        // The runtime learns that there is nothing to read.
+        // Clears the runtime's read readiness.
         let nothing = poll_fn(|cx| {
             let mut buffer = ReadBuf::new(&mut buffer);
             Poll::Ready(Pin::new(&mut io).poll_read(cx, &mut buffer).is_pending())
         });
         assert!(nothing.await);
-        wire.expect_silence();
+        handle.fail_on_pending_input();
         assert_eq!(poll_fn(|cx| Pin::new(&mut io).poll_write(cx, b"one")).await.unwrap(), 3);
         std::io::Write::write_all(&mut peer, b"noise").unwrap();
-        // Over loopback it has arrived; no turn of the runtime's loop lies in between.
-        wire.expect_silence();
+        // Loopback delivers at once; the runtime has not polled in between.
+        handle.fail_on_pending_input();
         let written = poll_fn(|cx| Poll::Ready(Pin::new(&mut io).poll_write(cx, b"two"))).await;
         assert!(matches!(written, Poll::Ready(Err(_))));
-        assert_eq!(wire.written(), 3);
+        assert_eq!(handle.bytes_written(), 3);
     }
 }
--- a/crates/membership/src/members.rs
+++ b/crates/membership/src/members.rs
@@ -1,210 +1,210 @@
-//! What each source says of each worker, and what the decisions are told of it.
+//! Tracks the reports of each source and derives worker updates from them.
 
 use crate::hosts::{HostList, Target};
-use crate::rule::{judge, ListWord, SrvWord, Verdict};
+use crate::resolution::{resolve, DnsStatus, ListStatus, WorkerState};
 use hingestage_policy::{fnv, Availability, ListScope, Micros, WorkerId, WorkerInfo, Zone};
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::net::SocketAddr;
 
-/// Ids kept, of workers listed and gone; past that those gone are forgotten.
-const IDS_MAX: usize = 1_000;
-/// Workers that the list took away and whose addresses DNS still names, kept so that the list's word holds.
-const REMOVED_MAX: usize = 4_096;
+/// Maximum number of remembered ids; above it those of removed workers are forgotten.
+const REMEMBERED_IDS_MAX: usize = 1_000;
+/// Maximum number of removed workers that are remembered because DNS still has their address.
+const REMEMBERED_REMOVALS_MAX: usize = 4_096;
 
-/// Refused connections to one worker that lie closer together than this are one, µs.
-const REFUSED_EVERY: Micros = 1_000_000;
+/// Refused connections to a worker within this interval count once, µs.
+const REFUSAL_INTERVAL: Micros = 1_000_000;
 
-/// An address that DNS names.
+/// An address from DNS.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Address {
-    /// Where the worker is.
+    /// Socket address.
     pub at: SocketAddr,
-    /// Less is better.
+    /// Priority tier; lower is preferred.
     pub tier: u32,
-    /// Its size, 1 on the mean.
+    /// Relative capacity; 1 is average.
     pub size: f64,
-    /// The names that lead there.
+    /// The host names that resolve to it.
     pub names: Vec<String>,
 }
 
-/// Where connections to a worker lead.
+/// Where to connect to a worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Located {
-    /// Its address.
+pub struct WorkerLocation {
+    /// Socket address.
     pub at: SocketAddr,
-    /// When it last started, as its source tells it; tells one life at an address from the next.
-    pub life: u64,
+    /// Start time reported by the source, ms; distinguishes successive processes at one address.
+    pub started_ms: u64,
 }
 
-/// A worker as it is to be held from now on.
+/// The new state of a worker.
 #[derive(Clone, Debug)]
-pub struct Told {
-    /// What the decisions go by.
+pub struct WorkerUpdate {
+    /// The worker as passed to the decision logic.
     pub info: WorkerInfo,
-    /// Where it is; none where it is no more, or nowhere.
-    pub place: Option<Located>,
+    /// Where to connect; `None` if it is gone or has no address.
+    pub location: Option<WorkerLocation>,
 }
 
-/// What follows from a word of a source.
+/// The result of a source's report.
 #[derive(Clone, Debug)]
-pub struct Change {
-    /// What it covers.
+pub struct MembershipUpdate {
+    /// Which workers the update covers.
     pub scope: ListScope,
-    /// The workers that it names.
-    pub workers: Vec<Told>,
-    /// What is odd about it, to be noted.
-    pub odd: Vec<String>,
+    /// The updated workers.
+    pub workers: Vec<WorkerUpdate>,
+    /// Problems to log.
+    pub warnings: Vec<String>,
 }
 
-/// Which sources there are.
+/// The configured sources.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Sources {
-    /// The list alone.
-    List,
-    /// DNS, alone or beside the list.
-    Srv {
-        /// How long a worker may finish what it has once its record has vanished, µs.
+    /// Discovery only.
+    Discovery,
+    /// DNS, alone or together with discovery.
+    Dns {
+        /// How long a worker drains after its record has disappeared, µs.
         grace: Micros,
-        /// Whether workers that the first answer names are taken for cold.
+        /// Whether workers of the first answer are treated as just started.
         cold_at_start: bool,
     },
 }
 
-/// A worker as the list names it.
+/// A worker from discovery's list.
 #[derive(Clone, Debug)]
-struct Listed {
+struct ListedWorker {
     target: Target,
     at: Option<SocketAddr>,
-    word: ListWord,
+    status: ListStatus,
 }
 
-/// An address as DNS names it.
+/// An address from DNS with its status.
 #[derive(Clone, Debug)]
-struct Named {
+struct DnsAddress {
     address: Address,
-    word: SrvWord,
+    status: DnsStatus,
 }
 
-/// Which worker is which, and what is said of each.
+/// Assigns worker ids and tracks what each source reports.
 #[derive(Debug)]
 pub struct Membership {
     sources: Sources,
     ids: HashMap<String, WorkerId>,
     next: u64,
-    /// Workers that have a place.
-    placed: HashSet<WorkerId>,
-    /// By `uid`; with DNS only.
-    listed: BTreeMap<String, Listed>,
-    /// By address; with DNS only.
-    named: BTreeMap<SocketAddr, Named>,
-    /// Whether DNS has answered at all.
+    /// Workers with a location.
+    located: HashSet<WorkerId>,
+    /// By `uid`; unused without DNS.
+    listed: BTreeMap<String, ListedWorker>,
+    /// By address; unused without DNS.
+    dns: BTreeMap<SocketAddr, DnsAddress>,
+    /// Whether DNS has answered yet.
     answered: bool,
 }
 
 impl Membership {
-    /// Nobody yet.
+    /// Creates an empty membership.
     pub fn new(sources: Sources) -> Membership {
         Membership {
             sources,
             ids: HashMap::new(),
             next: 0,
-            placed: HashSet::new(),
+            located: HashSet::new(),
             listed: BTreeMap::new(),
-            named: BTreeMap::new(),
+            dns: BTreeMap::new(),
             answered: false,
         }
     }
 
-    /// Goes by other figures from now on; which sources there are stays as it was.
-    pub fn go_by(&mut self, sources: Sources) {
-        if matches!((self.sources, sources), (Sources::Srv { .. }, Sources::Srv { .. })) {
+    /// Changes the parameters of the DNS source; which sources are configured does not change.
+    pub fn reconfigure(&mut self, sources: Sources) {
+        if matches!((self.sources, sources), (Sources::Dns { .. }, Sources::Dns { .. })) {
             self.sources = sources;
         }
     }
 
-    /// Takes in a list. `scope` says what it covers.
-    pub fn list(&mut self, list: &HostList, scope: ListScope, now: Micros) -> Change {
+    /// Applies a list from discovery that covers `scope`.
+    pub fn apply_list(&mut self, list: &HostList, scope: ListScope, now: Micros) -> MembershipUpdate {
         match self.sources {
-            Sources::List => self.pass_on(list, scope),
-            Sources::Srv { grace, .. } => {
-                // What binds nothing any more must not bind because nobody looked in between.
-                self.forget(now, grace);
-                let odd = self.take_list(list, scope);
-                Change { odd, ..self.joined(scope, now, grace) }
+            Sources::Discovery => self.apply_list_only(list, scope),
+            Sources::Dns { grace, .. } => {
+                // Expired entries must have no effect even if nothing was processed since.
+                self.drop_expired(now, grace);
+                let warnings = self.record_list(list, scope);
+                MembershipUpdate { warnings, ..self.merge(scope, now, grace) }
             }
         }
     }
 
-    /// Takes in all addresses that DNS names.
-    pub fn srv(&mut self, addresses: &[Address], now: Micros) -> Change {
-        let Sources::Srv { grace, cold_at_start } = self.sources else {
-            return Change { scope: ListScope::Delta, workers: Vec::new(), odd: Vec::new() };
+    /// Applies the full set of addresses from DNS.
+    pub fn apply_dns(&mut self, addresses: &[Address], now: Micros) -> MembershipUpdate {
+        let Sources::Dns { grace, cold_at_start } = self.sources else {
+            return MembershipUpdate { scope: ListScope::Delta, workers: Vec::new(), warnings: Vec::new() };
         };
-        self.forget(now, grace);
+        self.drop_expired(now, grace);
         let first = !std::mem::replace(&mut self.answered, true);
         let seen = (!first || cold_at_start).then_some(now);
-        let there: HashSet<SocketAddr> = addresses.iter().map(|a| a.at).collect();
-        for (_, named) in self.named.iter_mut().filter(|(at, _)| !there.contains(at)) {
-            if let SrvWord::Present(_) = named.word {
-                named.word = SrvWord::Vanished(now);
+        let present: HashSet<SocketAddr> = addresses.iter().map(|a| a.at).collect();
+        for (_, named) in self.dns.iter_mut().filter(|(at, _)| !present.contains(at)) {
+            if let DnsStatus::Present(_) = named.status {
+                named.status = DnsStatus::Vanished(now);
             }
         }
         for address in addresses {
-            let word = match self.named.get(&address.at) {
-                // Under none of its names any more: another worker has taken the address over.
+            let status = match self.dns.get(&address.at) {
+                // None of its former names is left: another worker has taken over the address.
                 Some(former) if !former.address.names.iter().any(|name| address.names.contains(name)) => {
-                    SrvWord::Present(Some(now))
+                    DnsStatus::Present(Some(now))
                 }
-                Some(Named { word: SrvWord::Present(since), .. }) => SrvWord::Present(*since),
-                // Back after it had vanished: whether it is the same process nobody tells, so it is not.
-                Some(_) => SrvWord::Present(Some(now)),
-                None => SrvWord::Present(seen),
+                Some(DnsAddress { status: DnsStatus::Present(since), .. }) => DnsStatus::Present(*since),
+                // Reappeared: assume a new process.
+                Some(_) => DnsStatus::Present(Some(now)),
+                None => DnsStatus::Present(seen),
             };
-            self.named.insert(address.at, Named { address: address.clone(), word });
+            self.dns.insert(address.at, DnsAddress { address: address.clone(), status });
         }
-        self.joined(ListScope::Full, now, grace)
+        self.merge(ListScope::Full, now, grace)
     }
 
-    /// Takes in that nobody listens at a worker's address. Where no source tells starts, whoever listens there
-    /// next has just started.
-    pub fn refused(&mut self, id: WorkerId, now: Micros) -> Option<Change> {
-        let Sources::Srv { grace, .. } = self.sources else { return None };
+    /// Records that a worker's address refuses connections. If no source reports start times, whichever
+    /// process listens there next counts as just started.
+    pub fn connection_refused(&mut self, id: WorkerId, now: Micros) -> Option<MembershipUpdate> {
+        let Sources::Dns { grace, .. } = self.sources else { return None };
         let (name, _) = self.ids.iter().find(|(_, known)| **known == id)?;
-        // Another name is the list's, which tells starts itself.
-        let at: SocketAddr = name.strip_prefix(SRV_NAME)?.parse().ok()?;
-        let SrvWord::Present(since) = &mut self.named.get_mut(&at)?.word else { return None };
-        // Refusals come in swarms; one a second tells as much.
-        if since.is_some_and(|at| now < at + REFUSED_EVERY) {
+        // Any other name comes from discovery, which reports start times.
+        let at: SocketAddr = name.strip_prefix(SRV_PREFIX)?.parse().ok()?;
+        let DnsStatus::Present(since) = &mut self.dns.get_mut(&at)?.status else { return None };
+        // Refusals come in bursts.
+        if since.is_some_and(|at| now < at + REFUSAL_INTERVAL) {
             return None;
         }
         *since = Some(now);
-        Some(self.joined(ListScope::Full, now, grace))
+        Some(self.merge(ListScope::Full, now, grace))
     }
 
-    /// When [`Membership::lapse`] has something to do.
-    pub fn wake(&self) -> Option<Micros> {
-        let Sources::Srv { grace, .. } = self.sources else { return None };
-        let ends = self.named.values().filter_map(|named| match named.word {
-            SrvWord::Vanished(since) if self.placed_at(&named.address.at) => Some(since + grace),
+    /// When [`Membership::expire`] is next due.
+    pub fn next_expiry(&self) -> Option<Micros> {
+        let Sources::Dns { grace, .. } = self.sources else { return None };
+        let ends = self.dns.values().filter_map(|named| match named.status {
+            DnsStatus::Vanished(since) if self.is_located(&named.address.at) => Some(since + grace),
             _ => None,
         });
         ends.min()
     }
 
-    /// Takes in that time has passed: graces end.
-    pub fn lapse(&mut self, now: Micros) -> Option<Change> {
-        let Sources::Srv { grace, .. } = self.sources else { return None };
-        self.wake().is_some_and(|at| at <= now).then(|| self.joined(ListScope::Full, now, grace))
+    /// Removes workers whose grace period has ended.
+    pub fn expire(&mut self, now: Micros) -> Option<MembershipUpdate> {
+        let Sources::Dns { grace, .. } = self.sources else { return None };
+        self.next_expiry().is_some_and(|at| at <= now).then(|| self.merge(ListScope::Full, now, grace))
     }
 
-    /// Workers that have a place.
-    pub fn placed(&self) -> &HashSet<WorkerId> {
-        &self.placed
+    /// Workers with a location.
+    pub fn located(&self) -> &HashSet<WorkerId> {
+        &self.located
     }
 
-    /// How many addresses, listed workers and ids are kept.
+    /// Number of tracked addresses, listed workers and ids.
     pub fn sizes(&self) -> (usize, usize, usize) {
-        (self.named.len(), self.listed.len(), self.ids.len())
+        (self.dns.len(), self.listed.len(), self.ids.len())
     }
 
     fn id(&mut self, name: &str) -> WorkerId {
@@ -216,127 +216,128 @@
         WorkerId(self.next)
     }
 
-    /// A worker that comes back keeps its id; only a fleet's many former lives are forgotten.
-    fn forget_ids(&mut self) {
-        if self.ids.len() > IDS_MAX {
-            self.ids.retain(|_, id| self.placed.contains(id));
+    /// Ids of removed workers are kept in case they return, up to a limit.
+    fn drop_old_ids(&mut self) {
+        if self.ids.len() > REMEMBERED_IDS_MAX {
+            self.ids.retain(|_, id| self.located.contains(id));
         }
     }
 
-    // ---- the list alone ----
+    // ---- discovery only ----
 
-    fn pass_on(&mut self, list: &HostList, scope: ListScope) -> Change {
-        let mut odd = Vec::new();
-        let workers: Vec<Told> = list.targets.iter().map(|target| self.pass_one(target, &mut odd)).collect();
+    fn apply_list_only(&mut self, list: &HostList, scope: ListScope) -> MembershipUpdate {
+        let mut warnings = Vec::new();
+        let workers: Vec<WorkerUpdate> =
+            list.targets.iter().map(|target| self.convert_target(target, &mut warnings)).collect();
         if scope != ListScope::Delta {
             let named: HashSet<WorkerId> = workers.iter().map(|w| w.info.id).collect();
-            self.placed.retain(|id| named.contains(id));
+            self.located.retain(|id| named.contains(id));
         }
-        self.forget_ids();
-        Change { scope, workers, odd }
+        self.drop_old_ids();
+        MembershipUpdate { scope, workers, warnings }
     }
 
-    fn pass_one(&mut self, target: &Target, odd: &mut Vec<String>) -> Told {
+    fn convert_target(&mut self, target: &Target, warnings: &mut Vec<String>) -> WorkerUpdate {
         let id = self.id(&target.uid);
         let mut availability = availability(target);
-        let at = address(target, odd);
-        let place = at.filter(|_| availability != Availability::Gone);
-        match place {
-            Some(_) => drop(self.placed.insert(id)),
+        let at = address(target, warnings);
+        let location = at.filter(|_| availability != Availability::Gone);
+        match location {
+            Some(_) => drop(self.located.insert(id)),
             None => {
                 availability = Availability::Gone;
-                self.placed.remove(&id);
+                self.located.remove(&id);
             }
         }
-        let place = place.map(|at| Located { at, life: target.boot_ms });
+        let location = location.map(|at| WorkerLocation { at, started_ms: target.boot_ms });
         let started = started(target);
-        Told { info: info(id, target, availability, started), place }
+        WorkerUpdate { info: info(id, target, availability, started), location }
     }
 
-    // ---- both ----
+    // ---- discovery and DNS ----
 
-    fn take_list(&mut self, list: &HostList, scope: ListScope) -> Vec<String> {
-        let mut odd = Vec::new();
+    fn record_list(&mut self, list: &HostList, scope: ListScope) -> Vec<String> {
+        let mut warnings = Vec::new();
         if scope != ListScope::Delta {
-            let there: HashSet<&str> = list.targets.iter().map(|t| t.uid.as_str()).collect();
-            for (_, listed) in self.listed.iter_mut().filter(|(uid, _)| !there.contains(uid.as_str())) {
-                listed.word = ListWord::Removed;
+            let present: HashSet<&str> = list.targets.iter().map(|t| t.uid.as_str()).collect();
+            for (_, listed) in self.listed.iter_mut().filter(|(uid, _)| !present.contains(uid.as_str())) {
+                listed.status = ListStatus::Removed;
             }
         }
         for target in &list.targets {
-            let at = address(target, &mut odd);
+            let at = address(target, &mut warnings);
             let former = self.listed.get(&target.uid).and_then(|listed| listed.at);
-            let word = match availability(target) {
-                Availability::Ready => ListWord::Up(started(target)),
-                Availability::Draining => ListWord::Draining(started(target)),
-                Availability::Gone => ListWord::Removed,
+            let status = match availability(target) {
+                Availability::Ready => ListStatus::Up(started(target)),
+                Availability::Draining => ListStatus::Draining(started(target)),
+                Availability::Gone => ListStatus::Removed,
             };
-            // One that is removed need not say where it was.
-            let at = at.or(if word == ListWord::Removed { former } else { None });
-            self.listed.insert(target.uid.clone(), Listed { target: target.clone(), at, word });
+            // A removal may omit the address.
+            let at = at.or(if status == ListStatus::Removed { former } else { None });
+            self.listed.insert(target.uid.clone(), ListedWorker { target: target.clone(), at, status });
         }
-        odd
+        warnings
     }
 
-    /// What the list says of an address where none of its workers is up or drains.
-    fn removed_at(&self) -> HashSet<SocketAddr> {
-        let removed = self.listed.values().filter(|l| l.word == ListWord::Removed);
+    /// Addresses whose listed workers have all been removed.
+    fn removed_addresses(&self) -> HashSet<SocketAddr> {
+        let removed = self.listed.values().filter(|l| l.status == ListStatus::Removed);
         let mut at: HashSet<SocketAddr> = removed.filter_map(|l| l.at).collect();
-        let there = self.listed.values().filter(|l| l.word != ListWord::Removed);
-        for lives in there.filter_map(|l| l.at) {
+        let present = self.listed.values().filter(|l| l.status != ListStatus::Removed);
+        for lives in present.filter_map(|l| l.at) {
             at.remove(&lives);
         }
         at
     }
 
-    fn placed_at(&self, at: &SocketAddr) -> bool {
+    fn is_located(&self, at: &SocketAddr) -> bool {
         let of_list = self.listed.values().filter(|l| l.at == Some(*at));
         let names = of_list.map(|l| l.target.uid.clone()).chain([srv_name(at)]);
-        names.filter_map(|name| self.ids.get(&name)).any(|id| self.placed.contains(id))
+        names.filter_map(|name| self.ids.get(&name)).any(|id| self.located.contains(id))
     }
 
-    /// All workers as both sources together have them.
-    fn joined(&mut self, scope: ListScope, now: Micros, grace: Micros) -> Change {
+    /// All workers, merged from both sources.
+    fn merge(&mut self, scope: ListScope, now: Micros, grace: Micros) -> MembershipUpdate {
         let scope = if scope == ListScope::Delta { ListScope::Full } else { scope };
         let mut workers = Vec::new();
         let mut of_list: HashSet<SocketAddr> = HashSet::new();
-        let listed: Vec<Listed> = self.listed.values().cloned().collect();
+        let listed: Vec<ListedWorker> = self.listed.values().cloned().collect();
         for listed in &listed {
             let Some(at) = listed.at else { continue };
-            if listed.word != ListWord::Removed {
+            if listed.status != ListStatus::Removed {
                 of_list.insert(at);
             }
-            self.rename(&listed.target.uid, &at);
-            let srv = self.named.get(&at);
-            let verdict = judge(listed.word, srv.map_or(SrvWord::Silent, |n| n.word), now, grace);
+            self.adopt_id(&listed.target.uid, &at);
+            let srv = self.dns.get(&at);
+            let state = resolve(listed.status, srv.map_or(DnsStatus::Unknown, |n| n.status), now, grace);
             let tier = srv.map_or(0, |n| n.address.tier);
-            let mut told = self.tell(&listed.target.uid, &listed.target, at, verdict);
-            told.info.tier = tier;
-            // Gateways may learn of a worker from either source first: its place must not hang on which.
-            told.info.hash = fnv(srv_name(&at).as_bytes());
-            workers.push(told);
+            let mut update = self.update(&listed.target.uid, &listed.target, at, state);
+            update.info.tier = tier;
+            // The hash must not depend on which source a gateway sees first.
+            update.info.hash = fnv(srv_name(&at).as_bytes());
+            workers.push(update);
         }
-        let removed = self.removed_at();
-        let named: Vec<Named> =
-            self.named.values().filter(|n| !of_list.contains(&n.address.at)).cloned().collect();
-        for Named { address, word } in named {
-            let list = if removed.contains(&address.at) { ListWord::Removed } else { ListWord::Silent };
+        let removed = self.removed_addresses();
+        let named: Vec<DnsAddress> =
+            self.dns.values().filter(|n| !of_list.contains(&n.address.at)).cloned().collect();
+        for DnsAddress { address, status } in named {
+            let list = if removed.contains(&address.at) { ListStatus::Removed } else { ListStatus::Unknown };
             let name = srv_name(&address.at);
             let target =
-                Target { uid: name.clone(), capacity_hint: Some(address.size), ..Target::nameless() };
-            let mut told = self.tell(&name, &target, address.at, judge(list, word, now, grace));
-            told.info.tier = address.tier;
-            workers.push(told);
+                Target { uid: name.clone(), capacity_hint: Some(address.size), ..Target::anonymous() };
+            let mut update = self.update(&name, &target, address.at, resolve(list, status, now, grace));
+            update.info.tier = address.tier;
+            workers.push(update);
         }
-        self.forget(now, grace);
+        self.drop_expired(now, grace);
         let named: HashSet<WorkerId> = workers.iter().map(|w| w.info.id).collect();
-        self.placed.retain(|id| named.contains(id));
-        self.forget_ids();
-        Change { scope, workers, odd: Vec::new() }
+        self.located.retain(|id| named.contains(id));
+        self.drop_old_ids();
+        MembershipUpdate { scope, workers, warnings: Vec::new() }
     }
 
-    /// A worker that DNS told of first and the list names now is the same worker.
-    fn rename(&mut self, uid: &str, at: &SocketAddr) {
+    /// Keeps the id of a worker that DNS reported before discovery did.
+    fn adopt_id(&mut self, uid: &str, at: &SocketAddr) {
         if !self.ids.contains_key(uid) {
             if let Some(id) = self.ids.remove(&srv_name(at)) {
                 self.ids.insert(uid.to_owned(), id);
@@ -344,64 +345,64 @@
         }
     }
 
-    fn tell(&mut self, name: &str, target: &Target, at: SocketAddr, verdict: Verdict) -> Told {
+    fn update(&mut self, name: &str, target: &Target, at: SocketAddr, state: WorkerState) -> WorkerUpdate {
         let id = self.id(name);
-        let (availability, started) = match verdict {
-            Verdict::Ready(started) => (Availability::Ready, started),
-            Verdict::Draining(started) => (Availability::Draining, started),
-            Verdict::Gone => (Availability::Gone, None),
+        let (availability, started) = match state {
+            WorkerState::Ready(started) => (Availability::Ready, started),
+            WorkerState::Draining(started) => (Availability::Draining, started),
+            WorkerState::Gone => (Availability::Gone, None),
         };
-        let place = (availability != Availability::Gone)
-            .then_some(Located { at, life: started.map_or(0, |started| started / 1_000) });
-        match place {
-            Some(_) => drop(self.placed.insert(id)),
-            None => drop(self.placed.remove(&id)),
+        let location = (availability != Availability::Gone)
+            .then_some(WorkerLocation { at, started_ms: started.map_or(0, |started| started / 1_000) });
+        match location {
+            Some(_) => drop(self.located.insert(id)),
+            None => drop(self.located.remove(&id)),
         }
-        Told { info: info(id, target, availability, started), place }
+        WorkerUpdate { info: info(id, target, availability, started), location }
     }
 
-    /// Words that bind nothing any more.
-    fn forget(&mut self, now: Micros, grace: Micros) {
-        let there = self.listed.values().filter(|l| l.word != ListWord::Removed);
-        let listed: HashSet<SocketAddr> = there.filter_map(|l| l.at).collect();
-        let over = |word: SrvWord| matches!(word, SrvWord::Vanished(since) if now >= since + grace);
-        self.named.retain(|at, named| !over(named.word) || listed.contains(at));
-        let named = &self.named;
-        let binds = |l: &Listed| l.at.is_some_and(|at| named.contains_key(&at));
-        self.listed.retain(|_, l| l.word != ListWord::Removed || binds(l));
-        let removed = self.listed.values().filter(|l| l.word == ListWord::Removed).count();
-        if removed > REMOVED_MAX {
-            self.listed.retain(|_, l| l.word != ListWord::Removed);
+    /// Drops expired entries.
+    fn drop_expired(&mut self, now: Micros, grace: Micros) {
+        let present = self.listed.values().filter(|l| l.status != ListStatus::Removed);
+        let listed: HashSet<SocketAddr> = present.filter_map(|l| l.at).collect();
+        let over = |status: DnsStatus| matches!(status, DnsStatus::Vanished(since) if now >= since + grace);
+        self.dns.retain(|at, named| !over(named.status) || listed.contains(at));
+        let named = &self.dns;
+        let binds = |l: &ListedWorker| l.at.is_some_and(|at| named.contains_key(&at));
+        self.listed.retain(|_, l| l.status != ListStatus::Removed || binds(l));
+        let removed = self.listed.values().filter(|l| l.status == ListStatus::Removed).count();
+        if removed > REMEMBERED_REMOVALS_MAX {
+            self.listed.retain(|_, l| l.status != ListStatus::Removed);
         }
     }
 }
 
-/// What the names of workers that DNS alone knows begin with.
-const SRV_NAME: &str = "srv:";
+/// Prefix of the names of workers known only from DNS.
+const SRV_PREFIX: &str = "srv:";
 
-/// The name of a worker that DNS alone knows.
+/// Name of a worker known only from DNS.
 fn srv_name(at: &SocketAddr) -> String {
-    format!("{SRV_NAME}{at}")
+    format!("{SRV_PREFIX}{at}")
 }
 
 fn availability(target: &Target) -> Availability {
     match target.state.as_str() {
         "up" => Availability::Ready,
         "removed" => Availability::Gone,
-        // A word nobody has described is no leave to send.
+        // Unknown states must not receive requests.
         _ => Availability::Draining,
     }
 }
 
-fn address(target: &Target, odd: &mut Vec<String>) -> Option<SocketAddr> {
+fn address(target: &Target, warnings: &mut Vec<String>) -> Option<SocketAddr> {
     let parsed = target.endpoint.parse();
     if parsed.is_err() && target.state != "removed" {
-        odd.push(format!("discovery: worker {:?} has no address", target.uid));
+        warnings.push(format!("discovery: worker {:?} has no valid address", target.uid));
     }
     parsed.ok()
 }
 
-/// The gateway's clock counts Unix time too, so that all gateways agree on a start.
+/// Start time on the gateways' common clock, Unix time in µs.
 fn started(target: &Target) -> Option<Micros> {
     (target.boot_ms > 0).then(|| target.boot_ms.saturating_mul(1_000))
 }
--- a/crates/registry/src/status.rs
+++ b/crates/registry/src/status.rs
@@ -3,7 +3,7 @@
 use crate::server::Registry;
 use compact_str::CompactString;
 use hingestage_discovery::ListedWorker;
-use hingestage_node::settings::InnerPort;
+use hingestage_node::settings::InternalPort;
 use hingestage_replication::Micros;
 use hingestage_rpc::messages::ZoneDrains;
 use hingestage_rpc::status::{RegistryStatus, WorkerGroup};
@@ -29,7 +29,7 @@
             workers: group_workers(now, self.workers.borrow().catalog().workers(), &have.drains),
             drained: drained.map(|(zone, _)| zone.clone()).collect(),
             members: committed.proxies.len() as u32,
-            store: self.settings.inner(InnerPort::ConfigStore),
+            store: self.settings.internal_addr(InternalPort::ConfigStore),
             registries: election.members(now),
             proxies: self.directory.borrow().live_proxies(now).cloned().collect(),
         }
