--- a/crates/fleet/src/table.rs
+++ b/crates/fleet/src/table.rs
@@ -1,70 +1,70 @@
-//! Words passed among gateways.
+//! Gossip among gateways: each keeps a table of the heartbeats that it has heard of.
 //!
-//! A gateway gives each word that it issues a number, its *beat*, and asks one other after the other, telling
-//! whom it has heard; the answer confirms the word and tells whom that one has heard. So news of a gateway
-//! reach those who can't reach it themselves. A new beat of a gateway is the evidence that it lives; the age of
-//! the last new one tells the rest.
+//! A gateway numbers its messages with a heartbeat counter (*beat*) and sends them to its peers in turn, each with the
+//! heartbeats that it knows; the answer confirms the message and carries those that the peer knows. So heartbeats reach
+//! gateways that have no direct connection. A new heartbeat shows that its sender is alive; the age of the newest one
+//! decides whether it is suspect or gone.
 
 use crate::Micros;
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt::Write;
 
-/// Most gateways that tell each other: each asks all others within a lease, so the fleet's calls grow with the
-/// square. Of 64 each makes 50 a second at most, a word in 20 ms, and asks each other one once in 1.3 s.
+/// Maximum size of a fleet that gossips. The number of messages grows with its square: of 64 gateways each sends up to
+/// 50 messages per second and reaches every peer once in 1.3 s.
 pub const GATEWAYS_MAX: u32 = 64;
-/// The longest message, bytes: a line of 60 for each gateway and one more.
+/// The longest message in bytes: a line of 60 for each gateway, and the head.
 pub const MESSAGE_MAX: usize = 60 * (GATEWAYS_MAX as usize + 1);
 
-/// Beats from here on are goodbyes: the last word of a life, after which it holds no part. What is above tells the last slot
-/// of the roll call that this life may have marked. Builds that know no goodbyes take it for one more beat.
+/// Beats from here on are goodbyes, the last messages of an incarnation, which holds no part any more. The lower bits
+/// are the last slot of the roll call that it may have marked. Versions without goodbyes read them as newer beats.
 const GOODBYE: u64 = 1 << 63;
-/// A goodbye of one that calls no roll.
+/// Goodbye of a gateway that takes no part in the roll call.
 const NO_SLOT: u64 = u64::MAX;
 
-/// What is known of a gateway.
+/// Liveness of a gateway as seen by another.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Standing {
-    /// It was heard lately.
+    /// A recent heartbeat is known.
     Alive,
-    /// It was not heard for half of the time after which it is taken for gone, or its clients come here.
+    /// No heartbeat for half of the time after which it is gone, or its clients have moved here.
     Doubtful,
-    /// It was not heard for long, or never; or it has said goodbye.
+    /// No heartbeat for long, or ever; or it said goodbye.
     Gone,
 }
 
-/// The last beat of a gateway.
+/// The newest heartbeat of a gateway.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct Heard {
     life: u64,
     beat: u64,
-    /// When it was first heard here, by whatever way.
+    /// When it was first received here, directly or through another gateway.
     at: Micros,
-    /// Clients of a set of which this gateway is come to others.
-    doubted: bool,
+    /// Clients of this gateway have moved to others.
+    suspected: bool,
 }
 
-/// A message, asked or answered.
+/// A gossip message, sent as a request and as its answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Message {
-    /// Who says it, its life and the beat.
+    /// Number of the sender.
     pub from: u32,
-    /// See `from`.
+    /// Incarnation of the sender.
     pub life: u64,
-    /// See `from`.
+    /// Heartbeat of the sender.
     pub beat: u64,
-    /// Whom it knows: number, life, beat.
+    /// Heartbeats that the sender knows: number, incarnation, beat.
     pub known: Vec<(u32, u64, u64)>,
-    /// Whom it lists as absent.
+    /// Gateways that the sender lists as absent.
     pub absent: BTreeSet<u32>,
 }
 
-/// The first word of a message: what follows may change with it.
-const FORM: &str = "fleet-1";
+/// Format tag at the start of a message.
+const FORMAT: &str = "fleet-1";
 
 impl Message {
-    /// Its text.
+    /// Encodes the message.
     pub fn text(&self) -> String {
-        let mut text = format!("{FORM} {} {} {}\n", self.from, self.life, self.beat);
+        let mut text = format!("{FORMAT} {} {} {}\n", self.from, self.life, self.beat);
         for (number, life, beat) in &self.known {
             let state = if self.absent.contains(number) { "absent" } else { "heard" };
             let _ = writeln!(text, "{number} {life} {beat} {state}");
@@ -75,52 +75,52 @@
         text
     }
 
-    /// Reads one.
+    /// Decodes a message.
     ///
     /// # Errors
-    /// What is wrong with it.
+    /// The fault in the text.
     pub fn read(text: &str) -> Result<Message, String> {
         if text.len() > MESSAGE_MAX {
             return Err("too long".into());
         }
         let mut lines = text.lines();
         let head: Vec<&str> = lines.next().unwrap_or_default().split(' ').collect();
-        let [form, from, life, beat] = head[..] else { return Err("no head".into()) };
-        if form != FORM {
-            return Err(format!("not of the form {FORM}"));
+        let [format, from, life, beat] = head[..] else { return Err("no head".into()) };
+        if format != FORMAT {
+            return Err(format!("not of the form {FORMAT}"));
         }
         let mut message = Message {
-            from: gateway(from)?,
-            life: number(life)?,
-            beat: number(beat)?,
+            from: parse_gateway(from)?,
+            life: parse_number(life)?,
+            beat: parse_number(beat)?,
             known: Vec::new(),
             absent: BTreeSet::new(),
         };
         for line in lines {
             let words: Vec<&str> = line.split(' ').collect();
             let [of, life, beat, state] = words[..] else { return Err("a line without four words".into()) };
-            let of = gateway(of)?;
+            let of = parse_gateway(of)?;
             if state == "absent" {
                 message.absent.insert(of);
             }
             if (life, beat) != ("0", "0") {
-                message.known.push((of, number(life)?, number(beat)?));
+                message.known.push((of, parse_number(life)?, parse_number(beat)?));
             }
         }
         Ok(message)
     }
 }
 
-fn number(text: &str) -> Result<u64, String> {
+fn parse_number(text: &str) -> Result<u64, String> {
     text.parse().map_err(|_| "no number".to_owned())
 }
 
-fn gateway(text: &str) -> Result<u32, String> {
+fn parse_gateway(text: &str) -> Result<u32, String> {
     let number = text.parse().ok().filter(|n| *n < GATEWAYS_MAX);
     number.ok_or_else(|| "no number of a gateway".to_owned())
 }
 
-/// What one gateway has heard. An entry takes 40 bytes, and there is one for each gateway of the fleet at most.
+/// The heartbeats that one gateway knows, at most one for each gateway of the fleet.
 pub struct Table {
     me: u32,
     life: u64,
@@ -128,32 +128,32 @@
     gateways: u32,
     gone_after: Micros,
     heard: BTreeMap<u32, Heard>,
-    /// All its words are goodbyes.
+    /// Set once all messages are goodbyes.
     left: bool,
-    /// Whom to ask next.
+    /// The peer asked last, for round robin.
     turn: u32,
-    /// A newer life of this gateway is known.
+    /// A newer incarnation of this gateway is known.
     superseded: bool,
 }
 
 impl Table {
-    /// That of a life that begins: `life` is greater than that of all before, as the time of its start is.
+    /// Creates the table of a new incarnation. `life` must exceed that of all earlier ones, as the start time does.
     pub fn new(me: u32, life: u64, gateways: u32, gone_after: Micros) -> Table {
         let (heard, gateways) = (BTreeMap::new(), gateways.min(GATEWAYS_MAX));
         let (left, superseded) = (false, false);
         Table { me, life, beat: 0, gateways, gone_after, heard, left, turn: me, superseded }
     }
 
-    /// The next word to send, new with each call.
+    /// The next message to send, with a new beat in each call.
     pub fn word(&mut self, now: Micros) -> Message {
         self.beat += u64::from(!self.left);
         let known = self.heard.iter().map(|(number, heard)| (*number, heard.life, heard.beat)).collect();
         Message { from: self.me, life: self.life, beat: self.beat, known, absent: self.absent(now) }
     }
 
-    /// From now on each word is a goodbye: this life holds no part any more, and others may list it as absent at
-    /// once. It goes on answering, and its vote counts as long as it does. With the last slot of the roll call that this
-    /// life may have marked, where it calls one.
+    /// Makes all further messages goodbyes: this incarnation holds no part any more, and others may list it as absent
+    /// at once. It still answers, and its vote counts until it ends. `last_slot` is the last slot of the roll call that
+    /// it may have marked, if it takes part in one.
     pub fn goodbye(&mut self, last_slot: Option<u64>) {
         if !self.left {
             self.beat = last_slot.map_or(NO_SLOT, |slot| GOODBYE | slot);
@@ -161,40 +161,41 @@
         }
     }
 
-    /// Whose last word heard is a goodbye, with the last slot that it may have marked.
+    /// Gateways whose newest beat is a goodbye, with the last slot of the roll call that each may have marked.
     pub fn goodbyes(&self) -> BTreeMap<u32, u64> {
         let dated = self.heard.iter().filter(|(_, heard)| (GOODBYE..NO_SLOT).contains(&heard.beat));
         dated.map(|(number, heard)| (*number, heard.beat & !GOODBYE)).collect()
     }
 
-    /// Takes in a message; false where it is none of this fleet's.
+    /// Merges a message into the table; false if its sender does not belong to this fleet.
     pub fn take(&mut self, now: Micros, message: &Message) -> bool {
         if message.from >= self.gateways {
             return false;
         }
-        self.hear(now, message.from, message.life, message.beat);
-        message.known.iter().for_each(|(number, life, beat)| self.hear(now, *number, *life, *beat));
+        self.record(now, message.from, message.life, message.beat);
+        message.known.iter().for_each(|(number, life, beat)| self.record(now, *number, *life, *beat));
         true
     }
 
-    fn hear(&mut self, now: Micros, number: u32, life: u64, beat: u64) {
+    fn record(&mut self, now: Micros, number: u32, life: u64, beat: u64) {
         if number == self.me {
-            // Its own words come back; a later life's do so only where two have one number.
+            // Own heartbeats come back; one of a later incarnation means that two processes share the number.
             self.superseded |= life > self.life;
             return;
         }
         let newer = self.heard.get(&number).is_none_or(|known| (known.life, known.beat) < (life, beat));
         if newer && number < self.gateways {
-            self.heard.insert(number, Heard { life, beat, at: now, doubted: false });
+            self.heard.insert(number, Heard { life, beat, at: now, suspected: false });
         }
     }
 
-    /// Whether a newer life of this gateway is known.
+    /// Whether a newer incarnation of this gateway is known.
     pub fn superseded(&self) -> bool {
         self.superseded
     }
 
-    /// Clients of a set come to a gateway that is not of it: its gateways are doubted until they are heard.
+    /// Clients of the set of `spread` gateways from `first` on have come here. Unless this gateway belongs to the set,
+    /// its gateways are suspected until a new heartbeat of them arrives.
     pub fn clients_moved(&mut self, first: u32, spread: u32) {
         let all = self.gateways.max(1);
         let of_set: Vec<u32> = (0..spread.min(all)).map(|n| (first + n) % all).collect();
@@ -202,11 +203,11 @@
             return;
         }
         for number in of_set {
-            self.heard.entry(number).and_modify(|heard| heard.doubted = true);
+            self.heard.entry(number).and_modify(|heard| heard.suspected = true);
         }
     }
 
-    /// What is known of a gateway.
+    /// Liveness of a gateway.
     pub fn standing(&self, now: Micros, number: u32) -> Standing {
         if number == self.me {
             return Standing::Alive;
@@ -215,27 +216,27 @@
         match now.saturating_sub(heard.at) {
             _ if heard.beat >= GOODBYE => Standing::Gone,
             age if age >= self.gone_after => Standing::Gone,
-            age if heard.doubted || age * 2 >= self.gone_after => Standing::Doubtful,
+            age if heard.suspected || age * 2 >= self.gone_after => Standing::Doubtful,
             _ => Standing::Alive,
         }
     }
 
-    /// Those not heard for long, or never.
+    /// All gateways that are gone.
     pub fn absent(&self, now: Micros) -> BTreeSet<u32> {
         (0..self.gateways).filter(|n| self.standing(now, *n) == Standing::Gone).collect()
     }
 
-    /// Whom to ask next: the doubtful first, else all in turn. None where there is nobody else.
+    /// The peer to ask next: suspected ones first, otherwise round robin. `None` if there is no other gateway.
     pub fn next(&mut self, now: Micros) -> Option<u32> {
         let others = (1..=self.gateways).map(|n| (self.turn + n) % self.gateways);
         let others: Vec<u32> = others.filter(|n| *n != self.me).collect();
         let doubtful = others.iter().find(|n| {
-            let heard = self.heard.get(n).is_some_and(|heard| heard.doubted);
-            heard && self.standing(now, **n) == Standing::Doubtful
+            let suspected = self.heard.get(n).is_some_and(|heard| heard.suspected);
+            suspected && self.standing(now, **n) == Standing::Doubtful
         });
         if let Some(doubtful) = doubtful.copied() {
-            // Asked once for each doubt: the turn goes on whether or not it answers.
-            self.heard.entry(doubtful).and_modify(|heard| heard.doubted = false);
+            // Asked once per suspicion, whether or not it answers.
+            self.heard.entry(doubtful).and_modify(|heard| heard.suspected = false);
             return Some(doubtful);
         }
         self.turn = *others.first()?;
@@ -247,24 +248,24 @@
 mod tests {
     use super::*;
 
-    const S: Micros = 1_000_000;
+    const SECOND: Micros = 1_000_000;
 
     fn table(me: u32) -> Table {
-        Table::new(me, 100 + u64::from(me), 4, 3 * S)
+        Table::new(me, 100 + u64::from(me), 4, 3 * SECOND)
     }
 
     #[test]
-    fn a_message_is_read_as_it_was_written() {
+    fn messages_round_trip() {
         let mut one = table(1);
-        one.hear(S, 2, 9, 4);
-        one.hear(S, 3, 9, 4);
-        let message = one.word(3 * S);
+        one.record(SECOND, 2, 9, 4);
+        one.record(SECOND, 3, 9, 4);
+        let message = one.word(3 * SECOND);
         assert_eq!(Message::read(&message.text()), Ok(message.clone()));
         assert_eq!((message.absent, message.known.len()), ([0].into(), 2));
     }
 
     #[test]
-    fn what_is_no_message_is_named_and_changes_nothing() {
+    fn malformed_messages_are_refused() {
         for (text, wanted) in [
             ("", "no head"),
             ("fleet-2 1 1 1\n", "not of the form"),
@@ -283,70 +284,82 @@
     }
 
     #[test]
-    fn news_of_a_gateway_come_through_others_and_old_ones_are_no_news() {
+    fn heartbeats_arrive_through_other_gateways_and_old_ones_do_not_count() {
         let (mut a, mut b, mut c) = (table(0), table(1), table(2));
-        b.take(S, &c.word(S));
-        a.take(2 * S, &b.word(2 * S));
-        assert_eq!(a.standing(4 * S, 2), Standing::Doubtful);
-        a.take(4 * S, &b.word(4 * S));
-        assert_eq!(a.standing(5 * S, 2), Standing::Gone, "the same beat again is no sign of life");
-        assert_eq!(a.standing(5 * S, 1), Standing::Alive);
-        assert_eq!(a.absent(5 * S), [2, 3].into());
+        b.take(SECOND, &c.word(SECOND));
+        a.take(2 * SECOND, &b.word(2 * SECOND));
+        assert_eq!(a.standing(4 * SECOND, 2), Standing::Doubtful);
+        a.take(4 * SECOND, &b.word(4 * SECOND));
+        assert_eq!(a.standing(5 * SECOND, 2), Standing::Gone, "a repeated beat does not count");
+        assert_eq!(a.standing(5 * SECOND, 1), Standing::Alive);
+        assert_eq!(a.absent(5 * SECOND), [2, 3].into());
     }
 
     #[test]
-    fn one_that_says_goodbye_is_gone_at_once_for_all_who_hear_of_it_until_its_next_life() {
+    fn goodbye_makes_a_gateway_gone_at_once_until_its_next_incarnation() {
         let (mut a, mut b, mut c) = (table(0), table(1), table(2));
-        a.take(S, &c.word(S));
-        assert_eq!(a.standing(S, 2), Standing::Alive);
+        a.take(SECOND, &c.word(SECOND));
+        assert_eq!(a.standing(SECOND, 2), Standing::Alive);
         c.goodbye(Some(17));
-        b.take(S, &c.word(S));
-        b.take(S, &c.word(S));
-        a.take(S, &b.word(S));
-        assert_eq!((a.standing(S, 2), b.absent(S)), (Standing::Gone, [0, 2, 3].into()));
+        b.take(SECOND, &c.word(SECOND));
+        b.take(SECOND, &c.word(SECOND));
+        a.take(SECOND, &b.word(SECOND));
+        assert_eq!((a.standing(SECOND, 2), b.absent(SECOND)), (Standing::Gone, [0, 2, 3].into()));
         assert_eq!(a.goodbyes(), [(2, 17)].into());
-        let message = b.word(S);
+        let message = b.word(SECOND);
         assert_eq!(Message::read(&message.text()), Ok(message));
-        let mut next = Table::new(2, 200, 4, 3 * S);
-        a.take(2 * S, &next.word(2 * S));
-        a.take(2 * S, &c.word(2 * S));
-        assert_eq!(a.standing(2 * S, 2), Standing::Alive, "what its former life says late is no news");
+        let mut next = Table::new(2, 200, 4, 3 * SECOND);
+        a.take(2 * SECOND, &next.word(2 * SECOND));
+        a.take(2 * SECOND, &c.word(2 * SECOND));
+        assert_eq!(
+            a.standing(2 * SECOND, 2),
+            Standing::Alive,
+            "a late message of the former incarnation does not count"
+        );
         assert_eq!(a.goodbyes(), [].into());
         next.goodbye(None);
-        a.take(2 * S, &next.word(2 * S));
-        assert_eq!((a.standing(2 * S, 2), a.goodbyes()), (Standing::Gone, [].into()), "one without a slot");
+        a.take(2 * SECOND, &next.word(2 * SECOND));
+        assert_eq!(
+            (a.standing(2 * SECOND, 2), a.goodbyes()),
+            (Standing::Gone, [].into()),
+            "a goodbye without a slot"
+        );
     }
 
     #[test]
-    fn a_later_life_is_newer_whatever_its_beat() {
+    fn a_later_incarnation_is_newer_whatever_its_beat() {
         let mut a = table(0);
-        a.hear(S, 1, 100, 77);
-        a.hear(2 * S, 1, 200, 1);
-        a.hear(4 * S, 1, 100, 78);
-        assert_eq!(a.heard[&1], Heard { life: 200, beat: 1, at: 2 * S, doubted: false });
+        a.record(SECOND, 1, 100, 77);
+        a.record(2 * SECOND, 1, 200, 1);
+        a.record(4 * SECOND, 1, 100, 78);
+        assert_eq!(a.heard[&1], Heard { life: 200, beat: 1, at: 2 * SECOND, suspected: false });
     }
 
     #[test]
-    fn one_who_hears_of_a_later_life_of_its_own_is_superseded() {
+    fn a_later_incarnation_of_the_same_number_supersedes() {
         let mut a = table(0);
-        a.hear(S, 0, 100, 5);
+        a.record(SECOND, 0, 100, 5);
         assert!(!a.superseded());
-        a.hear(S, 0, 101, 1);
+        a.record(SECOND, 0, 101, 1);
         assert!(a.superseded());
     }
 
     #[test]
-    fn all_are_asked_in_turn_and_whose_clients_have_moved_first() {
+    fn peers_are_asked_in_turn_and_suspected_ones_first() {
         let mut a = table(0);
-        let asked: Vec<_> = (0..5).map(|_| a.next(S).unwrap()).collect();
+        let asked: Vec<_> = (0..5).map(|_| a.next(SECOND).unwrap()).collect();
         assert_eq!(asked, [1, 2, 3, 1, 2]);
-        a.hear(S, 1, 9, 9);
-        a.hear(S, 2, 9, 9);
+        a.record(SECOND, 1, 9, 9);
+        a.record(SECOND, 2, 9, 9);
         a.clients_moved(2, 2);
-        assert_eq!((a.standing(S, 2), a.standing(S, 1)), (Standing::Doubtful, Standing::Alive));
-        assert_eq!((a.next(S), a.next(S)), (Some(2), Some(3)));
+        assert_eq!((a.standing(SECOND, 2), a.standing(SECOND, 1)), (Standing::Doubtful, Standing::Alive));
+        assert_eq!((a.next(SECOND), a.next(SECOND)), (Some(2), Some(3)));
         a.clients_moved(3, 2);
-        assert_eq!(a.standing(S, 3), Standing::Gone, "clients of a set of its own tell nothing");
-        assert_eq!(Table::new(0, 1, 1, S).next(S), None);
+        assert_eq!(
+            a.standing(SECOND, 3),
+            Standing::Gone,
+            "a set that includes this gateway raises no suspicion"
+        );
+        assert_eq!(Table::new(0, 1, 1, SECOND).next(SECOND), None);
     }
 }
