--- a/crates/gateway/src/admin.rs
+++ b/crates/gateway/src/admin.rs
@@ -1,7 +1,7 @@
-//! The operators' address: one call a connection, answered at once however busy the clients' side is.
+//! The admin server: one request per connection for operators, kept connections for other gateways.
 
 use crate::fleet::SITES;
-use crate::lane;
+use crate::peer_connections;
 use crate::server::Server;
 use crate::srv::Follower;
 use crate::subsystems::GatewaySubsystems;
@@ -25,58 +25,57 @@
 use std::time::{Duration, Instant};
 use tokio::sync::Notify;
 
-/// How long a caller may take from connecting to having read its answer.
-const CALL_TIME: Duration = Duration::from_secs(2);
-/// Calls at once; past that the oldest makes room. They come out of the descriptors kept back.
+/// Time from accepting a connection to the end of its response.
+const CALL_TIMEOUT: Duration = Duration::from_secs(2);
+/// Maximum number of concurrent calls; beyond it the oldest is ended. They use reserved descriptors.
 const CALLS_MAX: usize = 12;
-/// Connections on which other gateways tell what they count; past that the oldest makes room. Each other gateway keeps
-/// two at the most, while words pass.
-const LANES_MAX: usize = 2 * GATEWAYS_MAX as usize;
-/// The largest head of a call, bytes.
+/// Maximum number of kept connections from other gateways, two from each; beyond it the oldest is ended.
+const PEER_CONNECTIONS_MAX: usize = 2 * GATEWAYS_MAX as usize;
+/// Buffer for the head of a request, bytes.
 const HEAD_MAX: usize = 8 * 1024;
-/// Pause where the system has no descriptor left.
+/// Pause after a failed accept, such as when no descriptor is left.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
 
-/// The operators' side.
+/// The admin server of a gateway.
 pub struct Admin<P: Platform> {
     driver: Rc<Driver<P>>,
     server: Rc<Server<P>>,
     subsystems: Rc<GatewaySubsystems<P>>,
-    /// Calls that go on, by number, each with what ends it.
+    /// Running calls by number, each with the signal that ends it.
     calls: RefCell<BTreeMap<u64, Rc<Notify>>>,
-    /// Connections of other gateways that stay, in the same way.
-    lanes: RefCell<BTreeMap<u64, Rc<Notify>>>,
+    /// Kept connections of other gateways, likewise.
+    peers: RefCell<BTreeMap<u64, Rc<Notify>>>,
     next: Cell<u64>,
-    odd: Cell<u64>,
-    /// The name that is followed, where one is.
+    accept_errors: Cell<u64>,
+    /// The SRV follower, if a name is followed.
     follower: RefCell<Option<Rc<Follower<P>>>>,
 }
 
 impl<P: Platform> Admin<P> {
-    /// Nobody calls yet.
+    /// Creates a server without calls.
     pub fn new(
         driver: Rc<Driver<P>>,
         server: Rc<Server<P>>,
         subsystems: Rc<GatewaySubsystems<P>>,
     ) -> Rc<Self> {
-        let (next, odd) = (Cell::new(0), Cell::new(0));
-        let (calls, lanes, follower) = (RefCell::default(), RefCell::default(), RefCell::default());
-        Rc::new(Admin { driver, server, subsystems, calls, lanes, next, odd, follower })
+        let (next, accept_errors) = (Cell::new(0), Cell::new(0));
+        let (calls, peers, follower) = (RefCell::default(), RefCell::default(), RefCell::default());
+        Rc::new(Admin { driver, server, subsystems, calls, peers, next, accept_errors, follower })
     }
 
-    /// Shows a name that is followed, too.
-    pub fn show(&self, follower: Rc<Follower<P>>) {
+    /// Adds the SRV follower to what is shown.
+    pub fn set_follower(&self, follower: Rc<Follower<P>>) {
         *self.follower.borrow_mut() = Some(follower);
     }
 
-    /// Takes calls for ever.
+    /// Accepts connections forever.
     pub async fn serve(self: Rc<Self>, listener: P::Listener) {
         let platform = self.driver.platform.clone();
         loop {
             match listener.accept().await {
                 Ok(stream) => self.admit(stream),
                 Err(e) => {
-                    note(&platform, &self.odd, format_args!("admin: accept: {e}"));
+                    note(&platform, &self.accept_errors, format_args!("admin: accept: {e}"));
                     platform.sleep(ACCEPT_PAUSE).await;
                 }
             }
@@ -86,42 +85,46 @@
     fn admit(self: &Rc<Self>, stream: P::Stream) {
         self.next.set(self.next.get() + 1);
         let (number, end) = (self.next.get(), Rc::new(Notify::new()));
-        // Callers that connect and say nothing must not keep out those who do.
+        // Silent callers must not keep others out.
         admit_to(&self.calls, CALLS_MAX, number, &end);
         let admin = self.clone();
         self.driver.platform.spawn(async move {
-            // Until when the caller may go on; later where it is a gateway whose words pass.
-            let until = Cell::new(admin.driver.platform.now() + CALL_TIME);
+            // Extended while another gateway uses the connection.
+            let deadline = Cell::new(admin.driver.platform.now() + CALL_TIMEOUT);
             tokio::select! {
                 biased;
                 () = end.notified() => {}
-                () = admin.past(&until) => {}
-                // A caller that misbehaves or leaves ends its own call and nothing else.
-                () = admin.call(stream, &until, (number, &end)) => {}
+                () = admin.wait_until(&deadline) => {}
+                () = admin.handle_connection(stream, &deadline, (number, &end)) => {}
             }
             admin.calls.borrow_mut().remove(&number);
-            admin.lanes.borrow_mut().remove(&number);
+            admin.peers.borrow_mut().remove(&number);
         });
     }
 
-    /// Waits until then, however often it is put off.
-    async fn past(&self, until: &Cell<Instant>) {
+    /// Waits for a deadline that may be extended meanwhile.
+    async fn wait_until(&self, deadline: &Cell<Instant>) {
         let platform = &self.driver.platform;
-        while platform.now() < until.get() {
-            platform.sleep_until(until.get()).await;
+        while platform.now() < deadline.get() {
+            platform.sleep_until(deadline.get()).await;
         }
     }
 
-    async fn call(self: &Rc<Self>, stream: P::Stream, until: &Cell<Instant>, me: (u64, &Rc<Notify>)) {
+    async fn handle_connection(
+        self: &Rc<Self>,
+        stream: P::Stream,
+        deadline: &Cell<Instant>,
+        call: (u64, &Rc<Notify>),
+    ) {
         let service = service_fn(|request: Request<Incoming>| async move {
             let post = request.method() == Method::POST;
             let answer = match request.uri().path() {
                 "/turns" if post => {
-                    self.stays(until, me);
-                    self.count(request).await
+                    self.keep_open(deadline, call);
+                    self.count_for_peer(request).await
                 }
-                "/fleet" if post => last(self.hear(request).await),
-                _ => last(self.answer(&request)),
+                "/fleet" if post => close_after(self.gossip(request).await),
+                _ => close_after(self.answer(&request)),
             };
             Ok::<_, Infallible>(answer)
         });
@@ -131,36 +134,38 @@
         let _ = conn.await;
     }
 
-    /// A connection on which another gateway's words pass keeps out no operator, and stays until it rests for long.
-    fn stays(&self, until: &Cell<Instant>, (number, end): (u64, &Rc<Notify>)) {
-        until.set(self.driver.platform.now() + 2 * lane::REST);
+    /// Moves a connection of another gateway out of the limit on calls, and keeps it open until it is idle for long.
+    fn keep_open(&self, deadline: &Cell<Instant>, (number, end): (u64, &Rc<Notify>)) {
+        deadline.set(self.driver.platform.now() + 2 * peer_connections::IDLE_TIMEOUT);
         if self.calls.borrow_mut().remove(&number).is_some() {
-            admit_to(&self.lanes, LANES_MAX, number, end);
+            admit_to(&self.peers, PEER_CONNECTIONS_MAX, number, end);
         }
     }
 
-    /// What another gateway counts, for which this one looks.
-    async fn count(&self, request: Request<Incoming>) -> Response<Full<Bytes>> {
+    /// `POST /turns`: counts for another gateway under names that this one owns.
+    async fn count_for_peer(&self, request: Request<Incoming>) -> Response<Full<Bytes>> {
         let Some(turns) = self.subsystems.turns.get() else {
             return text(StatusCode::NOT_FOUND, "no turns are taken here");
         };
-        let Ok(word) = body(request, WORD_MAX).await else { return text(StatusCode::BAD_REQUEST, "no word") };
-        match turns.answer(&word).await {
+        let Ok(message) = body(request, WORD_MAX).await else {
+            return text(StatusCode::BAD_REQUEST, "no word");
+        };
+        match turns.answer(&message).await {
             Ok(answer) => text(StatusCode::OK, answer),
             Err(what) => text(StatusCode::BAD_REQUEST, what),
         }
     }
 
-    /// Another gateway's word.
-    async fn hear(&self, request: Request<Incoming>) -> Response<Full<Bytes>> {
+    /// `POST /fleet`: a gossip message of another gateway.
+    async fn gossip(&self, request: Request<Incoming>) -> Response<Full<Bytes>> {
         let Some(fleet) = self.subsystems.fleet.get() else { return no_fleet() };
-        let of_sites = request.headers().get(SITES).cloned();
-        let word = body(request, MESSAGE_MAX).await;
-        let Ok(word) = word else { return text(StatusCode::BAD_REQUEST, "no message") };
-        match fleet.answer(&word, of_sites.as_ref()) {
+        let site_report = request.headers().get(SITES).cloned();
+        let message = body(request, MESSAGE_MAX).await;
+        let Ok(message) = message else { return text(StatusCode::BAD_REQUEST, "no message") };
+        match fleet.answer(&message, site_report.as_ref()) {
             Ok(answer) => {
                 let mut answer = text(StatusCode::OK, answer);
-                let own = fleet.of_sites().and_then(|own| HeaderValue::from_str(&own).ok());
+                let own = fleet.site_report().and_then(|own| HeaderValue::from_str(&own).ok());
                 own.into_iter().for_each(|own| drop(answer.headers_mut().insert(SITES, own)));
                 answer
             }
@@ -171,8 +176,10 @@
     fn answer<B>(&self, request: &Request<B>) -> Response<Full<Bytes>> {
         let post = request.method() == Method::POST;
         match request.uri().path() {
-            "/ready" | "/metrics" if ![Method::GET, Method::HEAD].contains(request.method()) => not("GET"),
-            "/drain" | "/undrain" if !post => not("POST"),
+            "/ready" | "/metrics" if ![Method::GET, Method::HEAD].contains(request.method()) => {
+                wrong_method("GET")
+            }
+            "/drain" | "/undrain" if !post => wrong_method("POST"),
             "/ready" if self.server.wants_clients() => text(StatusCode::OK, "ready"),
             "/ready" => text(StatusCode::SERVICE_UNAVAILABLE, "not ready"),
             "/metrics" => {
@@ -181,16 +188,16 @@
                 answer.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
                 answer
             }
-            path if path.starts_with("/srv") => self.of_srv(path, post),
+            path if path.starts_with("/srv") => self.answer_srv(path, post),
             "/fleet" => {
                 let (fleet, turns) = (self.subsystems.fleet.get(), self.subsystems.turns.get());
                 let turns = turns.map_or_else(String::new, |turns| turns.explain());
                 fleet.map_or_else(no_fleet, |fleet| text(StatusCode::OK, fleet.explain() + &turns))
             }
             "/policy" => {
-                let changes = self.subsystems.changes.get();
+                let policy = self.subsystems.policy.get();
                 let none = || text(StatusCode::NOT_FOUND, "the configuration's policy is gone by");
-                changes.map_or_else(none, |changes| text(StatusCode::OK, changes.explain()))
+                policy.map_or_else(none, |policy| text(StatusCode::OK, policy.explain()))
             }
             "/sites" => {
                 let sites = self.subsystems.sites.get();
@@ -199,26 +206,26 @@
                     sites.map_or_else(String::new, |sites| sites.explain(self.driver.micros())),
                 )
             }
-            path if path.starts_with("/sites/") && !post => not("POST"),
+            path if path.starts_with("/sites/") && !post => wrong_method("POST"),
             path if path.starts_with("/sites/") => self.declare(path),
-            "/drain" => self.tell(Told::Drain, "draining"),
-            "/undrain" => self.tell(Told::Undrain, "serving"),
+            "/drain" => self.apply(Told::Drain, "draining"),
+            "/undrain" => self.apply(Told::Undrain, "serving"),
             _ => text(StatusCode::NOT_FOUND, "no such call"),
         }
     }
 
     /// `GET /srv`, `POST /srv/refresh` and `POST /srv/accept`.
-    fn of_srv(&self, path: &str, post: bool) -> Response<Full<Bytes>> {
+    fn answer_srv(&self, path: &str, post: bool) -> Response<Full<Bytes>> {
         let follower = self.follower.borrow();
         match (path, follower.as_ref()) {
             ("/srv" | "/srv/refresh" | "/srv/accept", None) => {
                 text(StatusCode::NOT_FOUND, "no name is followed")
             }
-            ("/srv", Some(_)) if post => not("GET"),
+            ("/srv", Some(_)) if post => wrong_method("GET"),
             ("/srv", Some(follower)) => text(StatusCode::OK, follower.explain()),
-            ("/srv/refresh" | "/srv/accept", Some(_)) if !post => not("POST"),
+            ("/srv/refresh" | "/srv/accept", Some(_)) if !post => wrong_method("POST"),
             ("/srv/refresh" | "/srv/accept", Some(follower)) => {
-                self.driver.platform.log(format_args!("told by an operator: {path}"));
+                self.driver.platform.log(format_args!("admin request: {path}"));
                 follower.ask_now(path == "/srv/accept");
                 text(StatusCode::OK, "asked")
             }
@@ -237,37 +244,37 @@
         };
         match sites.declare(site, what) {
             Ok(()) => {
-                self.driver.platform.log(format_args!("told by an operator: site `{site}`: {what}"));
+                self.driver.platform.log(format_args!("admin request: site `{site}`: {what}"));
                 text(StatusCode::OK, "declared")
             }
             Err(why) => text(StatusCode::BAD_REQUEST, why),
         }
     }
 
-    fn tell(&self, what: Told, word: &'static str) -> Response<Full<Bytes>> {
-        self.driver.platform.log(format_args!("told by an operator: {word}"));
+    fn apply(&self, what: Told, state: &'static str) -> Response<Full<Bytes>> {
+        self.driver.platform.log(format_args!("admin request: {state}"));
         self.server.told(what);
-        text(StatusCode::OK, word)
+        text(StatusCode::OK, state)
     }
 }
 
-/// Takes a call in; past the most, the oldest makes room.
-fn admit_to(calls: &RefCell<BTreeMap<u64, Rc<Notify>>>, most: usize, number: u64, end: &Rc<Notify>) {
+/// Registers a call; at the limit the oldest one is ended.
+fn admit_to(calls: &RefCell<BTreeMap<u64, Rc<Notify>>>, limit: usize, number: u64, end: &Rc<Notify>) {
     let mut calls = calls.borrow_mut();
-    if calls.len() >= most {
+    if calls.len() >= limit {
         calls.pop_first().into_iter().for_each(|(_, oldest)| oldest.notify_one());
     }
     calls.insert(number, end.clone());
 }
 
-/// A body of so many bytes at the most, as text.
-async fn body(request: Request<Incoming>, most: usize) -> Result<String, ()> {
-    let body = Limited::new(request.into_body(), most).collect().await.map_err(|_| ())?;
+/// Reads a body of up to `limit` bytes as text.
+async fn body(request: Request<Incoming>, limit: usize) -> Result<String, ()> {
+    let body = Limited::new(request.into_body(), limit).collect().await.map_err(|_| ())?;
     Ok(String::from_utf8_lossy(&body.to_bytes()).into_owned())
 }
 
-/// The one answer of a connection.
-fn last(mut answer: Response<Full<Bytes>>) -> Response<Full<Bytes>> {
+/// Closes the connection after this response.
+fn close_after(mut answer: Response<Full<Bytes>>) -> Response<Full<Bytes>> {
     answer.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
     answer
 }
@@ -282,7 +289,7 @@
     text(StatusCode::NOT_FOUND, "nothing is said of a fleet")
 }
 
-fn not(method: &'static str) -> Response<Full<Bytes>> {
+fn wrong_method(method: &'static str) -> Response<Full<Bytes>> {
     let mut answer = text(StatusCode::METHOD_NOT_ALLOWED, "another method");
     answer.headers_mut().insert(ALLOW, HeaderValue::from_static(method));
     answer
--- a/crates/gateway/src/ask.rs
+++ b/crates/gateway/src/admin_client.rs
@@ -1,4 +1,4 @@
-//! One call to another process's operators' address, on a connection of its own.
+//! HTTP client for one request on a connection of its own, to admin servers and keepers.
 
 use bytes::Bytes;
 use hingestage_platform::Platform;
@@ -9,38 +9,38 @@
 use hyper_util::rt::TokioIo;
 use std::net::SocketAddr;
 
-/// Calls, and gives what is answered; none where anything goes wrong, or the answer is longer than `most` bytes.
-pub async fn ask<P: Platform>(
+/// Sends a request; `None` if anything fails or the response body is longer than `body_max` bytes.
+pub async fn request<P: Platform>(
     platform: &P,
     at: SocketAddr,
     call: (Method, &str),
     body: String,
-    most: usize,
+    body_max: usize,
 ) -> Option<(StatusCode, Bytes)> {
-    let (status, _, body) = ask_with(platform, at, call, body, most, None).await?;
+    let (status, _, body) = request_with_header(platform, at, call, body, body_max, None).await?;
     Some((status, body))
 }
 
-/// The same with a field more in the request's head, and with the answer's head.
-pub async fn ask_with<P: Platform>(
+/// Like [`request`] with one more request header; also returns the response headers.
+pub async fn request_with_header<P: Platform>(
     platform: &P,
     at: SocketAddr,
     call: (Method, &str),
     body: String,
-    most: usize,
-    field: Option<(&'static str, String)>,
+    body_max: usize,
+    header: Option<(&'static str, String)>,
 ) -> Option<(StatusCode, HeaderMap, Bytes)> {
     let stream = platform.connect(at).await.ok()?;
     let (mut send, conn) = handshake::<_, Full<Bytes>>(TokioIo::new(stream)).await.ok()?;
     let request = Request::builder().method(call.0).uri(call.1).header(HOST, at.to_string());
-    let request = field.into_iter().fold(request, |request, (name, value)| request.header(name, value));
+    let request = header.into_iter().fold(request, |request, (name, value)| request.header(name, value));
     let request = request.body(Full::from(body)).ok()?;
     let answer = async move {
         let response = send.send_request(request).await.ok()?;
         let (head, body) = response.into_parts();
-        Some((head.status, head.headers, Limited::new(body, most).collect().await.ok()?.to_bytes()))
+        Some((head.status, head.headers, Limited::new(body, body_max).collect().await.ok()?.to_bytes()))
     };
-    // The connection may end in the very turn that brings the answer's last byte: both are waited for.
+    // The connection may end together with the last byte of the response, so both are awaited.
     let (answer, _) = tokio::join!(answer, conn);
     answer
 }
--- a/crates/gateway/src/config.rs
+++ b/crates/gateway/src/config.rs
@@ -1,7 +1,7 @@
-//! What the gateway is told at its start: `RELAY_CONFIG` and the variables beside it, checked.
+//! The configuration of a gateway: the file named by `RELAY_CONFIG` and environment variables, validated.
 
 use crate::relay_dialect::RelayDialect;
-use crate::sites::Planned;
+use crate::sites::SitePlans;
 use hingestage_dataplane::driver::DriverSettings;
 use hingestage_membership::hosts::HostList;
 use hingestage_operator::{Fleet, Policy, Srv};
@@ -12,7 +12,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// The configuration as it is written down.
+/// The configuration file.
 #[derive(Deserialize)]
 struct File {
     listen: Option<String>,
@@ -26,80 +26,80 @@
     settings: serde_json::Value,
 }
 
-/// Of the file, whether it names a discovery of its own.
+/// The part of the file that tells whether it names a discovery address.
 #[derive(Deserialize)]
-struct Named {
+struct DiscoveryField {
     discovery: Option<String>,
 }
 
 #[derive(Deserialize)]
 struct FileLimits {
     sockets: usize,
-    #[serde(default = "least_memory")]
+    #[serde(default = "default_memory_mb")]
     memory_mb: u64,
 }
 
-/// MB where nothing is said of it: the least that is ever given.
-fn least_memory() -> u64 {
+/// The smallest memory limit that the platform gives, MB.
+fn default_memory_mb() -> u64 {
     32
 }
 
-/// The configuration, checked.
+/// The validated configuration.
 pub struct Config {
-    /// Where clients connect.
+    /// Address for clients.
     pub listen: SocketAddr,
-    /// Where the list of workers comes from.
+    /// Address of the discovery service, which lists the workers.
     pub discovery: SocketAddr,
-    /// The counter, where there is one.
+    /// Address of the shared counter, if any.
     pub counter: Option<SocketAddr>,
-    /// Where operators call, where they may.
+    /// Address of the admin server, if any.
     pub admin: Option<SocketAddr>,
-    /// For random numbers.
+    /// Seed of the random numbers.
     pub seed: u64,
-    /// The workers as this gateway last had them; may be old.
+    /// Cached list of workers from an earlier run; may be stale.
     pub known: HostList,
-    /// The name that workers are also taken from, or alone; from the operators' own file.
+    /// SRV name that supplies workers, beside discovery or alone; from the operator file.
     pub srv: Option<Srv>,
-    /// How it learns who is there; from the operators' own file.
+    /// Failure detection within the fleet; from the operator file.
     pub fleet: Option<Fleet>,
-    /// Whose word plans, classes and accounts are gone by; from the operators' own file.
+    /// Keepers that supply plans, classes and accounts; from the operator file.
     pub policy: Option<Policy>,
-    /// What becomes of the load of sites that are lost; from the operators' own file.
-    pub sites: Option<Planned>,
-    /// What the decisions go by.
+    /// Plans for the loss of sites; from the operator file.
+    pub sites: Option<SitePlans>,
+    /// Settings of the decision code.
     pub settings: Settings,
     /// The names of classes and plans.
     pub names: Names,
-    /// The limit on memory, bytes.
+    /// Memory limit, bytes.
     pub memory: u64,
-    /// The limit on descriptors.
+    /// Limit on file descriptors.
     pub sockets: usize,
-    /// Most connections of clients, and most to workers: parts of the limit on descriptors.
+    /// Maximum number of client connections, a part of the limit on descriptors.
     pub clients_max: usize,
-    /// See `clients_max`.
+    /// Maximum number of connections to workers, likewise.
     pub workers_max: usize,
-    /// A connection to a worker not established by then never is.
+    /// Timeout for connecting to a worker.
     pub connect_timeout: Duration,
-    /// A worker closes a connection that has been idle for so long.
+    /// Idle time after which workers close a connection.
     pub worker_idle: Duration,
 }
 
-/// Descriptors kept back: listener, counter, discovery, runtime, standard streams, and each one's successor;
-/// operators' calls, and the offer to a process that replaces this one.
-const SPARE_SOCKETS: usize = 32;
+/// Descriptors reserved for the listener, counter, discovery, runtime and standard streams, and for those of a
+/// successor; for admin calls and the handover socket.
+const RESERVED_SOCKETS: usize = 32;
 
 impl Config {
-    /// Reads the file that `RELAY_CONFIG` names. The message of an error names the field.
+    /// Reads the file that `RELAY_CONFIG` names. Errors name the field.
     pub fn load(variable: impl Fn(&str) -> Option<String>) -> Result<Config, String> {
         let text = Config::read(&variable)?;
         Config::parse(&text, variable)
     }
 
-    /// Reads the file again while running. What it names beats `RELAY_DISCOVERY`, which is as old as this
-    /// process: a gateway that went by the variable could never be sent elsewhere.
+    /// Reads the file again while running. A discovery address in the file overrides `RELAY_DISCOVERY`, which can't
+    /// change after the start of the process.
     pub fn reload(variable: impl Fn(&str) -> Option<String>) -> Result<Config, String> {
         let text = Config::read(&variable)?;
-        let named = serde_json::from_str::<Named>(&text).is_ok_and(|file| file.discovery.is_some());
+        let named = serde_json::from_str::<DiscoveryField>(&text).is_ok_and(|file| file.discovery.is_some());
         Config::parse(&text, |name| variable(name).filter(|_| !(named && name == "RELAY_DISCOVERY")))
     }
 
@@ -134,9 +134,9 @@
         flatten("", &file.settings, &mut pairs);
         let fields = Fields::from_pairs("settings", &pairs);
         let (mut settings, names) = settings(&fields)?;
-        // Any client on a socket can be told when to come back, whether or not it is known to listen.
-        let advice = fields.span_or_zero("limits.maxRetryAfterUs")?;
-        settings.limits.max_retry_after = settings.limits.max_retry_after.max(advice);
+        // Retry-After may be sent to any client on a socket, whether or not it is known to heed it.
+        let retry_after_max = fields.span_or_zero("limits.maxRetryAfterUs")?;
+        settings.limits.max_retry_after = settings.limits.max_retry_after.max(retry_after_max);
         for (field, names) in [("services", &names.classes), ("tiersOfService", &names.plans)] {
             if names.is_empty() {
                 return Err(fields.error(field, "names none"));
@@ -146,10 +146,10 @@
             Ok(Duration::from_micros(fields.optional::<Micros>(field)?.filter(|n| *n > 0).unwrap_or(250_000)))
         };
         let sockets = file.limits.sockets;
-        if sockets < 2 * SPARE_SOCKETS {
+        if sockets < 2 * RESERVED_SOCKETS {
             return Err(format!("configuration: field `limits.sockets`: {sockets} is too few"));
         }
-        let share = sockets - SPARE_SOCKETS;
+        let share = sockets - RESERVED_SOCKETS;
         Ok(Config {
             listen: address("listen", variable("RELAY_LISTEN").or(file.listen))?,
             discovery: address("discovery", variable("RELAY_DISCOVERY").or(file.discovery))?,
--- a/crates/gateway/src/counter.rs
+++ b/crates/gateway/src/counter.rs
@@ -1,4 +1,4 @@
-//! The connection to the counter: calls written one behind another, answers taken in their order.
+//! Client of the shared counter: pipelined calls on one connection, with replies in the same order.
 
 use crate::Backoff;
 use bytes::BytesMut;
@@ -18,94 +18,94 @@
 use tokio::io::{AsyncRead, ReadBuf};
 use tokio::sync::{oneshot, Notify};
 
-/// Time to connect; a machine that is cut off never answers.
-const CONNECT: Duration = Duration::from_millis(500);
-/// An answer this late means that the connection leads nowhere; until then all calls go unanswered.
-const SILENT: Duration = Duration::from_millis(500);
-/// Pause after which an idle connection is asked for a sign of life, well before the counter would close it.
-const LISTEN: Duration = Duration::from_millis(250);
-/// Time for the rest of an answer that has begun; all others wait behind it.
-const REST: Duration = Duration::from_millis(100);
-/// The longest answer, bytes: a number or a line.
-const ANSWER_MAX: usize = 4096;
-/// Answers owed at most; past that the connection is given up.
-const OWED_MAX: usize = 4096;
+/// Timeout for connecting.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
+/// Age of the oldest pending call at which the connection is considered dead.
+const REPLY_TIMEOUT: Duration = Duration::from_millis(500);
+/// Idle time after which a ping is sent, well before the counter would close the connection.
+const PING_INTERVAL: Duration = Duration::from_millis(250);
+/// Timeout for the rest of a partial reply, which blocks all replies behind it.
+const PARTIAL_REPLY_TIMEOUT: Duration = Duration::from_millis(100);
+/// The longest reply, bytes: a number or a line.
+const REPLY_BYTES_MAX: usize = 4096;
+/// Maximum number of pending calls; beyond it the connection is closed.
+const PENDING_MAX: usize = 4096;
 
-/// An answer that the counter owes.
-struct Owed {
+/// A call whose reply is pending.
+struct Pending {
     seq: u64,
-    question: Question,
+    request: RequestKind,
     since: Instant,
 }
 
-/// For whom a call is made. Names may be alike: what one counts, another may count as well.
+/// The part of the gateway that makes a call. Counter names alone do not identify it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Asker {
-    /// The decisions.
+    /// The decision code.
     Decisions,
     /// The fleet's roll call.
     Roll,
-    /// Other gateways, for whom this one looks.
+    /// The turns at the counter, on behalf of several gateways.
     Turns,
 }
 
-/// What was asked.
-enum Question {
+/// The kind of a pending call.
+enum RequestKind {
     Ping,
-    /// A call, until our own time-out has ended it.
+    /// A call; `None` once it has timed out locally.
     Call(Option<(Asker, CounterName)>),
 }
 
-/// One connection to the counter, with the answers owed on it.
-struct Line<P: Platform> {
+/// One connection to the counter with its pending calls.
+struct Connection<P: Platform> {
     platform: P,
-    /// None once it has been given up.
+    /// `None` once the connection is closed.
     stream: RefCell<Option<P::Stream>>,
-    /// Told once a call could not be written.
+    /// Notified when a call could not be written.
     failed: Notify,
-    owed: RefCell<VecDeque<Owed>>,
-    /// Takes no more calls; over once it owes nothing.
+    pending: RefCell<VecDeque<Pending>>,
+    /// Set once replaced; the connection ends when nothing is pending.
     retired: Cell<bool>,
 }
 
-impl<P: Platform> Line<P> {
+impl<P: Platform> Connection<P> {
     fn new(platform: P, stream: P::Stream) -> Rc<Self> {
         let stream = RefCell::new(Some(stream));
-        let (owed, retired) = (RefCell::default(), Cell::new(false));
-        Rc::new(Line { platform, stream, failed: Notify::new(), owed, retired })
+        let (pending, retired) = (RefCell::default(), Cell::new(false));
+        Rc::new(Connection { platform, stream, failed: Notify::new(), pending, retired })
     }
 
-    /// Writes a call whole, or not at all as far as the counter can tell. A full or broken connection is
-    /// given up: its last call has not come whole, so that nothing was added by it.
-    fn write(&self, seq: u64, words: &[&str], question: Question) -> bool {
-        let mut call = format!("*{}\r\n", words.len());
-        for word in words {
-            call.push_str(&format!("${}\r\n{word}\r\n", word.len()));
+    /// Writes a whole call. A full or broken connection is closed; the counter ignores an incomplete last call, so
+    /// nothing was added by it.
+    fn write(&self, seq: u64, args: &[&str], request: RequestKind) -> bool {
+        let mut call = format!("*{}\r\n", args.len());
+        for arg in args {
+            call.push_str(&format!("${}\r\n{arg}\r\n", arg.len()));
         }
         let mut stream = self.stream.borrow_mut();
         let Some(open) = stream.as_ref() else { return false };
-        let room = self.owed.borrow().len() < OWED_MAX;
-        if !room || !matches!(open.try_write(call.as_bytes()), Ok(n) if n == call.len()) {
+        let has_room = self.pending.borrow().len() < PENDING_MAX;
+        if !has_room || !matches!(open.try_write(call.as_bytes()), Ok(n) if n == call.len()) {
             *stream = None;
             self.failed.notify_one();
             return false;
         }
-        self.owed.borrow_mut().push_back(Owed { seq, question, since: self.platform.now() });
+        self.pending.borrow_mut().push_back(Pending { seq, request, since: self.platform.now() });
         true
     }
 
-    /// Ends a call whose answer has not come; gives its name. The answer is still owed and will be dropped:
-    /// taking it for the next call's would shift every total to a wrong name.
+    /// Times a call out and returns its caller and name. Its reply stays pending and will be dropped, so that later
+    /// replies still match their calls.
     fn expire(&self, seq: u64) -> Option<(Asker, CounterName)> {
-        match self.owed.borrow_mut().iter_mut().find(|owed| owed.seq == seq)?.question {
-            Question::Call(ref mut call) => call.take(),
-            Question::Ping => None,
+        match self.pending.borrow_mut().iter_mut().find(|pending| pending.seq == seq)?.request {
+            RequestKind::Call(ref mut call) => call.take(),
+            RequestKind::Ping => None,
         }
     }
 }
 
-/// The side of a [`Line`] that is read.
-struct Reader<'a, P: Platform>(&'a Line<P>);
+/// The read half of a [`Connection`].
+struct Reader<'a, P: Platform>(&'a Connection<P>);
 
 impl<P: Platform> AsyncRead for Reader<'_, P> {
     fn poll_read(self: Pin<&mut Self>, cx: &mut Context, buf: &mut ReadBuf) -> Poll<std::io::Result<()>> {
@@ -116,82 +116,83 @@
     }
 }
 
-/// Who hears how a call ended: exactly once for each call.
-pub type Tell = Box<dyn Fn(Asker, CounterName, CounterOutcome)>;
+/// Receives the outcome of each call exactly once.
+pub type OnOutcome = Box<dyn Fn(Asker, CounterName, CounterOutcome)>;
 
-/// The counter, wherever it is.
+/// Client of the shared counter.
 pub struct Counter<P: Platform> {
     platform: P,
-    tell: Tell,
+    on_outcome: OnOutcome,
     at: Cell<Option<SocketAddr>>,
     moved: Notify,
-    wait: Duration,
-    line: RefCell<Option<Rc<Line<P>>>>,
-    next: Cell<u64>,
-    odd: Cell<u64>,
+    timeout: Duration,
+    connection: RefCell<Option<Rc<Connection<P>>>>,
+    last_seq: Cell<u64>,
+    errors: Cell<u64>,
 }
 
 impl<P: Platform> Counter<P> {
-    /// Not connected yet; `wait` is how long a call may take.
-    pub fn new(platform: P, at: Option<SocketAddr>, wait: Micros, tell: Tell) -> Rc<Self> {
-        let (at, moved, line) = (Cell::new(at), Notify::new(), RefCell::default());
-        let wait = Duration::from_micros(wait);
-        Rc::new(Counter { platform, tell, at, moved, wait, line, next: Cell::new(0), odd: Cell::new(0) })
+    /// Creates a client that is not connected yet; calls end after `timeout`.
+    pub fn new(platform: P, at: Option<SocketAddr>, timeout: Micros, on_outcome: OnOutcome) -> Rc<Self> {
+        let (at, moved, connection) = (Cell::new(at), Notify::new(), RefCell::default());
+        let timeout = Duration::from_micros(timeout);
+        let (last_seq, errors) = (Cell::new(0), Cell::new(0));
+        Rc::new(Counter { platform, on_outcome, at, moved, timeout, connection, last_seq, errors })
     }
 
-    /// Goes over to another address. The old connection is used until there is a new one, and then still
-    /// gives the answers that it owes.
-    pub fn go_to(&self, at: SocketAddr) {
+    /// Changes the address. The old connection is used until there is a new one, and then still delivers its pending
+    /// replies.
+    pub fn set_address(&self, at: SocketAddr) {
         if self.at.replace(Some(at)) != Some(at) {
             self.moved.notify_one();
         }
     }
 
-    /// Adds to a number. The answer, exactly one, comes as an event.
-    pub fn call(self: &Rc<Self>, asker: Asker, name: CounterName, amount: f64, keep: Micros) {
+    /// Adds to a counter. Its outcome is passed to `on_outcome` exactly once.
+    pub fn call(self: &Rc<Self>, caller: Asker, name: CounterName, amount: f64, keep: Micros) {
         let keep = keep.div_ceil(1_000).max(1).to_string();
-        let words = ["CNT.ADD", &name.0, &amount.to_string(), &keep];
-        let line = self.line.borrow().clone();
-        let (seq, question) = (self.seq(), Question::Call(Some((asker, name.clone()))));
-        let Some(line) = line.filter(|line| line.write(seq, &words, question)) else {
-            return (self.tell)(asker, name, CounterOutcome::Refused);
+        let args = ["CNT.ADD", &name.0, &amount.to_string(), &keep];
+        let connection = self.connection.borrow().clone();
+        let (seq, request) = (self.next_seq(), RequestKind::Call(Some((caller, name.clone()))));
+        let Some(connection) = connection.filter(|open| open.write(seq, &args, request)) else {
+            return (self.on_outcome)(caller, name, CounterOutcome::Refused);
         };
-        let (counter, sleep) = (self.clone(), self.platform.sleep(self.wait));
+        let (counter, sleep) = (self.clone(), self.platform.sleep(self.timeout));
         self.platform.spawn(async move {
             sleep.await;
-            if let Some((asker, name)) = line.expire(seq) {
-                (counter.tell)(asker, name, CounterOutcome::Timeout);
+            if let Some((caller, name)) = connection.expire(seq) {
+                (counter.on_outcome)(caller, name, CounterOutcome::Timeout);
             }
         });
     }
 
-    fn seq(&self) -> u64 {
-        self.next.set(self.next.get() + 1);
-        self.next.get()
+    fn next_seq(&self) -> u64 {
+        self.last_seq.set(self.last_seq.get() + 1);
+        self.last_seq.get()
     }
 
-    /// Keeps a connection for ever. The counter closes one that is idle; that is no failure.
+    /// Keeps a connection open forever. The counter closes idle connections, which is not a failure.
     pub async fn run(self: Rc<Self>) {
         let mut backoff = Backoff::new();
         loop {
             let Some(at) = self.at.get() else { return };
-            if let Ok(Ok(stream)) = self.platform.timeout(CONNECT, self.platform.connect(at)).await {
-                let line = Line::new(self.platform.clone(), stream);
-                if let Some(old) = self.line.replace(Some(line.clone())) {
+            if let Ok(Ok(stream)) = self.platform.timeout(CONNECT_TIMEOUT, self.platform.connect(at)).await {
+                let connection = Connection::new(self.platform.clone(), stream);
+                if let Some(old) = self.connection.replace(Some(connection.clone())) {
                     old.retired.set(true);
                 }
-                let (ended, listening) = oneshot::channel();
-                let listen = listen(self.clone(), line);
+                let (ended, end) = oneshot::channel();
+                let drive = drive(self.clone(), connection);
                 self.platform.spawn(async move {
-                    // Nobody waits for it any more where the counter has moved.
-                    let _ = ended.send(listen.await);
+                    // The receiver is gone if the address has changed.
+                    let _ = ended.send(drive.await);
                 });
                 tokio::select! {
                     biased;
                     () = self.moved.notified() => backoff = Backoff::new(),
-                    any = listening => {
-                        // One that has served is replaced at once: until then no call can be made.
-                        if any.unwrap_or(false) {
+                    served = end => {
+                        // A connection that has served is replaced at once.
+                        if served.unwrap_or(false) {
                             backoff = Backoff::new();
                             continue;
                         }
@@ -209,90 +210,90 @@
         }
     }
 
-    /// What was written and not answered may have been added: it counts as added and is never added again.
-    fn hang_up(&self, line: &Rc<Line<P>>) {
-        *line.stream.borrow_mut() = None;
-        let current = self.line.borrow().as_ref().is_some_and(|now| Rc::ptr_eq(now, line));
+    /// Closes a connection. Pending calls may have been executed: they time out and are never repeated.
+    fn close(&self, connection: &Rc<Connection<P>>) {
+        *connection.stream.borrow_mut() = None;
+        let current = self.connection.borrow().as_ref().is_some_and(|now| Rc::ptr_eq(now, connection));
         if current {
-            *self.line.borrow_mut() = None;
+            *self.connection.borrow_mut() = None;
         }
-        let owed = std::mem::take(&mut *line.owed.borrow_mut());
-        for owed in owed {
-            if let Question::Call(Some((asker, name))) = owed.question {
-                (self.tell)(asker, name, CounterOutcome::Timeout);
+        let pending = std::mem::take(&mut *connection.pending.borrow_mut());
+        for pending in pending {
+            if let RequestKind::Call(Some((caller, name))) = pending.request {
+                (self.on_outcome)(caller, name, CounterOutcome::Timeout);
             }
         }
     }
 
-    /// Reads answers until the connection ends; notes in `any` whether any came.
-    async fn read(&self, line: &Line<P>, any: &mut bool) -> Result<(), &'static str> {
-        let mut from = Reader(line);
+    /// Reads replies until the connection ends; sets `served` once any data arrives.
+    async fn read(&self, connection: &Connection<P>, served: &mut bool) -> Result<(), &'static str> {
+        let mut reader = Reader(connection);
         let mut buffer = BytesMut::new();
         loop {
-            if line.retired.get() && line.owed.borrow().is_empty() {
+            if connection.retired.get() && connection.pending.borrow().is_empty() {
                 return Ok(());
             }
-            let half = !buffer.is_empty();
-            let wait = self.platform.sleep(if half { REST } else { LISTEN });
+            let partial = !buffer.is_empty();
+            let wait = self.platform.sleep(if partial { PARTIAL_REPLY_TIMEOUT } else { PING_INTERVAL });
             let read = tokio::select! {
                 biased;
-                () = line.failed.notified() => return Err("could not be written to"),
-                read = from.read_buf(&mut buffer) => Some(read),
+                () = connection.failed.notified() => return Err("could not be written to"),
+                read = reader.read_buf(&mut buffer) => Some(read),
                 () = wait => None,
             };
             let Some(read) = read else {
-                if half {
+                if partial {
                     return Err("half an answer");
                 }
-                let oldest = line.owed.borrow().front().map(|owed| owed.since);
+                let oldest = connection.pending.borrow().front().map(|pending| pending.since);
                 match oldest {
-                    Some(since) if self.platform.since(since) >= SILENT => return Err("fell silent"),
-                    None => drop(line.write(self.seq(), &["PING"], Question::Ping)),
+                    Some(since) if self.platform.since(since) >= REPLY_TIMEOUT => return Err("fell silent"),
+                    None => drop(connection.write(self.next_seq(), &["PING"], RequestKind::Ping)),
                     Some(_) => {}
                 }
                 continue;
             };
-            // A connection that idles is closed by the counter; that and a reset end it alike.
+            // The counter closes idle connections; that and a reset are handled alike.
             if !matches!(read, Ok(n) if n > 0) {
                 return Ok(());
             }
-            *any = true;
-            while let Some((frame, ..)) = decode_bytes_mut(&mut buffer).map_err(|_| "no proper answer")? {
-                let owed = line.owed.borrow_mut().pop_front().ok_or("an answer to no call")?;
-                self.take_in(owed.question, &frame)?;
+            *served = true;
+            while let Some((frame, ..)) = decode_bytes_mut(&mut buffer).map_err(|_| "malformed reply")? {
+                let pending = connection.pending.borrow_mut().pop_front().ok_or("a reply to no call")?;
+                self.handle_reply(pending.request, &frame)?;
             }
-            if buffer.len() > ANSWER_MAX {
-                return Err("an answer too long");
+            if buffer.len() > REPLY_BYTES_MAX {
+                return Err("a reply is too long");
             }
         }
     }
 
-    /// Takes in one answer. One that fits no question ends the connection: whatever comes after it may belong
-    /// to another call, and a total told of the wrong customer boxes it.
-    fn take_in(&self, question: Question, frame: &BytesFrame) -> Result<(), &'static str> {
-        let (call, outcome) = match (question, frame) {
-            (Question::Ping, BytesFrame::SimpleString(_) | BytesFrame::Error(_)) => return Ok(()),
-            (Question::Ping, _) => return Err("no answer to a ping"),
-            (Question::Call(call), frame) => (call, outcome(frame)),
+    /// Handles one reply. A reply of the wrong kind ends the connection: later replies may belong to other calls, and a
+    /// total credited to the wrong customer would put it into the penalty box.
+    fn handle_reply(&self, request: RequestKind, frame: &BytesFrame) -> Result<(), &'static str> {
+        let (call, outcome) = match (request, frame) {
+            (RequestKind::Ping, BytesFrame::SimpleString(_) | BytesFrame::Error(_)) => return Ok(()),
+            (RequestKind::Ping, _) => return Err("no reply to a ping"),
+            (RequestKind::Call(call), frame) => (call, outcome(frame)),
         };
-        if let Some((asker, name)) = call {
-            (self.tell)(asker, name, outcome.unwrap_or(CounterOutcome::Timeout));
+        if let Some((caller, name)) = call {
+            (self.on_outcome)(caller, name, outcome.unwrap_or(CounterOutcome::Timeout));
         }
-        outcome.map(drop).ok_or("an answer that is no total")
+        outcome.map(drop).ok_or("a reply without a total")
     }
 }
 
-/// Reads a connection to its end, and settles what it still owes. Tells whether it has served.
-async fn listen<P: Platform>(counter: Rc<Counter<P>>, line: Rc<Line<P>>) -> bool {
-    let mut any = false;
-    if let Err(what) = counter.read(&line, &mut any).await {
-        note(&counter.platform, &counter.odd, format_args!("counter: {what}"));
+/// Reads a connection to its end and settles its pending calls. Returns whether any data was received.
+async fn drive<P: Platform>(counter: Rc<Counter<P>>, connection: Rc<Connection<P>>) -> bool {
+    let mut served = false;
+    if let Err(what) = counter.read(&connection, &mut served).await {
+        note(&counter.platform, &counter.errors, format_args!("counter: {what}"));
     }
-    counter.hang_up(&line);
-    any
+    counter.close(&connection);
+    served
 }
 
-/// What an answer to a call says; none where it says nothing that can be read.
+/// The outcome that a reply to a call carries; `None` if it can't be read.
 fn outcome(frame: &BytesFrame) -> Option<CounterOutcome> {
     let text = match frame {
         BytesFrame::Error(text) if text.starts_with("BUSY") || text.starts_with("ERR") => {
--- a/crates/gateway/src/discovery.rs
+++ b/crates/gateway/src/discovery.rs
@@ -1,4 +1,4 @@
-//! The list of workers: the watch on it, and what each word of membership does here.
+//! Follows the list of workers at the discovery service, and applies it to the driver.
 
 use crate::Backoff;
 use bytes::{Bytes, BytesMut};
@@ -19,56 +19,56 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Silence after which a watch is dead: an empty line is due every 2 s.
-const SILENT: Duration = Duration::from_millis(4_500);
-/// Time to connect to an agent on this machine.
-const CONNECT: Duration = Duration::from_secs(1);
-/// The longest line; a list of thousands of workers is shorter.
-const LINE_MAX: usize = 4 << 20;
+/// Silence after which a watch is considered dead; the service sends an empty line every 2 s.
+const SILENCE_TIMEOUT: Duration = Duration::from_millis(4_500);
+/// Timeout for connecting to the agent on this machine.
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
+/// The longest line, bytes; a list of thousands of workers is shorter.
+const LINE_BYTES_MAX: usize = 4 << 20;
 
-/// Who the workers are, and what the gateway does about each word of it.
-pub struct Book {
+/// The known workers; passes each change on to the driver.
+pub struct WorkerDirectory {
     members: RefCell<Membership>,
-    odd: Cell<u64>,
+    errors: Cell<u64>,
 }
 
-impl Book {
-    /// Nobody yet.
+impl WorkerDirectory {
+    /// Creates an empty directory.
     pub fn new(sources: Sources) -> Rc<Self> {
-        Rc::new(Book { members: RefCell::new(Membership::new(sources)), odd: Cell::new(0) })
+        Rc::new(WorkerDirectory { members: RefCell::new(Membership::new(sources)), errors: Cell::new(0) })
     }
 
-    /// Goes by other sources from the next word on.
-    pub fn go_by(&self, sources: Sources) {
+    /// Sets the sources of later changes.
+    pub fn set_sources(&self, sources: Sources) {
         self.members.borrow_mut().go_by(sources);
     }
 
-    /// Brings pools and decisions to a list. `scope` says what the list covers.
-    pub fn apply<P: Platform>(&self, driver: &Rc<Driver<P>>, list: &HostList, scope: ListScope) {
+    /// Applies a list from discovery; `scope` says what the list covers.
+    pub fn apply_list<P: Platform>(&self, driver: &Rc<Driver<P>>, list: &HostList, scope: ListScope) {
         let change = self.members.borrow_mut().list(list, scope, driver.micros());
-        self.carry_out(driver, change);
+        self.apply(driver, change);
     }
 
-    /// Brings them to what DNS names.
+    /// Applies the addresses from DNS.
     pub fn apply_srv<P: Platform>(&self, driver: &Rc<Driver<P>>, addresses: &[Address]) {
         let change = self.members.borrow_mut().srv(addresses, driver.micros());
-        self.carry_out(driver, change);
+        self.apply(driver, change);
     }
 
-    /// Nobody listens at a worker's address.
-    pub fn refused<P: Platform>(&self, driver: &Rc<Driver<P>>, worker: WorkerId) {
+    /// Handles a refused connection to a worker.
+    pub fn connection_refused<P: Platform>(&self, driver: &Rc<Driver<P>>, worker: WorkerId) {
         let change = self.members.borrow_mut().refused(worker, driver.micros());
-        change.into_iter().for_each(|change| self.carry_out(driver, change));
+        change.into_iter().for_each(|change| self.apply(driver, change));
     }
 
-    /// Ends what has had its time; gives when there is more to do.
-    pub fn lapse<P: Platform>(&self, driver: &Rc<Driver<P>>) -> Option<Micros> {
+    /// Applies all timeouts that are due; returns the time of the next one.
+    pub fn expire<P: Platform>(&self, driver: &Rc<Driver<P>>) -> Option<Micros> {
         let change = self.members.borrow_mut().lapse(driver.micros());
-        change.into_iter().for_each(|change| self.carry_out(driver, change));
+        change.into_iter().for_each(|change| self.apply(driver, change));
         self.members.borrow().wake()
     }
 
-    fn carry_out<P: Platform>(&self, driver: &Rc<Driver<P>>, change: Change) {
+    fn apply<P: Platform>(&self, driver: &Rc<Driver<P>>, change: Change) {
         for Told { info, place } in &change.workers {
             match place {
                 Some(Located { at, life }) => {
@@ -80,83 +80,86 @@
         if change.scope != ListScope::Delta {
             driver.workers.keep_only(self.members.borrow().placed());
         }
-        change.odd.iter().for_each(|what| note(&driver.platform, &self.odd, what));
+        change.odd.iter().for_each(|what| note(&driver.platform, &self.errors, what));
         let workers: Vec<_> = change.workers.into_iter().map(|told| told.info).collect();
         driver.list_workers(WorkerList { scope: change.scope, workers });
     }
 }
 
-/// The discovery in use, and its successor until that has told its list.
+/// Follows the discovery service in use, and its replacement until that has sent its list.
 pub struct Watcher<P: Platform> {
     driver: Rc<Driver<P>>,
-    book: Rc<Book>,
-    told: Box<dyn Fn()>,
-    now: RefCell<Option<Followed<P::Task>>>,
-    coming: RefCell<Option<Followed<P::Task>>>,
+    directory: Rc<WorkerDirectory>,
+    on_update: Box<dyn Fn()>,
+    current: RefCell<Option<Watch<P::Task>>>,
+    replacement: RefCell<Option<Watch<P::Task>>>,
 }
 
-/// A discovery that is being followed; no longer once this is dropped.
-struct Followed<T: Task> {
+/// A running watch on one address; dropping it ends the watch.
+struct Watch<T: Task> {
     at: SocketAddr,
     task: T,
 }
 
-impl<T: Task> Drop for Followed<T> {
+impl<T: Task> Drop for Watch<T> {
     fn drop(&mut self) {
         self.task.abort();
     }
 }
 
 impl<P: Platform> Watcher<P> {
-    /// Follows the list at `at` from version `rev` on; calls `told` after each list or change.
+    /// Follows the list at `at` from version `rev` on; calls `on_update` after each list or change.
     pub fn start(
         driver: Rc<Driver<P>>,
-        book: Rc<Book>,
+        directory: Rc<WorkerDirectory>,
         at: SocketAddr,
         rev: u64,
-        told: impl Fn() + 'static,
+        on_update: impl Fn() + 'static,
     ) -> Rc<Self> {
-        let (now, coming) = (RefCell::default(), RefCell::default());
-        let watcher = Rc::new(Watcher { driver, book, told: Box::new(told), now, coming });
-        *watcher.now.borrow_mut() = Some(watcher.follow(at, Some(rev)));
+        let (current, replacement) = (RefCell::default(), RefCell::default());
+        let on_update = Box::new(on_update);
+        let watcher = Rc::new(Watcher { driver, directory, on_update, current, replacement });
+        *watcher.current.borrow_mut() = Some(watcher.follow(at, Some(rev)));
         watcher
     }
 
-    /// Goes over to another discovery. The old one is followed until the new has told its list: with
-    /// neither there would be no word of drains in between.
-    pub fn go_to(self: &Rc<Self>, at: SocketAddr) {
-        drop(self.coming.take());
-        if self.now.borrow().as_ref().is_none_or(|now| now.at != at) {
-            // Versions are each discovery's own: the new one is asked for all it has.
-            *self.coming.borrow_mut() = Some(self.follow(at, None));
+    /// Changes the address. The old service is followed until the new one has sent its list, so that no drain is
+    /// missed in between.
+    pub fn set_address(self: &Rc<Self>, at: SocketAddr) {
+        drop(self.replacement.take());
+        if self.current.borrow().as_ref().is_none_or(|current| current.at != at) {
+            // Versions are local to a service, so the whole list is requested.
+            *self.replacement.borrow_mut() = Some(self.follow(at, None));
         }
     }
 
-    fn follow(self: &Rc<Self>, at: SocketAddr, rev: Option<u64>) -> Followed<P::Task> {
-        Followed { at, task: self.driver.platform.spawn(follow(self.clone(), at, rev)) }
+    fn follow(self: &Rc<Self>, at: SocketAddr, rev: Option<u64>) -> Watch<P::Task> {
+        Watch { at, task: self.driver.platform.spawn(follow(self.clone(), at, rev)) }
     }
 
-    fn told(&self, at: SocketAddr) {
-        let arrived = self.coming.borrow().as_ref().is_some_and(|coming| coming.at == at);
-        if arrived {
-            drop(self.now.replace(self.coming.take()));
+    fn updated(&self, at: SocketAddr) {
+        let replaced = self.replacement.borrow().as_ref().is_some_and(|replacement| replacement.at == at);
+        if replaced {
+            drop(self.current.replace(self.replacement.take()));
         }
-        (self.told)();
+        (self.on_update)();
     }
 
     fn apply(&self, list: &HostList, scope: ListScope) {
-        self.book.apply(&self.driver, list, scope);
+        self.directory.apply_list(&self.driver, list, scope);
     }
 }
 
-/// Follows one discovery for ever.
+/// Follows one address forever.
 async fn follow<P: Platform>(watcher: Rc<Watcher<P>>, at: SocketAddr, mut rev: Option<u64>) {
     let mut backoff = Backoff::new();
     loop {
         let before = rev;
         match watch(&watcher, at, &mut rev).await {
             Ok(()) => {}
-            Err(what) => note(&watcher.driver.platform, &watcher.book.odd, format_args!("discovery: {what}")),
+            Err(what) => {
+                note(&watcher.driver.platform, &watcher.directory.errors, format_args!("discovery: {what}"))
+            }
         }
         if rev != before {
             backoff = Backoff::new();
@@ -165,10 +168,10 @@
     }
 }
 
-/// Closes the connection with the watch on it, however that ends.
-struct Closing<S: Stream>(Rc<Wire<S>>);
+/// Closes the connection of a watch when dropped.
+struct CloseOnDrop<S: Stream>(Rc<Wire<S>>);
 
-impl<S: Stream> Drop for Closing<S> {
+impl<S: Stream> Drop for CloseOnDrop<S> {
     fn drop(&mut self) {
         self.0.close();
     }
@@ -176,28 +179,28 @@
 
 type Sender = hyper::client::conn::http1::SendRequest<Empty<Bytes>>;
 
-/// One watch, until it ends, falls silent or talks nonsense. A change that could not be read is asked for
-/// again: the next watch starts after the last version that was taken in.
+/// Runs one watch until it ends, falls silent or sends a malformed line. The next watch starts after the last version
+/// that was applied, so an unreadable change is requested again.
 async fn watch<P: Platform>(
     watcher: &Watcher<P>,
     at: SocketAddr,
     rev: &mut Option<u64>,
 ) -> Result<(), String> {
     let platform = &watcher.driver.platform;
-    let stream = platform.timeout(CONNECT, platform.connect(at)).await;
+    let stream = platform.timeout(CONNECT_TIMEOUT, platform.connect(at)).await;
     let stream = stream.map_err(|_| "no connection in time")?.map_err(|e| e.to_string())?;
     let place = Place::take(&Rc::default(), 1).ok_or("no place")?;
-    let closing = Closing(Wire::new(stream, place));
-    let (mut sender, conn) = hyper::client::conn::http1::handshake(TokioIo::new(WireIo(closing.0.clone())))
+    let guard = CloseOnDrop(Wire::new(stream, place));
+    let (mut sender, conn) = hyper::client::conn::http1::handshake(TokioIo::new(WireIo(guard.0.clone())))
         .await
         .map_err(|e| e.to_string())?;
-    closing.0.driven_by(platform.spawn(async move { drop(conn.await) }));
+    guard.0.driven_by(platform.spawn(async move { drop(conn.await) }));
     let from = match *rev {
         Some(from) => from,
         None => {
             let from = read_whole(watcher, &mut sender).await?;
             *rev = Some(from);
-            watcher.told(at);
+            watcher.updated(at);
             sender.ready().await.map_err(|e| e.to_string())?;
             from
         }
@@ -205,14 +208,14 @@
     read_watch(watcher, at, &mut sender, from, rev).await
 }
 
-async fn ask(
+async fn get(
     platform: &impl Platform,
     sender: &mut Sender,
     path: &str,
 ) -> Result<Response<Incoming>, String> {
     let request =
         Request::get(path).header(HOST, "discovery").body(Empty::new()).map_err(|e| e.to_string())?;
-    let answer = platform.timeout(SILENT, sender.send_request(request)).await;
+    let answer = platform.timeout(SILENCE_TIMEOUT, sender.send_request(request)).await;
     let answer = answer.map_err(|_| "no answer in time")?.map_err(|e| e.to_string())?;
     match answer.status() {
         StatusCode::OK => Ok(answer),
@@ -220,11 +223,12 @@
     }
 }
 
-/// Takes in the whole list; gives its version.
+/// Reads and applies the whole list; returns its version.
 async fn read_whole<P: Platform>(watcher: &Watcher<P>, sender: &mut Sender) -> Result<u64, String> {
     let platform = &watcher.driver.platform;
-    let answer = ask(platform, sender, "/discovery/hosts").await?;
-    let body = platform.timeout(SILENT, Limited::new(answer.into_body(), LINE_MAX).collect()).await;
+    let answer = get(platform, sender, "/discovery/hosts").await?;
+    let body =
+        platform.timeout(SILENCE_TIMEOUT, Limited::new(answer.into_body(), LINE_BYTES_MAX).collect()).await;
     let body = body.map_err(|_| "half a list")?.map_err(|e| e.to_string())?.to_bytes();
     let list: HostList = serde_json::from_slice(&body).map_err(|e| format!("the list: {e}"))?;
     watcher.apply(&list, ListScope::Full);
@@ -239,10 +243,11 @@
     rev: &mut Option<u64>,
 ) -> Result<(), String> {
     let platform = &watcher.driver.platform;
-    let mut answer = ask(platform, sender, &format!("/discovery/hosts?stream=1&index={from}")).await?;
+    let mut answer = get(platform, sender, &format!("/discovery/hosts?stream=1&index={from}")).await?;
     let mut buffer = BytesMut::new();
     loop {
-        let frame = platform.timeout(SILENT, answer.frame()).await.map_err(|_| "the watch fell silent")?;
+        let frame =
+            platform.timeout(SILENCE_TIMEOUT, answer.frame()).await.map_err(|_| "the watch fell silent")?;
         let Some(frame) = frame else { return Ok(()) };
         let Ok(data) = frame.map_err(|e| e.to_string())?.into_data() else { continue };
         buffer.extend_from_slice(&data);
@@ -254,9 +259,9 @@
             let list: HostList = serde_json::from_slice(&line).map_err(|e| format!("a line: {e}"))?;
             watcher.apply(&list, if list.all { ListScope::Full } else { ListScope::Delta });
             *rev = Some(list.rev);
-            watcher.told(at);
+            watcher.updated(at);
         }
-        if buffer.len() > LINE_MAX {
+        if buffer.len() > LINE_BYTES_MAX {
             return Err("a line has no end".into());
         }
     }
--- a/crates/gateway/src/fleet.rs
+++ b/crates/gateway/src/fleet.rs
@@ -1,18 +1,18 @@
-//! What a gateway tells and hears of its fleet: words to and from other gateways by their operators' addresses,
-//! and the roll call on the counter. Who is there and what may be used is decided in `hingestage_fleet` and
-//! `hingestage_shares`; the decisions are told of each new view.
+//! Failure detection and leases of a gateway: gossip with peers through their admin addresses, and the roll call on
+//! the counter. `hingestage_fleet` decides who is absent and `hingestage_shares` which part of the limits may be used;
+//! each new view is passed to the decisions.
 
-use crate::ask::ask_with;
+use crate::admin_client::request_with_header;
 use crate::counter::{Asker, Counter};
 use crate::sites::Sites;
 use hingestage_dataplane::driver::Driver;
-use hingestage_failover::Word;
+use hingestage_failover::Word as SiteReport;
 use hingestage_fleet::roll::Roll;
 use hingestage_fleet::table::{Message, Standing, Table, MESSAGE_MAX};
-use hingestage_operator::Fleet as Figures;
+use hingestage_operator::Fleet as FleetSettings;
 use hingestage_platform::Platform;
 use hingestage_policy::{CounterName, CounterOutcome, Event, Micros, View};
-use hingestage_shares::{Lease, Standing as Holding, Voter};
+use hingestage_shares::{Lease, Standing as LeaseState, Voter};
 use hyper::header::HeaderValue;
 use hyper::{Method, StatusCode};
 use std::cell::{Cell, RefCell};
@@ -21,61 +21,63 @@
 use std::rc::{Rc, Weak};
 use std::time::Duration;
 
-/// How often the view is looked at again: a part of the lease small enough that its end is met in time.
-const LOOK: Duration = Duration::from_millis(50);
-/// All others are asked so often within a lease, so that one lost word is no lost contact.
-const ASKS: u32 = 3;
-/// The shortest and the longest time between two words.
-const PAUSE: (Duration, Duration) = (Duration::from_millis(20), Duration::from_millis(300));
-/// Goodbyes are answered by then, or not heard.
-const LAST_WORDS: Duration = Duration::from_millis(300);
-/// Words without an answer at once; past that none is sent.
-const WORDS_MAX: usize = 8;
-/// The field of a head that brings what is known of sites.
+/// How often the view is computed anew; much shorter than a lease.
+const VIEW_INTERVAL: Duration = Duration::from_millis(50);
+/// Messages to each peer per lease, so that one may be lost.
+const MESSAGES_PER_LEASE: u32 = 3;
+/// Minimum time between two messages.
+const MESSAGE_INTERVAL_MIN: Duration = Duration::from_millis(20);
+/// Maximum time between two messages.
+const MESSAGE_INTERVAL_MAX: Duration = Duration::from_millis(300);
+/// Timeout for the answers to goodbyes.
+const GOODBYE_TIMEOUT: Duration = Duration::from_millis(300);
+/// Maximum number of unanswered messages; beyond it none is sent.
+const PENDING_MAX: usize = 8;
+/// The header that carries a report on sites.
 pub const SITES: &str = "sites";
 
-/// The fleet as one gateway knows it.
+/// The fleet as seen by one gateway.
 pub struct Fleet<P: Platform> {
     driver: Weak<Driver<P>>,
     platform: P,
-    /// Where the roll is called, if there is a counter.
+    /// The counter of the roll call, if there is one.
     counter: Option<Rc<Counter<P>>>,
     sites: Rc<Sites<P>>,
-    figures: Figures,
+    settings: FleetSettings,
     me: u32,
     table: RefCell<Table>,
     roll: Option<RefCell<Roll>>,
     lease: RefCell<Lease>,
     view: RefCell<Option<View>>,
-    /// Words that wait for an answer.
-    out: Cell<usize>,
+    /// Number of unanswered messages.
+    pending: Cell<usize>,
 }
 
 impl<P: Platform> Fleet<P> {
-    /// That of a gateway's new life.
+    /// Creates the state of a new incarnation.
     pub fn new(
         driver: &Rc<Driver<P>>,
         counter: Option<Rc<Counter<P>>>,
         sites: Rc<Sites<P>>,
-        figures: Figures,
+        settings: FleetSettings,
         (me, gateways): (u32, u32),
     ) -> Rc<Self> {
         let now = driver.micros();
         let micros = |span: Duration| span.as_micros() as Micros;
-        let roll = (figures.roll_call && counter.is_some()).then(|| Roll::new(me, gateways, now));
-        // A lease outlasts the pause between two marks on the roll, which grows with the fleet.
+        let roll = (settings.roll_call && counter.is_some()).then(|| Roll::new(me, gateways, now));
+        // A lease must outlast a slot of the roll call, which grows with the fleet.
         let scale = roll.as_ref().map_or(1, |roll| roll.slot().div_ceil(1_000_000).max(1));
-        let votes = figures.counter_votes.unwrap_or(gateways / 2);
-        let absent = micros(figures.absent) * scale;
+        let votes = settings.counter_votes.unwrap_or(gateways / 2);
+        let absent = micros(settings.absent) * scale;
         let lease = Lease::new(
             me,
             hingestage_shares::Figures {
                 gateways,
                 counter_votes: if roll.is_some() { votes } else { 0 },
-                lease: micros(figures.lease) * scale,
+                lease: micros(settings.lease) * scale,
                 absent,
-                settles: micros(figures.settles) * scale,
-                kept: figures.kept,
+                settles: micros(settings.settles) * scale,
+                kept: settings.kept,
             },
         );
         let table = Table::new(me, now, gateways, absent);
@@ -84,13 +86,13 @@
             platform: driver.platform.clone(),
             counter,
             sites,
-            figures,
+            settings,
             me,
             table: RefCell::new(table),
             roll: roll.map(RefCell::new),
             lease: RefCell::new(lease),
             view: RefCell::default(),
-            out: Cell::new(0),
+            pending: Cell::new(0),
         })
     }
 
@@ -98,45 +100,45 @@
         Some(self.driver.upgrade()?.micros())
     }
 
-    /// Asks others and calls the roll for as long as the gateway lives.
+    /// Runs gossip and roll call until the gateway ends.
     pub async fn run(self: Rc<Self>) {
-        let asks = self.clone();
-        self.platform.spawn(async move { asks.ask_in_turn().await });
+        let gossip = self.clone();
+        self.platform.spawn(async move { gossip.send_messages().await });
         while self.driver.strong_count() > 0 {
             self.call_roll();
-            self.look();
-            self.platform.sleep(LOOK).await;
+            self.update_view();
+            self.platform.sleep(VIEW_INTERVAL).await;
         }
     }
 
-    /// Tells the decisions what may be gone by now.
-    fn look(&self) {
+    /// Computes the view of the fleet and passes it to the decisions if it changed.
+    fn update_view(&self) {
         let Some(driver) = self.driver.upgrade() else { return };
         let now = driver.micros();
-        let (unheard, superseded) = {
+        let (absent, superseded) = {
             let table = self.table.borrow();
             (table.absent(now), table.superseded())
         };
-        self.hear_goodbyes(now);
-        if superseded && !matches!(self.lease.borrow().standing(now), Holding::Superseded) {
+        self.apply_goodbyes(now);
+        if superseded && !matches!(self.lease.borrow().standing(now), LeaseState::Superseded) {
             self.platform.log(format_args!("another process has this gateway's number: no parts are used"));
             self.lease.borrow_mut().supersede();
         }
-        let view = self.lease.borrow_mut().view(now, &unheard);
+        let view = self.lease.borrow_mut().view(now, &absent);
         let last = self.view.replace(Some(view.clone()));
         let same = last.as_ref().is_some_and(|last| last.same(&view));
         if !same {
             let absent: Vec<u32> = view.absent.iter().copied().collect();
-            let how = if view.holds { "holds its part" } else { "keeps to its least" };
-            self.platform.log(format_args!("fleet: view {}: {how}; absent: {absent:?}", view.number));
+            let state = if view.holds { "holds its part" } else { "keeps to its least" };
+            self.platform.log(format_args!("fleet: view {}: {state}; absent: {absent:?}", view.number));
         }
         if last != Some(view.clone()) {
             driver.feed(Event::Fleet(view));
         }
     }
 
-    /// The roll goes by goodbyes from when they are heard.
-    fn hear_goodbyes(&self, now: Micros) {
+    /// Passes goodbyes received by gossip on to the roll call.
+    fn apply_goodbyes(&self, now: Micros) {
         let goodbyes = self.table.borrow().goodbyes();
         let found = self.roll.as_ref().and_then(|roll| roll.borrow_mut().goodbyes(goodbyes));
         if let Some(found) = found {
@@ -144,97 +146,101 @@
         }
     }
 
-    /// Clients of a set come here: if it is not this gateway's, the set is doubted.
-    pub fn clients_come(&self, first: u32, spread: u32) {
+    /// Handles a client of the set of `spread` gateways from `first` on: if this gateway is not in the set, the set is
+    /// suspected.
+    pub fn client_arrived(&self, first: u32, spread: u32) {
         self.table.borrow_mut().clients_moved(first, spread);
     }
 
-    async fn ask_in_turn(self: Rc<Self>) {
-        let others = self.figures.peers.len() as u32;
-        let pause = (self.figures.lease / (ASKS * others.max(1))).clamp(PAUSE.0, PAUSE.1);
+    /// Sends messages to the peers in turn.
+    async fn send_messages(self: Rc<Self>) {
+        let others = self.settings.peers.len() as u32;
+        let pause = (self.settings.lease / (MESSAGES_PER_LEASE * others.max(1)))
+            .clamp(MESSAGE_INTERVAL_MIN, MESSAGE_INTERVAL_MAX);
         if others == 0 {
             return;
         }
         loop {
             let Some(now) = self.now() else { return };
             let next = self.table.borrow_mut().next(now);
-            let at = next.and_then(|number| self.figures.peers.get(&number).copied());
-            if let (Some(at), true) = (at, self.out.get() < WORDS_MAX) {
+            let at = next.and_then(|number| self.settings.peers.get(&number).copied());
+            if let (Some(at), true) = (at, self.pending.get() < PENDING_MAX) {
                 let fleet = self.clone();
-                self.platform.spawn(async move { fleet.ask(at).await });
+                self.platform.spawn(async move { fleet.send(at).await });
             }
             self.platform.sleep(pause).await;
         }
     }
 
-    /// Sends one word, and takes in what is answered in time.
-    async fn ask(self: Rc<Self>, at: SocketAddr) {
+    /// Sends one message and applies the answer if it arrives in time.
+    async fn send(self: Rc<Self>, at: SocketAddr) {
         let Some(now) = self.now() else { return };
-        let word = self.table.borrow_mut().word(now);
-        self.out.set(self.out.get() + 1);
-        let answer = self.platform.timeout(self.figures.lease / 2, self.exchange(at, word.text())).await;
-        self.out.set(self.out.get() - 1);
+        let message = self.table.borrow_mut().word(now);
+        self.pending.set(self.pending.get() + 1);
+        let answer = self.platform.timeout(self.settings.lease / 2, self.exchange(at, message.text())).await;
+        self.pending.set(self.pending.get() - 1);
         let Ok(Some(message)) = answer else { return };
-        let Some(heard) = self.now() else { return };
-        if self.table.borrow_mut().take(heard, &message) {
-            self.lease.borrow_mut().confirmed(heard, Voter::Gateway(message.from), now, message.absent);
-            self.look();
+        let Some(received) = self.now() else { return };
+        if self.table.borrow_mut().take(received, &message) {
+            self.lease.borrow_mut().confirmed(received, Voter::Gateway(message.from), now, message.absent);
+            self.update_view();
         }
     }
 
-    async fn exchange(&self, at: SocketAddr, word: String) -> Option<Message> {
-        let (call, field) = ((Method::POST, "/fleet"), self.of_sites().map(|text| (SITES, text)));
-        let (status, head, body) = ask_with(&self.platform, at, call, word, MESSAGE_MAX, field).await?;
+    async fn exchange(&self, at: SocketAddr, text: String) -> Option<Message> {
+        let (call, header) = ((Method::POST, "/fleet"), self.site_report().map(|text| (SITES, text)));
+        let (status, headers, body) =
+            request_with_header(&self.platform, at, call, text, MESSAGE_MAX, header).await?;
         let text = std::str::from_utf8(&body).ok().filter(|_| status == StatusCode::OK)?;
         let message = Message::read(text).ok()?;
-        self.hear_of_sites(message.from, head.get(SITES));
+        self.apply_site_report(message.from, headers.get(SITES));
         Some(message)
     }
 
-    /// This gateway has been told to end: it holds no part any more, and all others are told at once, so that they
-    /// need not wait until it has not been heard for long.
+    /// Gives up this gateway's part when it is told to end, and tells all peers, so that they need not wait for a
+    /// timeout.
     pub fn goodbye(self: &Rc<Self>) {
         self.lease.borrow_mut().renounce();
         let last_slot = self.roll.as_ref().map(|roll| roll.borrow_mut().leave());
         self.table.borrow_mut().goodbye(last_slot);
-        self.platform.log(format_args!("fleet: goodbye; its part is for the others"));
-        self.look();
-        for at in self.figures.peers.values().copied() {
+        self.platform.log(format_args!("fleet: goodbye sent; this gateway gives up its part"));
+        self.update_view();
+        for at in self.settings.peers.values().copied() {
             let fleet = self.clone();
-            self.platform.spawn(async move { fleet.ask(at).await });
+            self.platform.spawn(async move { fleet.send(at).await });
         }
     }
 
-    /// Waits until the words that are out are answered, for a short time at the most: the last ones are goodbyes.
-    pub async fn last_words(&self) {
+    /// Waits a short time for the answers to goodbyes.
+    pub async fn flush_goodbyes(&self) {
         let answered = async {
-            while self.out.get() > 0 {
-                self.platform.sleep(PAUSE.0).await;
+            while self.pending.get() > 0 {
+                self.platform.sleep(MESSAGE_INTERVAL_MIN).await;
             }
         };
-        let _ = self.platform.timeout(LAST_WORDS, answered).await;
+        let _ = self.platform.timeout(GOODBYE_TIMEOUT, answered).await;
     }
 
-    /// What is told of sites along with a word.
-    pub fn of_sites(&self) -> Option<String> {
-        Some(self.sites.to_tell(self.now()?).text())
+    /// This gateway's report on sites, sent along with each message.
+    pub fn site_report(&self) -> Option<String> {
+        Some(self.sites.report(self.now()?).text())
     }
 
-    /// What another tells of sites. A spoilt word changes nothing.
-    fn hear_of_sites(&self, from: u32, field: Option<&HeaderValue>) {
-        let word = field.and_then(|field| Word::read(field.to_str().ok()?).ok());
-        if let (Some(word), Some(now)) = (word, self.now()) {
-            self.sites.told(now, from, &word);
+    /// Applies another gateway's report on sites; a malformed one is ignored.
+    fn apply_site_report(&self, from: u32, header: Option<&HeaderValue>) {
+        let report = header.and_then(|header| SiteReport::read(header.to_str().ok()?).ok());
+        if let (Some(report), Some(now)) = (report, self.now()) {
+            self.sites.apply_report(now, from, &report);
         }
     }
 
-    /// The answer to another's word, which brought so much of sites along.
+    /// Applies another gateway's message and report on sites; returns the answer.
     ///
     /// # Errors
-    /// What is wrong with it.
-    pub fn answer(&self, text: &str, of_sites: Option<&HeaderValue>) -> Result<String, String> {
+    /// The fault in the message.
+    pub fn answer(&self, text: &str, site_report: Option<&HeaderValue>) -> Result<String, String> {
         let message = Message::read(text)?;
-        self.hear_of_sites(message.from, of_sites);
+        self.apply_site_report(message.from, site_report);
         let now = self.now().ok_or("the gateway ends")?;
         let mut table = self.table.borrow_mut();
         match table.take(now, &message) {
@@ -243,6 +249,7 @@
         }
     }
 
+    /// Makes the calls of the roll call that are due.
     fn call_roll(&self) {
         let (Some(roll), Some(counter), Some(now)) = (&self.roll, &self.counter, self.now()) else { return };
         let calls = roll.borrow_mut().calls(now);
@@ -251,8 +258,8 @@
         }
     }
 
-    /// A call of the roll has ended.
-    pub fn counted(&self, name: &CounterName, outcome: CounterOutcome) {
+    /// Handles the outcome of a call of the roll call.
+    pub fn handle_outcome(&self, name: &CounterName, outcome: CounterOutcome) {
         let Some(roll) = self.roll.as_ref() else { return };
         let total = if let CounterOutcome::Total(total) = outcome { Some(total) } else { None };
         let found = roll.borrow_mut().answered(&name.0, total);
@@ -266,22 +273,22 @@
         self.me
     }
 
-    /// Whether another gateway is not known to be gone.
-    pub fn lives(&self, now: Micros, number: u32) -> bool {
+    /// Whether another gateway is not gone.
+    pub fn is_alive(&self, now: Micros, number: u32) -> bool {
         self.table.borrow().standing(now, number) != Standing::Gone
     }
 
-    /// What is known, for operators.
+    /// The state as text for operators.
     pub fn explain(&self) -> String {
         let Some(now) = self.now() else { return String::new() };
         let (table, lease) = (self.table.borrow(), self.lease.borrow());
         let mut text = match lease.standing(now) {
-            Holding::Holds(votes) => format!("holds its part, by {votes} votes\n"),
-            Holding::Keeps(votes) => format!("keeps to its least, with {votes} votes\n"),
-            Holding::Superseded => "another process has this gateway's number\n".to_owned(),
+            LeaseState::Holds(votes) => format!("holds its part, by {votes} votes\n"),
+            LeaseState::Keeps(votes) => format!("keeps to its least, with {votes} votes\n"),
+            LeaseState::Superseded => "another process has this gateway's number\n".to_owned(),
         };
         let view = self.view.borrow();
-        for (number, at) in &self.figures.peers {
+        for (number, at) in &self.settings.peers {
             let standing = match table.standing(now, *number) {
                 Standing::Alive => "alive",
                 Standing::Doubtful => "doubtful",
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -1,10 +1,10 @@
-//! One gateway put together: serves from its start until all is answered after the call to stop.
+//! Assembles one gateway and runs it until all requests are answered after a stop.
 
 use crate::admin::Admin;
-use crate::changes::Changes;
 use crate::config::Config;
-use crate::discovery::{Book, Watcher};
+use crate::discovery::{Watcher, WorkerDirectory};
 use crate::fleet::Fleet;
+use crate::policy_follower::PolicyFollower;
 use crate::server::{connection_settings, Server};
 use crate::sites::Sites;
 use crate::srv::{Follower, Hears};
@@ -23,31 +23,31 @@
 use std::time::Duration;
 use tokio::sync::{mpsc, oneshot};
 
-/// Past the longest deadline after the call to stop nothing can be owed any more.
-const STOP_SPARE: Duration = Duration::from_millis(600);
-/// How long discovery may stay silent before the list of an earlier life is gone by.
-const KNOWN_WILL_DO: Duration = Duration::from_secs(1);
-/// Period of housekeeping.
-const TIDY: Duration = Duration::from_secs(1);
+/// Time added to the longest deadline after a stop, until which connections may stay open.
+const STOP_MARGIN: Duration = Duration::from_millis(600);
+/// How long discovery may stay silent before the gateway is ready with its cached list.
+const CACHED_LIST_DELAY: Duration = Duration::from_secs(1);
+/// Interval of housekeeping.
+const HOUSEKEEPING_INTERVAL: Duration = Duration::from_secs(1);
 
-/// A configuration read again while running, or why it could not be.
+/// A configuration that was read again while running, or the error.
 pub type Reload = Result<Config, String>;
 
-/// What a gateway is told from outside while it serves.
+/// A command to a running gateway.
 pub enum Control {
-    /// The configuration, read again: where discovery and counter are from now on. What could not be read
-    /// changes nothing.
+    /// Applies a reloaded configuration: addresses of discovery and counter, DNS settings, sites. An error changes
+    /// nothing.
     Reload(Box<Reload>),
-    /// Another process serves in this one's place as well, or has ended.
+    /// A successor process serves, or has ended.
     Successor(bool),
-    /// Answer what was taken, and end.
+    /// Finish the accepted requests, then end.
     Stop,
 }
 
-/// Serves until `stop` ends, and then until nothing is owed any more.
+/// Serves until `stop` completes and all accepted requests are answered.
 ///
 /// # Errors
-/// The listening address can't be had; the message names the field.
+/// The listening address can't be bound; the message names the field.
 pub async fn serve<P: Platform>(
     platform: P,
     config: Config,
@@ -57,24 +57,24 @@
 ) -> Result<(), String> {
     let listener = platform.listen(config.listen).await;
     let listener = listener.map_err(|e| format!("field `listen`: {}: {e}", config.listen))?;
-    let (tell, controls) = mpsc::channel(1);
-    let tell_stop = tell.clone();
+    let (sender, controls) = mpsc::channel(1);
+    let stop_sender = sender.clone();
     platform.spawn(async move {
         while let Some(reload) = reloads.recv().await {
-            let _ = tell.send(Control::Reload(Box::new(reload))).await;
+            let _ = sender.send(Control::Reload(Box::new(reload))).await;
         }
     });
     platform.spawn(async move {
         stop.await;
-        let _ = tell_stop.send(Control::Stop).await;
+        let _ = stop_sender.send(Control::Stop).await;
     });
     serve_on(platform, config, decide, listener, controls).await
 }
 
-/// Serves on a listener until told to stop, and then until nothing is owed any more.
+/// Serves on a listener until told to stop and all accepted requests are answered.
 ///
 /// # Errors
-/// The operators' address can't be had; the message names the field.
+/// The admin address can't be bound; the message names the field.
 pub async fn serve_on<P: Platform>(
     platform: P,
     config: Config,
@@ -83,8 +83,8 @@
     controls: mpsc::Receiver<Control>,
 ) -> Result<(), String> {
     let bound = listener.local_addr().map_err(|e| format!("field `listen`: {e}"))?;
-    let wait = config.settings.counter_timeout;
-    let subsystems = GatewaySubsystems::new(platform.clone(), config.counter, wait);
+    let counter_timeout = config.settings.counter_timeout;
+    let subsystems = GatewaySubsystems::new(platform.clone(), config.counter, counter_timeout);
     let driver = Driver::new(platform.clone(), config.driver_settings(), subsystems.clone(), decide);
     subsystems.driver.get_or_init(|| Rc::downgrade(&driver));
     let server = Server::new(driver.clone(), &config);
@@ -99,67 +99,67 @@
         platform.spawn(serving.serve(listener));
     }
     platform.log(format_args!("listening on {bound}"));
-    let book = Book::new(sources(config.srv.as_ref()));
-    let follower = config.srv.clone().map(|srv| follow_name(&driver, &server, &book, srv, config.seed));
-    follower.iter().for_each(|follower| admin.iter().for_each(|admin| admin.show(follower.clone())));
-    let listed = config.srv.as_ref().is_none_or(|srv| srv.beside_list);
-    let watcher = listed.then(|| {
-        book.apply(&driver, &config.known, ListScope::Cached);
-        Watcher::start(driver.clone(), book.clone(), config.discovery, config.known.rev, {
+    let directory = WorkerDirectory::new(sources(config.srv.as_ref()));
+    let follower = config.srv.clone().map(|srv| follow_name(&driver, &server, &directory, srv, config.seed));
+    follower.iter().for_each(|follower| admin.iter().for_each(|admin| admin.set_follower(follower.clone())));
+    let uses_discovery = config.srv.as_ref().is_none_or(|srv| srv.beside_list);
+    let watcher = uses_discovery.then(|| {
+        directory.apply_list(&driver, &config.known, ListScope::Cached);
+        Watcher::start(driver.clone(), directory.clone(), config.discovery, config.known.rev, {
             let server = server.clone();
             move || server.told(Told::Ready)
         })
     });
-    if listed && !config.known.targets.is_empty() {
-        // While discovery is down the list of before is all there is, and serves well enough.
-        let (server, sleep) = (server.clone(), platform.sleep(KNOWN_WILL_DO));
+    if uses_discovery && !config.known.targets.is_empty() {
+        // While discovery is down, the cached list is used.
+        let (server, sleep) = (server.clone(), platform.sleep(CACHED_LIST_DELAY));
         platform.spawn(async move {
             sleep.await;
             server.told(Told::Ready);
         });
     }
-    let (tell_stop, stop) = oneshot::channel();
-    let sources = Followed { book, watcher, follower, subsystems: subsystems.clone() };
-    platform.spawn(follow(driver.clone(), server.clone(), sources, controls, tell_stop));
+    let (stop_sender, stop) = oneshot::channel();
+    let sinks = Sinks { directory, watcher, follower, subsystems: subsystems.clone() };
+    platform.spawn(handle_controls(driver.clone(), server.clone(), sinks, controls, stop_sender));
     platform.spawn(subsystems.counter.clone().run());
-    if let Some(figures) = config.fleet.clone() {
+    if let Some(settings) = config.fleet.clone() {
         let (me, gateways) = (config.settings.me, config.settings.instances.max(1));
         let counter = config.counter.map(|_| subsystems.counter.clone());
-        let fleet = Fleet::new(&driver, counter, sites, figures.clone(), (me, gateways));
+        let fleet = Fleet::new(&driver, counter, sites, settings.clone(), (me, gateways));
         subsystems.fleet.get_or_init(|| fleet.clone());
-        if figures.turns {
+        if settings.turns {
             let counter = subsystems.counter.clone();
-            let turns = Turns::new(&driver, counter, &fleet, &figures, (me, gateways), wait);
+            let turns = Turns::new(&driver, counter, &fleet, &settings, (me, gateways), counter_timeout);
             subsystems.turns.get_or_init(|| turns.clone());
             platform.spawn(turns.run());
         }
         platform.spawn(fleet.run());
     }
-    if let Some(figures) = config.policy.clone() {
-        let changes = Changes::new(&driver, figures, config.settings.clone(), config.names.clone());
-        subsystems.changes.get_or_init(|| changes.clone());
-        // Before anything can come in.
+    if let Some(settings) = config.policy.clone() {
+        let policy = PolicyFollower::new(&driver, settings, config.settings.clone(), config.names.clone());
+        subsystems.policy.get_or_init(|| policy.clone());
+        // No request may begin before a policy is in force.
         driver.feed(Event::Terms(None));
-        platform.spawn(changes.run());
+        platform.spawn(policy.run());
     }
-    platform.spawn(tidy(driver.clone(), connections.clone()));
+    platform.spawn(housekeeping(driver.clone(), connections.clone()));
     tokio::select! {
         biased;
         _ = stop => {}
         () = connections.accept(&listener) => {}
     }
     let longest = driver.longest().map_or(config.longest_deadline(), |l| l.max(config.longest_deadline()));
-    connections.stop(listener, server.stopping(longest + STOP_SPARE)).await;
+    connections.stop(listener, server.stopping(longest + STOP_MARGIN)).await;
     if let Some(fleet) = subsystems.fleet.get() {
-        fleet.last_words().await;
+        fleet.flush_goodbyes().await;
     }
     Ok(())
 }
 
-/// What follows what the gateway is told from outside.
-struct Followed<P: Platform> {
+/// The parts of a gateway that a [`Control`] may change.
+struct Sinks<P: Platform> {
     subsystems: Rc<GatewaySubsystems<P>>,
-    book: Rc<Book>,
+    directory: Rc<WorkerDirectory>,
     watcher: Option<Rc<Watcher<P>>>,
     follower: Option<Rc<Follower<P>>>,
 }
@@ -171,14 +171,14 @@
     }
 }
 
-/// What DNS says goes into the book, and the gateway is ready once it has said anything.
-struct ToBook<P: Platform> {
+/// Passes addresses from DNS to the directory of workers; the gateway is ready after the first ones.
+struct DnsSink<P: Platform> {
     driver: Rc<Driver<P>>,
     server: Rc<Server<P>>,
-    book: Rc<Book>,
+    directory: Rc<WorkerDirectory>,
 }
 
-impl<P: Platform> Hears for ToBook<P> {
+impl<P: Platform> Hears for DnsSink<P> {
     fn believe(&self, endpoints: &[Endpoint]) {
         let address = |e: &Endpoint| Address {
             at: e.at,
@@ -187,12 +187,12 @@
             names: e.names.iter().map(ToString::to_string).collect(),
         };
         let addresses: Vec<Address> = endpoints.iter().map(address).collect();
-        self.book.apply_srv(&self.driver, &addresses);
+        self.directory.apply_srv(&self.driver, &addresses);
         self.server.told(Told::Ready);
     }
 
     fn lapse(&self) -> Option<Duration> {
-        let at = self.book.lapse(&self.driver)?;
+        let at = self.directory.expire(&self.driver)?;
         Some(Duration::from_micros(at.saturating_sub(self.driver.micros())))
     }
 }
@@ -200,46 +200,47 @@
 fn follow_name<P: Platform>(
     driver: &Rc<Driver<P>>,
     server: &Rc<Server<P>>,
-    book: &Rc<Book>,
+    directory: &Rc<WorkerDirectory>,
     srv: Srv,
     seed: u64,
 ) -> Rc<Follower<P>> {
-    let hears = ToBook { driver: driver.clone(), server: server.clone(), book: book.clone() };
-    let follower = Follower::start(driver.platform.clone(), srv.settings, seed, Box::new(hears));
-    let (weak, seen, asks) = (Rc::downgrade(driver), book.clone(), Rc::downgrade(&follower));
+    let sink = DnsSink { driver: driver.clone(), server: server.clone(), directory: directory.clone() };
+    let follower = Follower::start(driver.platform.clone(), srv.settings, seed, Box::new(sink));
+    let (weak_driver, directory, weak_follower) =
+        (Rc::downgrade(driver), directory.clone(), Rc::downgrade(&follower));
     driver.workers.tell_refused(move |worker| {
-        weak.upgrade().into_iter().for_each(|driver| seen.refused(&driver, worker));
-        asks.upgrade().into_iter().for_each(|follower| follower.suspect());
+        weak_driver.upgrade().into_iter().for_each(|driver| directory.connection_refused(&driver, worker));
+        weak_follower.upgrade().into_iter().for_each(|follower| follower.suspect());
     });
     follower
 }
 
-async fn tidy<P: Platform>(driver: Rc<Driver<P>>, connections: Rc<Connections<P, Server<P>>>) {
+async fn housekeeping<P: Platform>(driver: Rc<Driver<P>>, connections: Rc<Connections<P, Server<P>>>) {
     loop {
-        driver.platform.sleep(TIDY).await;
+        driver.platform.sleep(HOUSEKEEPING_INTERVAL).await;
         driver.workers.retire_idle();
         driver.gauge();
         connections.close_stuck();
     }
 }
 
-/// Takes in what it is told, while stopping as well.
-async fn follow<P: Platform>(
+/// Handles commands, also while stopping.
+async fn handle_controls<P: Platform>(
     driver: Rc<Driver<P>>,
     server: Rc<Server<P>>,
-    sources: Followed<P>,
+    sinks: Sinks<P>,
     mut controls: mpsc::Receiver<Control>,
     stop: oneshot::Sender<()>,
 ) {
-    let (mut stop, subsystems) = (Some(stop), &sources.subsystems);
+    let (mut stop, subsystems) = (Some(stop), &sinks.subsystems);
     while let Some(control) = controls.recv().await {
         match control {
-            Control::Reload(reload) => go_where(&driver, &sources, *reload),
+            Control::Reload(reload) => apply_reload(&driver, &sinks, *reload),
             Control::Successor(serves) => {
                 driver.platform.log(format_args!("successor {}", if serves { "starts" } else { "is gone" }));
                 server.told(if serves { Told::SuccessorStarts } else { Told::SuccessorGone });
                 driver.feed(Event::Successor(serves));
-                subsystems.changes.get().into_iter().for_each(|changes| changes.successor(serves));
+                subsystems.policy.get().into_iter().for_each(|policy| policy.set_successor(serves));
             }
             Control::Stop => {
                 server.told(Told::Stop);
@@ -249,31 +250,31 @@
             }
         }
     }
-    // Whoever held the other end is gone, and nothing can be told any more: serve on.
+    // The sender is gone: serve on without commands.
     std::future::pending::<()>().await;
 }
 
-/// Goes where the file sends it now.
-fn go_where<P: Platform>(driver: &Rc<Driver<P>>, sources: &Followed<P>, reload: Reload) {
+/// Applies a reloaded configuration.
+fn apply_reload<P: Platform>(driver: &Rc<Driver<P>>, sinks: &Sinks<P>, reload: Reload) {
     driver.figures.borrow_mut().reloaded(reload.is_ok());
     match reload {
         Ok(config) => {
-            driver.platform.log(format_args!("configuration read again"));
-            sources.watcher.iter().for_each(|watcher| watcher.go_to(config.discovery));
-            match (&sources.follower, config.srv) {
-                (Some(follower), Some(srv)) if srv.beside_list == sources.watcher.is_some() => {
-                    sources.book.go_by(self::sources(Some(&srv)));
-                    follower.go_by(srv.settings);
+            driver.platform.log(format_args!("configuration reloaded"));
+            sinks.watcher.iter().for_each(|watcher| watcher.set_address(config.discovery));
+            match (&sinks.follower, config.srv) {
+                (Some(follower), Some(srv)) if srv.beside_list == sinks.watcher.is_some() => {
+                    sinks.directory.set_sources(sources(Some(&srv)));
+                    follower.set_settings(srv.settings);
                 }
                 (None, None) => {}
                 _ => driver
                     .platform
-                    .log(format_args!("other sources of workers take a restart; the old ones stay")),
+                    .log(format_args!("other sources of workers need a restart; the old ones stay in use")),
             }
             if let Some(at) = config.counter {
-                sources.subsystems.counter.go_to(at);
+                sinks.subsystems.counter.set_address(at);
             }
-            sources.subsystems.sites.get().into_iter().for_each(|sites| sites.go_by(config.sites.clone()));
+            sinks.subsystems.sites.get().into_iter().for_each(|sites| sites.set_plans(config.sites.clone()));
         }
         Err(message) => driver.platform.log(format_args!("the old configuration stays: {message}")),
     }
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -1,14 +1,15 @@
-//! The gateway on connections: carries events to the one [`hingestage_policy::Gatekeeper`] and its actions out.
+//! The gateway process: connects clients, workers, the counter and other gateways to the decision code in
+//! [`hingestage_policy::Gatekeeper`].
 
 pub mod admin;
-mod ask;
-mod changes;
+mod admin_client;
 pub mod config;
 pub mod counter;
 pub mod discovery;
 pub mod fleet;
 pub mod gateway;
-mod lane;
+mod peer_connections;
+mod policy_follower;
 pub mod relay_dialect;
 pub mod server;
 pub mod sites;
@@ -20,28 +21,28 @@
 use hingestage_platform::Platform;
 use std::time::Duration;
 
-/// A plain decimal number above 0, and nothing else: a sign, an exponent or a word is no amount of anything.
+/// Parses a positive plain decimal number, without sign or exponent.
 pub fn decimal(text: &str) -> Option<f64> {
     let plain = text.len() <= 32 && text.bytes().all(|b| b.is_ascii_digit() || b == b'.');
     text.parse().ok().filter(|n: &f64| plain && *n > 0.0)
 }
 
-/// Waits between tries at a peer that may be down: doubling, so that it is neither flooded nor missed.
+/// Exponential backoff between attempts to reach a peer.
 pub struct Backoff(Duration);
 
 impl Backoff {
-    const FIRST: Duration = Duration::from_millis(50);
-    const LONGEST: Duration = Duration::from_secs(1);
+    const MIN: Duration = Duration::from_millis(50);
+    const MAX: Duration = Duration::from_secs(1);
 
-    /// Starts with the shortest wait.
+    /// Starts with the shortest delay.
     pub fn new() -> Self {
-        Backoff(Self::FIRST)
+        Backoff(Self::MIN)
     }
 
-    /// Waits, the longer the more often in a row.
+    /// Waits for the current delay, and doubles it up to the maximum.
     pub async fn wait(&mut self, platform: &impl Platform) {
         platform.sleep(self.0).await;
-        self.0 = (self.0 * 2).min(Self::LONGEST);
+        self.0 = (self.0 * 2).min(Self::MAX);
     }
 }
 
--- a/crates/gateway/src/lane.rs
+++ b/crates/gateway/src/peer_connections.rs
@@ -1,5 +1,4 @@
-//! Connections kept to other gateways' operators' addresses, for words that pass often: a few to each, closed once
-//! nothing has passed for a while.
+//! Pool of HTTP connections to the admin servers of other gateways.
 
 use bytes::Bytes;
 use hingestage_platform::Platform;
@@ -13,70 +12,70 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-/// Resting connections to one gateway at most.
-const KEPT_MAX: usize = 2;
-/// A connection that has rested for so long is closed. The far end waits twice as long, so that it closes none on which
-/// a word is being written.
-pub const REST: Duration = Duration::from_secs(5);
-/// Part of a word's time within which its connection must be up; past it the word never left.
-const CONNECT: u32 = 4;
+/// Maximum number of idle connections to one gateway.
+const IDLE_MAX: usize = 2;
+/// Idle time after which a connection is closed. The server waits twice as long, so that it closes none in use.
+pub const IDLE_TIMEOUT: Duration = Duration::from_secs(5);
+/// Divisor of a request's timeout that gives the timeout for connecting.
+const CONNECT_TIMEOUT_DIVISOR: u32 = 4;
 
-/// Why a word was not answered.
+/// Why a request has no response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Failed {
-    /// It never left.
-    NeverSent,
-    /// It may have come.
+pub enum PeerError {
+    /// The request was not sent.
+    NotSent,
+    /// The request may have been received.
     Unanswered,
 }
 
-struct Resting {
+struct Idle {
     send: SendRequest<Full<Bytes>>,
     since: Instant,
 }
 
 /// Connections to other gateways by their numbers.
-pub struct Lanes<P: Platform> {
+pub struct PeerConnections<P: Platform> {
     platform: P,
     peers: BTreeMap<u32, SocketAddr>,
-    resting: RefCell<BTreeMap<u32, Vec<Resting>>>,
+    idle: RefCell<BTreeMap<u32, Vec<Idle>>>,
 }
 
-impl<P: Platform> Lanes<P> {
-    /// To these gateways; none is connected yet.
+impl<P: Platform> PeerConnections<P> {
+    /// Creates a pool for these gateways, without connections.
     pub fn new(platform: P, peers: BTreeMap<u32, SocketAddr>) -> Self {
-        Lanes { platform, peers, resting: RefCell::default() }
+        PeerConnections { platform, peers, idle: RefCell::default() }
     }
 
-    /// Posts a text, and gives what is answered with 200 in time.
+    /// Posts a text, and returns the body of a response with status 200.
     ///
     /// # Errors
-    /// Whether it may have come.
-    pub async fn ask(
+    /// Whether the request may have been received.
+    pub async fn post(
         &self,
         to: u32,
         path: &str,
         text: String,
-        most: usize,
-        within: Duration,
-    ) -> Result<String, Failed> {
-        let at = *self.peers.get(&to).ok_or(Failed::NeverSent)?;
+        body_max: usize,
+        timeout: Duration,
+    ) -> Result<String, PeerError> {
+        let at = *self.peers.get(&to).ok_or(PeerError::NotSent)?;
         let mut send = match self.take(to) {
             Some(send) => send,
-            None => match self.platform.timeout(within / CONNECT, self.connect(at)).await {
+            None => match self.platform.timeout(timeout / CONNECT_TIMEOUT_DIVISOR, self.connect(at)).await {
                 Ok(Some(send)) => send,
-                _ => return Err(Failed::NeverSent),
+                _ => return Err(PeerError::NotSent),
             },
         };
         let request = Request::builder().method(Method::POST).uri(path).header(HOST, at.to_string());
-        let request = request.body(Full::from(text)).map_err(|_| Failed::NeverSent)?;
+        let request = request.body(Full::from(text)).map_err(|_| PeerError::NotSent)?;
         let answer = async {
             let (head, body) = send.send_request(request).await.ok()?.into_parts();
-            let body = Limited::new(body, most).collect().await.ok()?.to_bytes();
+            let body = Limited::new(body, body_max).collect().await.ok()?.to_bytes();
             let text = String::from_utf8(body.to_vec()).ok()?;
             (head.status == StatusCode::OK).then_some(text)
         };
-        let answer = self.platform.timeout(within, answer).await.ok().flatten().ok_or(Failed::Unanswered)?;
+        let answer =
+            self.platform.timeout(timeout, answer).await.ok().flatten().ok_or(PeerError::Unanswered)?;
         self.give_back(to, send);
         Ok(answer)
     }
@@ -85,33 +84,33 @@
         let stream = self.platform.connect(at).await.ok()?;
         let (mut send, conn) = handshake::<_, Full<Bytes>>(TokioIo::new(stream)).await.ok()?;
         self.platform.spawn(async move {
-            // Its end is seen where it is used.
+            // Errors show where the connection is used.
             let _ = conn.await;
         });
         send.ready().await.ok()?;
         Some(send)
     }
 
-    /// A resting connection that is still open, the one used last first.
+    /// Takes the most recently used idle connection that is still open.
     fn take(&self, to: u32) -> Option<SendRequest<Full<Bytes>>> {
-        let mut resting = self.resting.borrow_mut();
-        let open = resting.get_mut(&to)?;
-        open.retain(|one| one.send.is_ready() && self.platform.since(one.since) < REST);
+        let mut idle = self.idle.borrow_mut();
+        let open = idle.get_mut(&to)?;
+        open.retain(|one| one.send.is_ready() && self.platform.since(one.since) < IDLE_TIMEOUT);
         Some(open.pop()?.send)
     }
 
     fn give_back(&self, to: u32, send: SendRequest<Full<Bytes>>) {
-        let mut resting = self.resting.borrow_mut();
-        let open = resting.entry(to).or_default();
-        if open.len() < KEPT_MAX && !send.is_closed() {
-            open.push(Resting { send, since: self.platform.now() });
+        let mut idle = self.idle.borrow_mut();
+        let open = idle.entry(to).or_default();
+        if open.len() < IDLE_MAX && !send.is_closed() {
+            open.push(Idle { send, since: self.platform.now() });
         }
     }
 
-    /// Closes what has rested for long.
+    /// Closes connections that have been idle for long.
     pub fn close_idle(&self) {
-        self.resting.borrow_mut().retain(|_, open| {
-            open.retain(|one| !one.send.is_closed() && self.platform.since(one.since) < REST);
+        self.idle.borrow_mut().retain(|_, open| {
+            open.retain(|one| !one.send.is_closed() && self.platform.since(one.since) < IDLE_TIMEOUT);
             !open.is_empty()
         });
     }
--- a/crates/gateway/src/relay_dialect.rs
+++ b/crates/gateway/src/relay_dialect.rs
@@ -7,15 +7,15 @@
 use hyper::StatusCode;
 use std::time::Duration;
 
-/// The name under which workers serve.
-const SERVICE: &str = "backend.local";
-/// Identifies a request, on the client's side and on the worker's.
+/// Host name in requests to workers.
+const WORKER_HOST: &str = "backend.local";
+/// Identifies a request, both from clients and to workers.
 pub const REQUEST_ID: &str = "request-id";
-/// Seconds within which an answer is of use, on both sides.
+/// Seconds left until the response is useless, both from clients and to workers.
 pub const REQUEST_TIMEOUT: &str = "request-timeout";
-/// Set to `1` by a worker that turned a request away before any of it ran.
+/// Set to `1` by a worker that refused a request before running any of it.
 const NOT_STARTED: &str = "not-started";
-/// The true units of a request that ran.
+/// The actual cost of a request that ran, in units.
 const COST_UNITS: &str = "x-cost-units";
 
 /// The dialect of the relay platform.
@@ -24,7 +24,7 @@
 impl Dialect for RelayDialect {
     fn write_head(&self, parts: &Parts, _worker: WorkerId, left: Duration, headers: &mut HeaderMap) {
         let passed = std::mem::take(headers);
-        headers.insert(HOST, HeaderValue::from_static(SERVICE));
+        headers.insert(HOST, HeaderValue::from_static(WORKER_HOST));
         headers.insert(REQUEST_ID, parts.id.clone());
         if let Ok(value) = HeaderValue::from_str(&format!("{:.3}", left.as_secs_f64())) {
             headers.insert(REQUEST_TIMEOUT, value);
@@ -37,11 +37,11 @@
         let outcome = match status {
             StatusCode::OK => Outcome::Ok,
             StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if not_started => Outcome::Full,
-            // Without the word that it never began, it may have run.
+            // Without `Not-Started` the request may have run.
             _ => Outcome::Error,
         };
-        let told = headers.get(COST_UNITS).filter(|_| outcome == Outcome::Ok);
-        let true_units = told.and_then(|value| decimal(value.to_str().ok()?));
+        let cost = headers.get(COST_UNITS).filter(|_| outcome == Outcome::Ok);
+        let true_units = cost.and_then(|value| decimal(value.to_str().ok()?));
         Judgement { outcome, true_units }
     }
 
@@ -50,7 +50,7 @@
     }
 }
 
-/// Of these headers the one that says what a body is: all that passes through besides the body.
+/// The `Content-Type` of these headers, the only one that is passed through.
 pub fn content_type(headers: &HeaderMap) -> HeaderMap {
     headers.get(CONTENT_TYPE).map(|value| (CONTENT_TYPE, value.clone())).into_iter().collect()
 }
--- a/crates/gateway/src/server.rs
+++ b/crates/gateway/src/server.rs
@@ -1,4 +1,4 @@
-//! Clients' requests as the relay platform words them: read and checked, and their answers written.
+//! HTTP server for clients of the relay platform: validates requests and writes responses.
 
 use crate::config::Config;
 use crate::decimal;
@@ -24,48 +24,48 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Part of the memory limit that bodies of up to `COLLECTED` may take together while they come in.
-const COLLECT_SHARE: u64 = 8;
-/// The longest body that is collected where there is memory for it, bytes: a request that is sent on when its
-/// body is whole holds no worker up, and can be sent again.
-const COLLECTED: usize = 2 << 20;
-/// How long a request's body may be, and how slowly it may come.
+/// Divisor of the memory limit that gives the memory for request bodies being collected.
+const COLLECT_MEMORY_DIVISOR: u64 = 8;
+/// The longest body that is collected before the request is sent on, bytes. A collected request does not block a
+/// worker while it arrives and can be retried.
+const COLLECTED_BODY_MAX: usize = 2 << 20;
+/// Limits on the length and the slowness of request bodies.
 const BODY_LIMITS: BodyLimits = BodyLimits {
-    // What is said to be longer is nonsense.
+    // No valid request is longer.
     longest: 40 << 20,
-    // More than the 2 s that a slow one may take.
+    // Slow clients may take 2 s.
     piece_timeout: Duration::from_millis(2_200),
-    // Half of what the slowest sends.
+    // Half the rate of the slowest clients.
     slowest: 32_000.0,
 };
-/// How long clients may take over what.
+/// Timeouts of client connections.
 const CLIENT_TIMES: ClientTimes = ClientTimes {
     first_head_timeout: Duration::from_millis(2_600),
-    // Less than the 3 s in which one that never asks properly is owed an end, more than the 2 s of a slow one.
+    // Slow clients may take 2 s, and stuck ones must be closed within 3 s.
     header_timeout: Duration::from_millis(2_200),
     idle_timeout: Duration::from_millis(2_200),
-    // The system takes up to half a megabyte ahead of a client, which a slow one reads in eight seconds.
+    // Socket buffers hold up to half a megabyte, which a slow client reads in eight seconds.
     write_timeout: Duration::from_secs(20),
 };
-/// Part of the descriptors that connections may hold between two requests.
-const IDLE_SHARE: usize = 8;
-/// The largest head of a request, bytes.
-const HEAD_MAX: usize = 16 * 1024;
-/// Multiple of the longest deadline past which a client's patience counts for nothing: the records of its
-/// requests would otherwise be kept for as long as it pleases.
-const PATIENCE_MAX: u32 = 4;
+/// Divisor of the limit on descriptors that gives the limit on idle client connections.
+const IDLE_DIVISOR: usize = 8;
+/// The largest request head, bytes.
+const HEAD_BYTES_MAX: usize = 16 * 1024;
+/// Limit on a client's request timeout as a multiple of the longest deadline, so that records of requests do not
+/// accumulate.
+const TIMEOUT_MAX_DEADLINES: u32 = 4;
 
-/// The bounds of clients' connections.
+/// The limits on client connections.
 pub fn connection_settings(config: &Config) -> ConnectionSettings {
     ConnectionSettings {
         clients_max: config.clients_max,
-        idle_max: config.sockets / IDLE_SHARE,
+        idle_max: config.sockets / IDLE_DIVISOR,
         times: CLIENT_TIMES,
-        largest_head: HEAD_MAX,
+        largest_head: HEAD_BYTES_MAX,
     }
 }
 
-/// Reads and answers clients' requests.
+/// The HTTP service for clients.
 pub struct Server<P: Platform> {
     platform: P,
     driver: Rc<Driver<P>>,
@@ -73,18 +73,18 @@
     effects: Vec<Effect>,
     instances: u32,
     most_units: f64,
-    patience_max: Duration,
+    timeout_max: Duration,
     collector: Collector<P>,
     life: RefCell<Life>,
 }
 
 impl<P: Platform> Server<P> {
-    /// A server that is not ready yet.
+    /// Creates a server that is not ready yet.
     pub fn new(driver: Rc<Driver<P>>, config: &Config) -> Rc<Self> {
         let collect = CollectSettings {
             limits: BODY_LIMITS,
-            each_max: COLLECTED,
-            together_max: (config.memory / COLLECT_SHARE) as usize,
+            each_max: COLLECTED_BODY_MAX,
+            together_max: (config.memory / COLLECT_MEMORY_DIVISOR) as usize,
         };
         Rc::new(Server {
             collector: Collector::new(driver.platform.clone(), collect),
@@ -94,22 +94,22 @@
             effects: config.settings.classes.iter().map(|class| class.effect).collect(),
             instances: config.settings.instances.max(1),
             most_units: config.settings.most_units,
-            patience_max: config.longest_deadline() * PATIENCE_MAX,
+            timeout_max: config.longest_deadline() * TIMEOUT_MAX_DEADLINES,
             life: RefCell::default(),
         })
     }
 
-    /// Takes in what this gateway is told of its own life.
-    pub fn told(&self, what: Told) {
-        self.life.borrow_mut().told(self.platform.now(), what);
+    /// Applies an event to the state of the server.
+    pub fn told(&self, event: Told) {
+        self.life.borrow_mut().told(self.platform.now(), event);
     }
 
-    /// Whether clients are to be sent here.
+    /// Whether load balancers should send clients here.
     pub fn wants_clients(&self) -> bool {
         self.life.borrow().wants_clients() && self.driver.may_begin()
     }
 
-    /// How the connections end. Nothing is waited for once `longest` is over.
+    /// How connections are closed on a stop; all end after `longest`.
     pub fn stopping(&self, longest: Duration) -> Stopping {
         let (life, now) = (self.life.borrow(), self.platform.now());
         Stopping {
@@ -119,21 +119,20 @@
         }
     }
 
-    /// The longest that a client may wait.
-    fn patience_max(&self) -> Duration {
-        self.driver.longest().map_or(self.patience_max, |longest| longest * PATIENCE_MAX)
+    /// The longest request timeout of a client.
+    fn timeout_max(&self) -> Duration {
+        self.driver.longest().map_or(self.timeout_max, |longest| longest * TIMEOUT_MAX_DEADLINES)
     }
 
-    /// Reads a request whole. Nothing that is malformed goes any further.
-    async fn read(&self, request: Request<Incoming>, client: &Client) -> Result<Taken, Bad> {
+    /// Validates the head of a request and reads its body.
+    async fn read(&self, request: Request<Incoming>, client: &Client) -> Result<Taken, Refusal> {
         let (head, body) = request.into_parts();
         let id = head.headers.get(REQUEST_ID);
-        // The library hides a `Content-Length` beside it, so that the two can't be told to agree: a second
-        // request may be hidden in the body.
+        // hyper drops a `Content-Length` beside `Transfer-Encoding`, so a smuggled request could not be detected.
         if head.headers.contains_key(TRANSFER_ENCODING) {
             let kept = client.kept.head.borrow();
-            let known = id.is_some_and(|id| kept.names_no_length(REQUEST_ID, id.as_bytes()));
-            if !known {
+            let no_length = id.is_some_and(|id| kept.names_no_length(REQUEST_ID, id.as_bytes()));
+            if !no_length {
                 return Err((StatusCode::LENGTH_REQUIRED, "a body needs one length and nothing else"));
             }
         }
@@ -141,8 +140,9 @@
             return Err((StatusCode::PAYLOAD_TOO_LARGE, "body too large"));
         }
         let class_name = header(&head.headers, "request-class")?;
-        let class = place(&self.names.classes, class_name).ok_or(bad("unknown class"))?;
-        let plan = place(&self.names.plans, header(&head.headers, "x-tier")?).ok_or(bad("unknown plan"))?;
+        let class = index_of(&self.names.classes, class_name).ok_or(bad("unknown class"))?;
+        let plan =
+            index_of(&self.names.plans, header(&head.headers, "x-tier")?).ok_or(bad("unknown plan"))?;
         if head.uri.path().split('/').nth(1) != Some(class_name) {
             return Err(bad("path and class differ"));
         }
@@ -153,18 +153,22 @@
         }
         let customer = customer(&head.headers)?;
         let (units, gateways, first) = terms(header(&head.headers, "x-call-terms")?, self.instances)?;
-        // One huge figure in a usual customer's name would box it for a window.
+        // One forged huge number would put a customer into the penalty box.
         if self.most_units > 0.0 && units > self.most_units {
             return Err(bad("more units than any request has"));
         }
-        let patience = decimal(header(&head.headers, REQUEST_TIMEOUT)?);
-        let patience = patience.and_then(|s| Duration::try_from_secs_f64(s).ok());
-        let patience = patience.ok_or(bad("bad Request-Timeout"))?;
+        let timeout = decimal(header(&head.headers, REQUEST_TIMEOUT)?);
+        let timeout = timeout.and_then(|s| Duration::try_from_secs_f64(s).ok());
+        let timeout = timeout.ok_or(bad("bad Request-Timeout"))?;
         header(&head.headers, REQUEST_ID)?;
         let id = head.headers.get(REQUEST_ID).cloned().ok_or(bad("no Request-Id"))?;
         let uri = head.uri.path_and_query().and_then(|path| path.as_str().parse().ok());
-        let patience = patience.min(self.patience_max());
-        let body = self.collector.read(body, patience.saturating_sub(ANSWER_MARGIN)).await.map_err(unread)?;
+        let timeout = timeout.min(self.timeout_max());
+        let body = self
+            .collector
+            .read(body, timeout.saturating_sub(ANSWER_MARGIN))
+            .await
+            .map_err(collect_failure)?;
         if safe && !(body.over() && body.passed() == 0) {
             return Err(bad("a body where none belongs"));
         }
@@ -179,8 +183,8 @@
             units,
             gateways,
             first,
-            // The request's last byte has just been read, or will be after so long.
-            until: self.platform.now() + upload + patience,
+            // The timeout starts with the last byte of the request, which may still be arriving.
+            until: self.platform.now() + upload + timeout,
             parts: Parts {
                 method: head.method,
                 uri: uri.ok_or(bad("bad path"))?,
@@ -198,7 +202,7 @@
         ticket: Ticket<P>,
         client: &Rc<Client>,
     ) -> Response<Written<P>> {
-        let Answer::Served(Served { status, headers, body }) = answer else { return turned_away(answer) };
+        let Answer::Served(Served { status, headers, body }) = answer else { return error_response(answer) };
         let body = Written::served(self.driver.clone(), client.clone(), class, ticket, body);
         let mut response = Response::new(body);
         *response.status_mut() = status;
@@ -221,7 +225,7 @@
         }
         let taken = match self.read(request, client).await {
             Ok(taken) => taken,
-            Err(bad) => return refuse(bad),
+            Err(refusal) => return refuse(refusal),
         };
         let flow = match &taken.parts.body {
             RequestBody::Flow(flow) => Some(flow.clone()),
@@ -229,7 +233,7 @@
         };
         client.busy.set(true);
         let class = taken.class;
-        // The ticket ends with this call: dropped early it says that the client has left.
+        // Dropping the ticket before the answer means that the client has left.
         let Some((ticket, answer)) = self.driver.take(taken) else {
             return refuse((StatusCode::CONFLICT, "a request with this Request-Id is open"));
         };
@@ -248,21 +252,22 @@
     }
 }
 
-type Bad = (StatusCode, &'static str);
+/// Status and message of a refused request.
+type Refusal = (StatusCode, &'static str);
 
-fn bad(what: &'static str) -> Bad {
-    (StatusCode::BAD_REQUEST, what)
+fn bad(message: &'static str) -> Refusal {
+    (StatusCode::BAD_REQUEST, message)
 }
 
-fn unread(error: CollectError) -> Bad {
+fn collect_failure(error: CollectError) -> Refusal {
     match error {
         CollectError::TooSlow => (StatusCode::REQUEST_TIMEOUT, "the body takes too long"),
         CollectError::BadFraming => bad("bad framing"),
     }
 }
 
-/// A header that must be there once, as text.
-fn header<'a>(headers: &'a HeaderMap, name: &str) -> Result<&'a str, Bad> {
+/// The text of a header that must be present exactly once.
+fn header<'a>(headers: &'a HeaderMap, name: &str) -> Result<&'a str, Refusal> {
     let mut values = headers.get_all(name).iter();
     match (values.next().and_then(|value| value.to_str().ok()), values.next()) {
         (Some(value), None) if !value.is_empty() => Ok(value),
@@ -270,12 +275,12 @@
     }
 }
 
-fn place(names: &[String], name: &str) -> Option<usize> {
+fn index_of(names: &[String], name: &str) -> Option<usize> {
     names.iter().position(|known| known == name)
 }
 
-/// The customer: the cookie `client`, 16 hexadecimal digits below 2^33.
-fn customer(headers: &HeaderMap) -> Result<CustomerId, Bad> {
+/// The customer from the cookie `client`: 16 hexadecimal digits below 2^33.
+fn customer(headers: &HeaderMap) -> Result<CustomerId, Refusal> {
     let cookies = headers.get_all(COOKIE).iter().filter_map(|value| value.to_str().ok());
     let mut clients =
         cookies.flat_map(|value| value.split(';')).filter_map(|c| c.trim().strip_prefix("client="));
@@ -287,17 +292,17 @@
     }
 }
 
-/// Units, number of gateways and the first of them, from `units=2,spread=3,first=1`. A term named twice is no term.
-fn terms(text: &str, instances: u32) -> Result<(f64, u32, u32), Bad> {
+/// Parses `units=2,spread=3,first=1` into units, number of gateways and the first gateway. Duplicates are errors.
+fn terms(text: &str, instances: u32) -> Result<(f64, u32, u32), Refusal> {
     let (mut units, mut spread, mut first) = (None, None, None);
     for term in text.split(',') {
-        let fresh = match term.trim().split_once('=') {
+        let valid = match term.trim().split_once('=') {
             Some(("units", value)) => units.replace(decimal(value)).is_none(),
-            Some(("spread", value)) => spread.replace(whole(value, 1..=instances)).is_none(),
-            Some(("first", value)) => first.replace(whole(value, 0..=instances - 1)).is_none(),
+            Some(("spread", value)) => spread.replace(integer(value, 1..=instances)).is_none(),
+            Some(("first", value)) => first.replace(integer(value, 0..=instances - 1)).is_none(),
             other => other.is_some(),
         };
-        if !fresh {
+        if !valid {
             return Err(bad("bad X-Call-Terms"));
         }
     }
@@ -307,25 +312,25 @@
     }
 }
 
-fn whole(text: &str, within: std::ops::RangeInclusive<u32>) -> Option<u32> {
+fn integer(text: &str, range: std::ops::RangeInclusive<u32>) -> Option<u32> {
     let digits = text.bytes().all(|b| b.is_ascii_digit());
-    text.parse().ok().filter(|n| digits && within.contains(n))
+    text.parse().ok().filter(|n| digits && range.contains(n))
 }
 
-fn refuse<P: Platform>((status, what): Bad) -> Response<Written<P>> {
-    let mut answer = plain(status, what);
-    // What is left of it on the connection can't be told from a next request.
+fn refuse<P: Platform>((status, message): Refusal) -> Response<Written<P>> {
+    let mut answer = plain(status, message);
+    // The rest of the body can't be told from a next request.
     answer.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
     answer
 }
 
-fn plain<P: Platform>(status: StatusCode, what: &'static str) -> Response<Written<P>> {
-    let mut response = Response::new(Written::Whole(Full::new(Bytes::from_static(what.as_bytes()))));
+fn plain<P: Platform>(status: StatusCode, message: &'static str) -> Response<Written<P>> {
+    let mut response = Response::new(Written::Whole(Full::new(Bytes::from_static(message.as_bytes()))));
     *response.status_mut() = status;
     response
 }
 
-fn turned_away<P: Platform>(answer: Answer<P::Stream>) -> Response<Written<P>> {
+fn error_response<P: Platform>(answer: Answer<P::Stream>) -> Response<Written<P>> {
     match answer {
         Answer::Refused(wait) => {
             let mut response = plain(StatusCode::TOO_MANY_REQUESTS, "refused: trying again is harmless");
--- a/crates/gateway/src/sites.rs
+++ b/crates/gateway/src/sites.rs
@@ -1,8 +1,8 @@
-//! What a gateway tells its belief about sites, and who hears of it. What follows from the evidence is decided in
-//! `hingestage_failover`, and plans are made ahead in `hingestage_sites`; the decisions are told of each new view.
+//! Failure detection and failover of sites: passes evidence to `hingestage_failover`, applies plans made by
+//! `hingestage_sites`, and feeds each new view to the decisions.
 
 use hingestage_dataplane::driver::Driver;
-use hingestage_failover::{Belief, Declared, Drift, Figures, Order, Standing, Told, Why, Word};
+use hingestage_failover::{Belief, Declared, Drift, Figures, Order, Standing, Told, Why, Word as SiteReport};
 use hingestage_platform::Platform;
 use hingestage_policy::{
     Availability, ClassId, Event, ListScope, Micros, Outcome, PlanId, RuleFigures, WorkerId, WorkerInfo,
@@ -16,52 +16,52 @@
 use std::rc::{Rc, Weak};
 use std::time::Duration;
 
-/// Looks come with what happens, but not more often than this, µs ...
-const LOOK: Micros = 50_000;
-/// ... and this often where nothing does.
-const IDLE_LOOK: Duration = Duration::from_millis(250);
-/// Gateways that probe a lost site at the pace of one; more of them probe less often each, ...
-const PROBERS: u32 = 12;
-/// ... but no less often than this, µs.
+/// Minimum time between updates of the view that attempts trigger, µs.
+const UPDATE_INTERVAL_MIN: Micros = 50_000;
+/// Interval of updates without attempts.
+const IDLE_UPDATE_INTERVAL: Duration = Duration::from_millis(250);
+/// Number of gateways that probe a lost site at full rate; in larger fleets each probes less often.
+const FULL_RATE_PROBERS: u32 = 12;
+/// Maximum time between two probes of a gateway, µs.
 const PROBE_GAP_MAX: Micros = 3_000_000;
-/// How often each site's evidence goes into the log while it is not well.
-const TOLD_AGAIN: Micros = 10_000_000;
+/// Interval at which the evidence on an unhealthy site is logged again, µs.
+const LOG_INTERVAL: Micros = 10_000_000;
 
-/// Plans made for loads so many times as high as the file says, by plan and class; none where none can be made.
-pub type Plans = Pin<Box<dyn Future<Output = Option<Ahead>>>>;
+/// A running computation of plans; its result is `None` if there is no plan.
+pub type PlanFuture = Pin<Box<dyn Future<Output = Option<Ahead>>>>;
 
-/// Makes plans for such multiples of the file's loads.
-pub type Again = Rc<dyn Fn(BTreeMap<(usize, usize), f64>) -> Plans>;
+/// Starts to compute plans for multiples of the loads in the file, by plan and class.
+pub type Replan = Rc<dyn Fn(BTreeMap<(usize, usize), f64>) -> PlanFuture>;
 
-/// Plans made ahead, and the way to make them anew without holding up what is served.
+/// Plans made in advance, and the means to compute others in the background.
 #[derive(Clone)]
-pub struct Planned {
-    /// Those of the file's own loads.
+pub struct SitePlans {
+    /// Plans for the loads in the file.
     pub ahead: Ahead,
-    /// Makes others.
-    pub again: Again,
+    /// Computes plans for other loads.
+    pub replan: Replan,
 }
 
-/// Sites as one gateway knows them.
+/// The state of all sites as seen by one gateway.
 pub struct Sites<P: Platform> {
     driver: Weak<Driver<P>>,
     platform: P,
     belief: RefCell<Belief>,
     order: RefCell<Order>,
-    /// The part of all work that can't be served while some sites are lost, by the plan made ahead.
+    /// By set of lost sites, the part of all work that their plan refuses.
     refused: RefCell<BTreeMap<BTreeSet<usize>, f64>>,
-    /// Loads against what plans were made for, and how to make others.
+    /// Compares the loads with those of the plans.
     drift: RefCell<Drift>,
-    planned: RefCell<Option<Planned>>,
+    plans: RefCell<Option<SitePlans>>,
     lost: RefCell<BTreeSet<usize>>,
-    looked: Cell<Micros>,
+    last_update: Cell<Micros>,
     short: Cell<u64>,
-    /// What each site was last said to be, and when.
-    said: RefCell<BTreeMap<String, (&'static str, Micros)>>,
+    /// The state that was last logged of each site, and when.
+    logged: RefCell<BTreeMap<String, (&'static str, Micros)>>,
 }
 
-/// What an attempt's end tells of the worker's site.
-fn tells(outcome: Outcome, took: Micros) -> Told {
+/// The evidence on a worker's site in the outcome of an attempt.
+fn evidence(outcome: Outcome, took: Micros) -> Told {
     match outcome {
         Outcome::Ok | Outcome::Error | Outcome::Full | Outcome::Spoilt => Told::Answered(took),
         Outcome::ConnectFailed | Outcome::Reset | Outcome::Timeout => Told::Failed,
@@ -70,17 +70,17 @@
 }
 
 impl<P: Platform> Sites<P> {
-    /// Those of a gateway's new life: of a plan where operators made one, and otherwise each zone is a site.
+    /// Creates the state of a new incarnation. Without plans each zone is a site.
     pub fn new(
         driver: &Rc<Driver<P>>,
-        planned: Option<Planned>,
+        plans: Option<SitePlans>,
         gateways: u32,
         rules: &RuleFigures,
     ) -> Rc<Self> {
         let figures = Figures::default();
-        let gap = figures.probe_gap * Micros::from(gateways.div_ceil(PROBERS).max(1));
+        let gap = figures.probe_gap * Micros::from(gateways.div_ceil(FULL_RATE_PROBERS).max(1));
         let figures = Figures { probe_gap: gap.min(PROBE_GAP_MAX), cold_for: rules.cold_for, ..figures };
-        let ahead = planned.as_ref().map_or_else(Ahead::default, |planned| planned.ahead.clone());
+        let ahead = plans.as_ref().map_or_else(Ahead::default, |plans| plans.ahead.clone());
         let mut belief = Belief::new(figures, &ahead.sites);
         belief.go_by(ahead.shares);
         Rc::new(Sites {
@@ -90,46 +90,46 @@
             order: RefCell::new(Order::new(ahead.rungs)),
             refused: RefCell::new(ahead.refused),
             drift: RefCell::new(Drift::new(ahead.asked, driver.micros())),
-            planned: RefCell::new(planned),
+            plans: RefCell::new(plans),
             lost: RefCell::default(),
-            looked: Cell::new(0),
+            last_update: Cell::new(0),
             short: Cell::new(0),
-            said: RefCell::default(),
+            logged: RefCell::default(),
         })
     }
 
-    /// The operators' file was read again: other loads, capacities, places to go to and worths count from now on, also
-    /// in the middle of a loss; what is believed of each site stays. Which sites there are, and of which zones, is for
-    /// a restart: the evidence is kept by site.
-    pub fn go_by(self: &Rc<Self>, planned: Option<Planned>) {
+    /// Applies plans from a reloaded file, also while sites are lost; the state of each site stays. The sites and their
+    /// zones can't change without a restart, since evidence is kept by site.
+    pub fn set_plans(self: &Rc<Self>, plans: Option<SitePlans>) {
         let Some(driver) = self.driver.upgrade() else { return };
-        let sites_of =
-            |planned: &Option<Planned>| planned.as_ref().map(|planned| planned.ahead.sites.clone());
-        if sites_of(&planned) != sites_of(&self.planned.borrow()) {
-            return self.platform.log(format_args!("sites: other sites take a restart; the old plans stay"));
+        let sites_of = |plans: &Option<SitePlans>| plans.as_ref().map(|plans| plans.ahead.sites.clone());
+        if sites_of(&plans) != sites_of(&self.plans.borrow()) {
+            return self
+                .platform
+                .log(format_args!("sites: changed sites need a restart; the old plans stay in use"));
         }
-        let Some(Planned { ahead, .. }) = planned.clone() else { return };
+        let Some(SitePlans { ahead, .. }) = plans.clone() else { return };
         self.belief.borrow_mut().go_by(ahead.shares);
         *self.order.borrow_mut() = Order::new(ahead.rungs);
         *self.refused.borrow_mut() = ahead.refused;
         *self.drift.borrow_mut() = Drift::new(ahead.asked, driver.micros());
-        *self.planned.borrow_mut() = planned;
-        // What is lost is refused anew, by the new plan.
+        *self.plans.borrow_mut() = plans;
+        // Makes the next update refuse the work of lost sites by the new plans.
         self.lost.borrow_mut().clear();
-        self.platform.log(format_args!("sites: plans of the file as it is now"));
-        self.look(&driver);
+        self.platform.log(format_args!("sites: plans of the reloaded file are in use"));
+        self.update(&driver);
     }
 
-    /// Looks now and then for as long as the gateway lives, whatever else happens.
+    /// Updates the view periodically until the gateway ends.
     pub async fn run(self: Rc<Self>) {
         while let Some(driver) = self.driver.upgrade() {
-            self.look(&driver);
+            self.update(&driver);
             drop(driver);
-            self.platform.sleep(IDLE_LOOK).await;
+            self.platform.sleep(IDLE_UPDATE_INTERVAL).await;
         }
     }
 
-    /// News of the workers.
+    /// Applies a change of the list of workers.
     pub fn listed(&self, workers: &[WorkerInfo], scope: ListScope) {
         let mut belief = self.belief.borrow_mut();
         if !matches!(scope, ListScope::Delta | ListScope::Failed) {
@@ -146,31 +146,31 @@
         }
     }
 
-    /// Somebody asks.
-    pub fn asks(&self, plan: Option<PlanId>, class: ClassId) {
+    /// Counts a request.
+    pub fn count_request(&self, plan: Option<PlanId>, class: ClassId) {
         if let Some(plan) = plan {
             self.order.borrow_mut().asks((plan.0, class.0));
             self.drift.borrow_mut().asks((plan.0, class.0));
         }
     }
 
-    /// An attempt goes out whole.
+    /// Records that an attempt was sent.
     pub fn sent(&self, now: Micros, worker: WorkerId) {
         self.belief.borrow_mut().sent(now, worker.0);
     }
 
-    /// An attempt ended.
+    /// Records the outcome of an attempt.
     pub fn ended(self: &Rc<Self>, now: Micros, worker: WorkerId, outcome: Outcome, took: Duration) {
-        self.belief.borrow_mut().ended(now, worker.0, tells(outcome, took.as_micros() as Micros));
-        if now >= self.looked.get() + LOOK {
-            self.driver.upgrade().into_iter().for_each(|driver| self.look(&driver));
+        self.belief.borrow_mut().ended(now, worker.0, evidence(outcome, took.as_micros() as Micros));
+        if now >= self.last_update.get() + UPDATE_INTERVAL_MIN {
+            self.driver.upgrade().into_iter().for_each(|driver| self.update(&driver));
         }
     }
 
-    /// Goes on as time passes, and tells the decisions where that changes something.
-    fn look(self: &Rc<Self>, driver: &Rc<Driver<P>>) {
+    /// Advances the state to the present, and feeds a changed view to the decisions.
+    fn update(self: &Rc<Self>, driver: &Rc<Driver<P>>) {
         let now = driver.micros();
-        self.looked.set(now);
+        self.last_update.set(now);
         let short = driver.short();
         let mut order = self.order.borrow_mut();
         order.short(short.saturating_sub(self.short.replace(short)));
@@ -189,62 +189,62 @@
         let refused = order.refused();
         drop(order);
         let view = self.belief.borrow_mut().look(now, &refused);
-        self.say(now);
-        self.plan_again(now);
+        self.log_changes(now);
+        self.replan(now);
         if let Some(view) = view {
             driver.feed(Event::Sites(view));
         }
     }
 
-    /// Has plans made anew where loads have moved; the last ones are gone by until there are others.
-    fn plan_again(self: &Rc<Self>, now: Micros) {
-        let Some(again) = self.planned.borrow().as_ref().map(|planned| planned.again.clone()) else { return };
-        let Some(times) = self.drift.borrow_mut().look(now) else { return };
-        let (sites, plans) = (self.clone(), again(times));
+    /// Computes new plans if loads have changed; the old plans stay in use until then.
+    fn replan(self: &Rc<Self>, now: Micros) {
+        let Some(replan) = self.plans.borrow().as_ref().map(|plans| plans.replan.clone()) else { return };
+        let Some(factors) = self.drift.borrow_mut().look(now) else { return };
+        let (sites, plans) = (self.clone(), replan(factors));
         self.platform.spawn(async move {
             let Some(ahead) = plans.await else {
                 return sites
                     .platform
-                    .log(format_args!("sites: no plan for the load of now; the last one holds"));
+                    .log(format_args!("sites: no plan for the current load; the last one stays in use"));
             };
-            // The file may have been read again meanwhile: what was made for the one before is none of it.
-            let same = sites.planned.borrow().as_ref().is_some_and(|now| Rc::ptr_eq(&now.again, &again));
+            // Plans for a file that was replaced meanwhile are dropped.
+            let same = sites.plans.borrow().as_ref().is_some_and(|now| Rc::ptr_eq(&now.replan, &replan));
             if !same {
                 return;
             }
-            sites.platform.log(format_args!("sites: plans made anew for the load of now"));
+            sites.platform.log(format_args!("sites: new plans for the current load are in use"));
             sites.belief.borrow_mut().go_by(ahead.shares);
             *sites.refused.borrow_mut() = ahead.refused;
         });
     }
 
-    /// Logs what changes, and what is not well again after a while.
-    fn say(&self, now: Micros) {
-        if self.lost.borrow().is_empty() && self.said.borrow().is_empty() {
+    /// Logs changes of sites, and periodically the evidence on unhealthy ones.
+    fn log_changes(&self, now: Micros) {
+        if self.lost.borrow().is_empty() && self.logged.borrow().is_empty() {
             return;
         }
         let belief = self.belief.borrow();
-        let mut said = self.said.borrow_mut();
+        let mut logged = self.logged.borrow_mut();
         for (name, standing, evidence) in belief.explain(now) {
-            let word = word(standing);
-            let last = said.get(name).copied();
-            let again = last.is_some_and(|(_, at)| now >= at + TOLD_AGAIN);
-            if last.map(|(word, _)| word) != Some(word) && (last.is_some() || word != "well") || again {
-                self.platform.log(format_args!("site `{name}`: {word}: {evidence}"));
-                said.insert(name.to_owned(), (word, now));
+            let state = state_name(standing);
+            let last = logged.get(name).copied();
+            let due = last.is_some_and(|(_, at)| now >= at + LOG_INTERVAL);
+            if last.map(|(state, _)| state) != Some(state) && (last.is_some() || state != "well") || due {
+                self.platform.log(format_args!("site `{name}`: {state}: {evidence}"));
+                logged.insert(name.to_owned(), (state, now));
             }
-            if word == "well" {
-                said.remove(name);
+            if state == "well" {
+                logged.remove(name);
             }
         }
     }
 
-    /// What an operator says of a site.
+    /// Applies an operator's declaration on a site.
     ///
     /// # Errors
-    /// What is wrong with it.
-    pub fn declare(self: &Rc<Self>, site: &str, what: &str) -> Result<(), String> {
-        let what = match what {
+    /// The site or the state is unknown.
+    pub fn declare(self: &Rc<Self>, site: &str, state: &str) -> Result<(), String> {
+        let declared = match state {
             "lost" => Some(Declared::Lost),
             "well" => Some(Declared::Well),
             "hold" => Some(Declared::Hold),
@@ -252,26 +252,26 @@
             other => return Err(format!("`{other}` is none of lost, well, hold and nothing")),
         };
         let driver = self.driver.upgrade().ok_or("the gateway ends")?;
-        self.belief.borrow_mut().declare(driver.micros(), site, what)?;
-        self.look(&driver);
+        self.belief.borrow_mut().declare(driver.micros(), site, declared)?;
+        self.update(&driver);
         Ok(())
     }
 
-    /// What other gateways are told.
-    pub fn to_tell(&self, now: Micros) -> Word {
+    /// The report to other gateways.
+    pub fn report(&self, now: Micros) -> SiteReport {
         let belief = self.belief.borrow();
         let heard = belief.to_tell(now).into_iter().map(|(name, ago)| (name.to_owned(), ago)).collect();
-        Word { heard, level: self.order.borrow().level() }
+        SiteReport { heard, level: self.order.borrow().level() }
     }
 
-    /// What another gateway tells.
-    pub fn told(&self, now: Micros, from: u32, word: &Word) {
+    /// Applies another gateway's report.
+    pub fn apply_report(&self, now: Micros, from: u32, report: &SiteReport) {
         let mut belief = self.belief.borrow_mut();
-        word.heard.iter().for_each(|(name, ago)| belief.told(from, name, now.saturating_sub(*ago)));
-        word.level.into_iter().for_each(|level| self.order.borrow_mut().other(level));
+        report.heard.iter().for_each(|(name, ago)| belief.told(from, name, now.saturating_sub(*ago)));
+        report.level.into_iter().for_each(|level| self.order.borrow_mut().other(level));
     }
 
-    /// What is believed, for operators.
+    /// The state as text for operators.
     pub fn explain(&self, now: Micros) -> String {
         let mut text = String::new();
         for (name, standing, evidence) in self.belief.borrow().explain(now) {
@@ -279,7 +279,7 @@
                 Standing::Returning(share) => {
                     writeln!(text, "site `{name}`: returning, {:.0}% of its load: {evidence}", share * 100.0)
                 }
-                standing => writeln!(text, "site `{name}`: {}: {evidence}", word(standing)),
+                standing => writeln!(text, "site `{name}`: {}: {evidence}", state_name(standing)),
             };
         }
         let lost = self.lost.borrow();
@@ -296,7 +296,8 @@
     }
 }
 
-fn word(standing: Standing) -> &'static str {
+/// The name of a state in logs and admin responses.
+fn state_name(standing: Standing) -> &'static str {
     match standing {
         Standing::Well => "well",
         Standing::Slow => "slow",
--- a/crates/gateway/src/srv.rs
+++ b/crates/gateway/src/srv.rs
@@ -1,4 +1,4 @@
-//! The sockets of a name that is followed: carries the questions of a [`Service`] out and the answers in.
+//! DNS transport of an SRV follower: sends the queries of a [`Service`] and delivers the responses.
 
 use hingestage_operate::SrvFigures;
 use hingestage_platform::{Datagrams, Platform, Task};
@@ -14,43 +14,42 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::sync::Notify;
 
-/// The longest datagram that is read whole, bytes: more than any server may send to the size we name.
-const DATAGRAM_MAX: usize = 4_096;
+/// Size of the receive buffer, bytes; larger than the datagram size that queries announce.
+const DATAGRAM_BYTES_MAX: usize = 4_096;
 
-/// What a follower does beyond asking: hears what is believed, and looks after what ends by time alone, giving
-/// how long until then.
+/// Receives the endpoints that a follower accepts.
 pub trait Hears {
-    /// These are the workers from now on.
+    /// Replaces the workers by these endpoints.
     fn believe(&self, endpoints: &[Endpoint]);
 
-    /// Time has passed; when to be called again at the latest.
+    /// Applies timeouts that are due; returns the time until the next one.
     fn lapse(&self) -> Option<Duration>;
 }
 
-/// Follows one name for as long as it is held.
+/// Follows the SRV records of one name.
 pub struct Follower<P: Platform> {
     platform: P,
     service: RefCell<Service>,
-    asks: RefCell<BTreeMap<u64, P::Task>>,
-    hears: Box<dyn Hears>,
-    stir: Notify,
-    since: Instant,
+    queries: RefCell<BTreeMap<u64, P::Task>>,
+    sink: Box<dyn Hears>,
+    wake: Notify,
+    started: Instant,
     seed: u64,
-    /// Asks of services before this one, whose numbers must not be taken for its own.
-    life: Cell<u64>,
+    /// Generation of `service`, so that responses to queries of an earlier one are ignored.
+    generation: Cell<u64>,
 }
 
 impl<P: Platform> Follower<P> {
-    /// Begins to follow a name.
-    pub fn start(platform: P, settings: SrvSettings, seed: u64, hears: Box<dyn Hears>) -> Rc<Self> {
+    /// Starts to follow a name.
+    pub fn start(platform: P, settings: SrvSettings, seed: u64, sink: Box<dyn Hears>) -> Rc<Self> {
         let follower = Rc::new(Follower {
-            since: platform.now(),
+            started: platform.now(),
             service: RefCell::new(Service::new(settings, seed, 0)),
-            asks: RefCell::default(),
-            hears,
-            stir: Notify::new(),
+            queries: RefCell::default(),
+            sink,
+            wake: Notify::new(),
             seed,
-            life: Cell::new(0),
+            generation: Cell::new(0),
             platform,
         });
         let run = follower.clone();
@@ -58,35 +57,35 @@
         follower
     }
 
-    /// Goes by other settings. What is believed stays until the first answer under these.
-    pub fn go_by(self: &Rc<Self>, settings: SrvSettings) {
+    /// Replaces the settings. The accepted endpoints stay until the first response under the new ones.
+    pub fn set_settings(self: &Rc<Self>, settings: SrvSettings) {
         if *self.service.borrow().settings() == settings {
             return;
         }
-        std::mem::take(&mut *self.asks.borrow_mut()).into_values().for_each(|task| task.abort());
-        self.life.set(self.life.get() + 1);
-        let seed = self.seed.wrapping_add(self.life.get());
+        std::mem::take(&mut *self.queries.borrow_mut()).into_values().for_each(|task| task.abort());
+        self.generation.set(self.generation.get() + 1);
+        let seed = self.seed.wrapping_add(self.generation.get());
         *self.service.borrow_mut() = Service::new(settings, seed, self.now());
-        self.stir.notify_one();
+        self.wake.notify_one();
     }
 
-    /// Asks now, for an operator. With `accept` the answer is believed whatever it lacks.
+    /// Queries now, for an operator. With `accept` the next response is accepted even if it lacks known workers.
     pub fn ask_now(self: &Rc<Self>, accept: bool) {
-        self.step(|service, now, out| service.ask_now(accept, now, out));
+        self.step(|service, now, actions| service.ask_now(accept, now, actions));
     }
 
-    /// A worker was not where a record says.
+    /// Reports that a worker was not found at a listed address.
     pub fn suspect(&self) {
         self.service.borrow_mut().suspect(self.now());
-        self.stir.notify_one();
+        self.wake.notify_one();
     }
 
-    /// What is believed and why, to be read.
+    /// The accepted endpoints and the reasons, as text for operators.
     pub fn explain(&self) -> String {
         self.service.borrow().explain(self.now())
     }
 
-    /// The figures that operators read beside the others.
+    /// Metrics of the follower.
     pub fn figures(&self) -> SrvFigures {
         let service = self.service.borrow();
         let counts = service.counts();
@@ -102,83 +101,86 @@
     }
 
     fn now(&self) -> Micros {
-        self.platform.since(self.since).as_micros() as Micros
+        self.platform.since(self.started).as_micros() as Micros
     }
 
     async fn run(self: Rc<Self>) {
         loop {
             self.step(Service::tick);
-            let own = self.service.borrow().wake();
-            let own = own.map(|at| Duration::from_micros(at.saturating_sub(self.now())));
-            let waits = own.into_iter().chain(self.hears.lapse()).min();
-            // Never twice in one instant: whatever is due then was done just now.
-            let waits = waits.unwrap_or(Duration::from_secs(1)).max(Duration::from_millis(1));
+            let next = self.service.borrow().wake();
+            let next = next.map(|at| Duration::from_micros(at.saturating_sub(self.now())));
+            let delay = next.into_iter().chain(self.sink.lapse()).min();
+            // At least a millisecond, to avoid a busy loop.
+            let delay = delay.unwrap_or(Duration::from_secs(1)).max(Duration::from_millis(1));
             tokio::select! {
                 biased;
-                () = self.stir.notified() => {}
-                () = self.platform.sleep(waits) => {}
+                () = self.wake.notified() => {}
+                () = self.platform.sleep(delay) => {}
             }
         }
     }
 
     fn step(self: &Rc<Self>, event: impl FnOnce(&mut Service, Micros, &mut Vec<Action>)) {
-        let mut out = Vec::new();
-        event(&mut self.service.borrow_mut(), self.now(), &mut out);
-        out.into_iter().for_each(|action| self.act(action));
+        let mut actions = Vec::new();
+        event(&mut self.service.borrow_mut(), self.now(), &mut actions);
+        actions.into_iter().for_each(|action| self.execute(action));
     }
 
-    fn act(self: &Rc<Self>, action: Action) {
+    fn execute(self: &Rc<Self>, action: Action) {
         match action {
             Action::Ask(ask) => {
-                let (follower, life, number) = (self.clone(), self.life.get(), ask.number);
+                let (follower, generation, number) = (self.clone(), self.generation.get(), ask.number);
                 let task = self.platform.spawn(async move {
-                    let done = match ask.tcp {
-                        true => follower.over_stream(&ask, life).await,
-                        false => follower.by_datagram(&ask, life).await,
+                    let result = match ask.tcp {
+                        true => follower.query_tcp(&ask, generation).await,
+                        false => follower.query_udp(&ask, generation).await,
                     };
-                    if let Err(e) = done {
+                    if let Err(e) = result {
                         let what = e.to_string();
-                        follower.tell(life, |service, now, out| service.broke(number, &what, now, out));
+                        follower.apply(generation, |service, now, actions| {
+                            service.broke(number, &what, now, actions)
+                        });
                     }
                 });
-                self.asks.borrow_mut().insert(number, task);
+                self.queries.borrow_mut().insert(number, task);
             }
             Action::Forget(ask) => {
-                self.asks.borrow_mut().remove(&ask).into_iter().for_each(|task| task.abort());
+                self.queries.borrow_mut().remove(&ask).into_iter().for_each(|task| task.abort());
             }
-            Action::Believe(endpoints) => self.hears.believe(&endpoints),
+            Action::Believe(endpoints) => self.sink.believe(&endpoints),
             Action::Note(what) => self.platform.log(format_args!("srv: {what}")),
         }
     }
 
-    fn tell(self: &Rc<Self>, life: u64, event: impl FnOnce(&mut Service, Micros, &mut Vec<Action>)) {
-        if life == self.life.get() {
+    /// Applies an event to the service, unless its generation has been replaced.
+    fn apply(self: &Rc<Self>, generation: u64, event: impl FnOnce(&mut Service, Micros, &mut Vec<Action>)) {
+        if generation == self.generation.get() {
             self.step(event);
-            self.stir.notify_one();
+            self.wake.notify_one();
         }
     }
 
-    /// From a port of its own for each question, so that nobody can guess where the answer is waited for.
-    async fn by_datagram(self: &Rc<Self>, ask: &Ask, life: u64) -> io::Result<()> {
+    /// Queries over UDP. Each query uses a port of its own, so that forged responses have to guess it.
+    async fn query_udp(self: &Rc<Self>, ask: &Ask, generation: u64) -> io::Result<()> {
         let any: IpAddr = match ask.server {
             SocketAddr::V4(_) => Ipv4Addr::UNSPECIFIED.into(),
             SocketAddr::V6(_) => Ipv6Addr::UNSPECIFIED.into(),
         };
         let socket = self.platform.datagrams(SocketAddr::new(any, 0), Some(ask.server)).await?;
         socket.send(&ask.bytes, ask.server).await?;
-        let mut buffer = vec![0; DATAGRAM_MAX];
+        let mut buffer = vec![0; DATAGRAM_BYTES_MAX];
         loop {
             let (length, from) = socket.receive(&mut buffer).await?;
             if from == ask.server {
-                self.heard(ask, life, &buffer[..length]);
+                self.handle_response(ask, generation, &buffer[..length]);
             }
         }
     }
 
-    /// One question over a connection of its own, each message with its length before it (RFC 7766).
-    async fn over_stream(self: &Rc<Self>, ask: &Ask, life: u64) -> io::Result<()> {
+    /// Queries over TCP, on a connection of its own with length-prefixed messages (RFC 7766).
+    async fn query_tcp(self: &Rc<Self>, ask: &Ask, generation: u64) -> io::Result<()> {
         let mut stream = self.platform.connect(ask.server).await?;
-        let length = u16::try_from(ask.bytes.len()).map_err(|_| io::Error::other("too long a question"))?;
+        let length = u16::try_from(ask.bytes.len()).map_err(|_| io::Error::other("query too long"))?;
         let mut message = length.to_be_bytes().to_vec();
         message.extend_from_slice(&ask.bytes);
         stream.write_all(&message).await?;
@@ -186,11 +188,11 @@
         stream.read_exact(&mut length).await?;
         let mut answer = vec![0; usize::from(u16::from_be_bytes(length)).min(STREAM_MAX)];
         stream.read_exact(&mut answer).await?;
-        self.heard(ask, life, &answer);
+        self.handle_response(ask, generation, &answer);
         Ok(())
     }
 
-    fn heard(self: &Rc<Self>, ask: &Ask, life: u64, bytes: &[u8]) {
-        self.tell(life, |service, now, out| service.heard(ask.number, bytes, now, out));
+    fn handle_response(self: &Rc<Self>, ask: &Ask, generation: u64, bytes: &[u8]) {
+        self.apply(generation, |service, now, actions| service.heard(ask.number, bytes, now, actions));
     }
 }
--- a/crates/gateway/src/subsystems.rs
+++ b/crates/gateway/src/subsystems.rs
@@ -1,8 +1,8 @@
-//! What stands beside the gateway's driver: counter, fleet, turns at the counter, policy and sites.
+//! The subsystems that the gateway's driver calls: counter, fleet, turns at the counter, policy and sites.
 
-use crate::changes::Changes;
 use crate::counter::{Asker, Counter};
 use crate::fleet::Fleet;
+use crate::policy_follower::PolicyFollower;
 use crate::sites::Sites;
 use crate::turns::Turns;
 use hingestage_dataplane::driver::Driver;
@@ -17,64 +17,66 @@
 use std::rc::{Rc, Weak};
 use std::time::Duration;
 
-/// The subsystems of one gateway. All but the counter are set once the driver is there.
+/// The subsystems of one gateway. All but the counter are set after the driver is created.
 pub struct GatewaySubsystems<P: Platform> {
-    /// Whom the counter's answers are told.
+    /// The driver, which receives the counter's outcomes.
     pub driver: OnceCell<Weak<Driver<P>>>,
-    /// The counter's side.
+    /// Client of the shared counter.
     pub counter: Rc<Counter<P>>,
-    /// What is known of the fleet, where operators say how.
+    /// Failure detection in the fleet, if configured.
     pub fleet: OnceCell<Rc<Fleet<P>>>,
-    /// Turns at the counter, where operators want them.
+    /// Turns at the counter, if configured.
     pub turns: OnceCell<Rc<Turns<P>>>,
-    /// Whose word is gone by on plans, classes and accounts, where operators say so.
-    pub changes: OnceCell<Rc<Changes<P>>>,
-    /// What is believed of sites.
+    /// The policy from the keepers, if configured.
+    pub policy: OnceCell<Rc<PolicyFollower<P>>>,
+    /// Failure detection and failover of sites.
     pub sites: OnceCell<Rc<Sites<P>>>,
 }
 
 impl<P: Platform> GatewaySubsystems<P> {
-    /// With a counter that is not connected yet; `wait` is how long a call to it may take.
-    pub fn new(platform: P, counter: Option<SocketAddr>, wait: Micros) -> Rc<Self> {
+    /// Creates the counter client, which is not connected yet; its calls end after `counter_timeout`.
+    pub fn new(platform: P, counter: Option<SocketAddr>, counter_timeout: Micros) -> Rc<Self> {
         Rc::new_cyclic(|this: &Weak<Self>| {
             let this = this.clone();
-            let tell = Box::new(move |asker, name, outcome| {
-                this.upgrade().into_iter().for_each(|all| all.counted(asker, &name, outcome));
+            let on_outcome = Box::new(move |caller, name, outcome| {
+                this.upgrade().into_iter().for_each(|all| all.counter_outcome(caller, &name, outcome));
             });
             GatewaySubsystems {
                 driver: OnceCell::new(),
-                counter: Counter::new(platform, counter, wait, tell),
+                counter: Counter::new(platform, counter, counter_timeout, on_outcome),
                 fleet: OnceCell::new(),
                 turns: OnceCell::new(),
-                changes: OnceCell::new(),
+                policy: OnceCell::new(),
                 sites: OnceCell::new(),
             }
         })
     }
 
-    /// A call to the counter has ended.
-    fn counted(&self, asker: Asker, name: &CounterName, outcome: CounterOutcome) {
+    /// Passes the outcome of a call on to the part that made it.
+    fn counter_outcome(&self, caller: Asker, name: &CounterName, outcome: CounterOutcome) {
         let Some(driver) = self.driver.get().and_then(Weak::upgrade) else { return };
-        match asker {
+        match caller {
             Asker::Decisions => driver.feed(Event::Counter { name: name.clone(), outcome }),
-            Asker::Roll => self.fleet.get().into_iter().for_each(|fleet| fleet.counted(name, outcome)),
-            Asker::Turns => self.turns.get().into_iter().for_each(|turns| turns.counted(name, outcome)),
+            Asker::Roll => self.fleet.get().into_iter().for_each(|fleet| fleet.handle_outcome(name, outcome)),
+            Asker::Turns => {
+                self.turns.get().into_iter().for_each(|turns| turns.handle_outcome(name, outcome))
+            }
         }
     }
 }
 
 impl<P: Platform> Subsystems for GatewaySubsystems<P> {
-    /// What is in force at this very instant is looked at first.
+    /// Brings the policy in force up to date first.
     fn begins(&self, now: Micros, request: Beginning) -> Option<PlanId> {
-        let plan = match self.changes.get() {
+        let plan = match self.policy.get() {
             None => Some(request.plan),
-            Some(changes) => {
-                changes.at(now);
-                changes.plan_of(request.customer, request.plan, now)
+            Some(policy) => {
+                policy.refresh_if_due(now);
+                policy.plan_of(request.customer, request.plan, now)
             }
         };
-        self.sites.get().into_iter().for_each(|sites| sites.asks(plan, request.class));
-        self.fleet.get().into_iter().for_each(|fleet| fleet.clients_come(request.first, request.gateways));
+        self.sites.get().into_iter().for_each(|sites| sites.count_request(plan, request.class));
+        self.fleet.get().into_iter().for_each(|fleet| fleet.client_arrived(request.first, request.gateways));
         plan
     }
 
@@ -90,7 +92,7 @@
         self.sites.get().into_iter().for_each(|sites| sites.listed(workers, scope));
     }
 
-    /// Counts by the looker of the name, or at the counter itself.
+    /// Counts through the gateway that owns the name, or at the counter directly.
     fn count(&self, name: &CounterName, amount: f64, keep: Micros) -> Option<CounterOutcome> {
         if !self.turns.get().is_some_and(|turns| turns.count(name, amount, keep)) {
             self.counter.call(Asker::Decisions, name.clone(), amount, keep);
@@ -99,14 +101,14 @@
     }
 
     fn may_begin(&self) -> bool {
-        self.changes.get().is_none_or(|changes| changes.serves())
+        self.policy.get().is_none_or(|policy| policy.has_policy())
     }
 
     fn effect(&self, class: ClassId) -> Option<Effect> {
-        self.changes.get().and_then(|changes| changes.effect(class))
+        self.policy.get().and_then(|policy| policy.effect(class))
     }
 
     fn longest(&self) -> Option<Duration> {
-        self.changes.get().and_then(|changes| changes.longest()).map(Duration::from_micros)
+        self.policy.get().and_then(|policy| policy.longest()).map(Duration::from_micros)
     }
 }
--- a/crates/gateway/src/turns.rs
+++ b/crates/gateway/src/turns.rs
@@ -1,12 +1,12 @@
-//! Turns at the counter, with sockets and time: carries what this gateway counts to the looker of its name, and what
-//! others tell it to the counter. Who looks for which name, what is told again and how often the counter is called is
-//! decided in `hingestage_turns`.
+//! Turns at the counter: sends this gateway's counts to the gateways that own their names, and counts on behalf of
+//! others under the names that it owns itself. `hingestage_turns` decides who owns a name, what is retried and how often
+//! the counter is called.
 
 use crate::counter::{Asker, Counter};
 use crate::fleet::Fleet;
-use crate::lane::Lanes;
+use crate::peer_connections::{PeerConnections, PeerError};
 use hingestage_dataplane::driver::Driver;
-use hingestage_operator::Fleet as Figures;
+use hingestage_operator::Fleet as FleetSettings;
 use hingestage_platform::Platform;
 use hingestage_policy::{CounterName, CounterOutcome, Event, Micros};
 use hingestage_turns::desk::{Desk, Do, Found};
@@ -17,78 +17,79 @@
 use std::time::Duration;
 use tokio::sync::oneshot;
 
-/// How often is looked whether something is due, while anything is owed.
-const LOOK: Duration = Duration::from_millis(5);
-/// Pause between two times of forgetting what rests.
-const TIDY: Duration = Duration::from_secs(1);
+/// Interval of checks for due calls while any are pending.
+const CHECK_INTERVAL: Duration = Duration::from_millis(5);
+/// Interval of removing idle state.
+const HOUSEKEEPING_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Who told a desk something: the decisions of this gateway, or another one's word.
-enum Teller {
+/// The origin of a count: this gateway's decisions or a message of another gateway.
+enum Origin {
     Own(CounterName),
-    Word(oneshot::Sender<f64>),
+    Peer(oneshot::Sender<f64>),
 }
 
-/// One gateway's turns at the counter.
+/// The turns at the counter of one gateway.
 pub struct Turns<P: Platform> {
     driver: Weak<Driver<P>>,
     platform: P,
     counter: Rc<Counter<P>>,
     fleet: Rc<Fleet<P>>,
-    lanes: Lanes<P>,
+    peers: PeerConnections<P>,
     post: RefCell<Post>,
-    desk: RefCell<Desk<Teller>>,
-    wait: Duration,
-    looking: Cell<bool>,
-    /// Words sent, and names told by others, since the start.
-    words: Cell<(u64, u64)>,
+    desk: RefCell<Desk<Origin>>,
+    timeout: Duration,
+    checking: Cell<bool>,
+    messages_sent: Cell<u64>,
+    counts_received: Cell<u64>,
 }
 
 impl<P: Platform> Turns<P> {
-    /// That of a gateway's new life; a call to the counter ends after `wait`.
+    /// Creates the state of a new incarnation; calls to the counter end after `timeout`.
     pub fn new(
         driver: &Rc<Driver<P>>,
         counter: Rc<Counter<P>>,
         fleet: &Rc<Fleet<P>>,
-        figures: &Figures,
+        settings: &FleetSettings,
         (me, gateways): (u32, u32),
-        wait: Micros,
+        timeout: Micros,
     ) -> Rc<Self> {
         let platform = driver.platform.clone();
         Rc::new(Turns {
             driver: Rc::downgrade(driver),
             counter,
             fleet: fleet.clone(),
-            lanes: Lanes::new(platform.clone(), figures.peers.clone()),
+            peers: PeerConnections::new(platform.clone(), settings.peers.clone()),
             platform,
-            post: RefCell::new(Post::new(me, figures.peers.keys().copied())),
-            desk: RefCell::new(Desk::new(gateways, wait)),
-            wait: Duration::from_micros(wait),
-            looking: Cell::new(false),
-            words: Cell::default(),
+            post: RefCell::new(Post::new(me, settings.peers.keys().copied())),
+            desk: RefCell::new(Desk::new(gateways, timeout)),
+            timeout: Duration::from_micros(timeout),
+            checking: Cell::new(false),
+            messages_sent: Cell::default(),
+            counts_received: Cell::default(),
         })
     }
 
-    /// Forgets what rests, for as long as the gateway lives.
+    /// Removes idle state periodically until the gateway ends.
     pub async fn run(self: Rc<Self>) {
         while let Some(driver) = self.driver.upgrade() {
             self.desk.borrow_mut().tidy(driver.micros());
-            self.lanes.close_idle();
+            self.peers.close_idle();
             drop(driver);
-            self.platform.sleep(TIDY).await;
+            self.platform.sleep(HOUSEKEEPING_INTERVAL).await;
         }
     }
 
-    /// Takes over a call of the decisions; false where it is the counter's own.
+    /// Takes over a count of the decisions; false if the counter must be called directly.
     pub fn count(self: &Rc<Self>, name: &CounterName, amount: f64, keep: Micros) -> bool {
         let told = Told { name: name.0.clone(), amount, keep_ms: keep.div_ceil(1_000).max(1) };
         let Some(now) = self.now() else { return false };
         let fleet = self.fleet.clone();
-        let route = self.post.borrow_mut().route(now, &told, |number| fleet.lives(now, number));
+        let route = self.post.borrow_mut().route(now, &told, |number| fleet.is_alive(now, number));
         match route {
             Route::Counter => return false,
-            Route::To(number) => self.send_words(number),
-            Route::Here => match self.tell(now, Teller::Own(name.clone()), &told) {
-                Found::Total(total) => self.own(name.clone(), CounterOutcome::Total(total)),
+            Route::To(number) => self.send_messages(number),
+            Route::Here => match self.add(now, Origin::Own(name.clone()), &told) {
+                Found::Total(total) => self.report(name.clone(), CounterOutcome::Total(total)),
                 Found::Later => {}
                 Found::Elsewhere => return false,
             },
@@ -100,62 +101,65 @@
         Some(self.driver.upgrade()?.micros())
     }
 
-    fn own(&self, name: CounterName, outcome: CounterOutcome) {
+    /// Passes an outcome to the decisions of this gateway.
+    fn report(&self, name: CounterName, outcome: CounterOutcome) {
         self.driver.upgrade().into_iter().for_each(|driver| {
             driver.feed(Event::Counter { name: name.clone(), outcome });
         });
     }
 
-    fn tell(self: &Rc<Self>, now: Micros, asker: Teller, told: &Told) -> Found {
-        let found = self.desk.borrow_mut().told(now, asker, told);
-        self.look(now);
-        self.look_on();
+    /// Adds to a name that this gateway owns.
+    fn add(self: &Rc<Self>, now: Micros, origin: Origin, told: &Told) -> Found {
+        let found = self.desk.borrow_mut().told(now, origin, told);
+        self.make_due_calls(now);
+        self.start_checks();
         found
     }
 
-    fn send_words(self: &Rc<Self>, to: u32) {
+    /// Sends all messages to a peer that may be sent now.
+    fn send_messages(self: &Rc<Self>, to: u32) {
         while let Some(told) = self.post.borrow_mut().word(to) {
             let turns = self.clone();
-            self.platform.spawn(async move { turns.send_word(to, told).await });
+            self.platform.spawn(async move { turns.send_message(to, told).await });
         }
     }
 
-    async fn send_word(self: Rc<Self>, to: u32, told: Vec<Told>) {
+    async fn send_message(self: Rc<Self>, to: u32, told: Vec<Told>) {
         let text = word::text(self.fleet.me(), &told);
-        self.words.set((self.words.get().0 + 1, self.words.get().1));
-        let answer = self.lanes.ask(to, "/turns", text, word::WORD_MAX, self.wait).await;
-        let word = match answer {
-            Err(crate::lane::Failed::NeverSent) => Word::NeverSent,
-            Err(crate::lane::Failed::Unanswered) => Word::Unanswered,
+        self.messages_sent.set(self.messages_sent.get() + 1);
+        let answer = self.peers.post(to, "/turns", text, word::WORD_MAX, self.timeout).await;
+        let result = match answer {
+            Err(PeerError::NotSent) => Word::NeverSent,
+            Err(PeerError::Unanswered) => Word::Unanswered,
             Ok(text) => word::read_answer(&text, told.len()).map_or(Word::Unanswered, Word::Answered),
         };
         let Some(now) = self.now() else { return };
-        let ended = self.post.borrow_mut().ended(now, to, told, word);
+        let ended = self.post.borrow_mut().ended(now, to, told, result);
         for (told, ending) in ended {
             let name = CounterName(told.name.clone());
             match ending {
-                Ending::Total(total) => self.own(name, CounterOutcome::Total(total)),
-                Ending::Timeout => self.own(name, CounterOutcome::Timeout),
+                Ending::Total(total) => self.report(name, CounterOutcome::Total(total)),
+                Ending::Timeout => self.report(name, CounterOutcome::Timeout),
                 Ending::Counter => {
                     self.counter.call(Asker::Decisions, name, told.amount, told.keep_ms * 1_000)
                 }
             }
         }
-        self.send_words(to);
+        self.send_messages(to);
     }
 
-    /// The answer to another's word, once all its totals are known.
+    /// Answers another gateway's message once all its totals are known.
     ///
     /// # Errors
-    /// What is wrong with it.
+    /// The fault in the message.
     pub async fn answer(self: &Rc<Self>, text: &str) -> Result<String, String> {
         let (_, told) = word::read(text)?;
         let now = self.now().ok_or("the gateway ends")?;
-        self.words.set((self.words.get().0, self.words.get().1 + told.len() as u64));
+        self.counts_received.set(self.counts_received.get() + told.len() as u64);
         let mut found = Vec::with_capacity(told.len());
         for one in &told {
-            let (say, later) = oneshot::channel();
-            found.push((self.tell(now, Teller::Word(say), one), later));
+            let (sender, later) = oneshot::channel();
+            found.push((self.add(now, Origin::Peer(sender), one), later));
         }
         let mut said = Vec::with_capacity(found.len());
         for (found, later) in found {
@@ -168,66 +172,66 @@
         Ok(word::answer(&said))
     }
 
-    /// A call for a name that this gateway looks for has ended.
-    pub fn counted(self: &Rc<Self>, name: &CounterName, outcome: CounterOutcome) {
+    /// Handles the outcome of a call under a name that this gateway owns.
+    pub fn handle_outcome(self: &Rc<Self>, name: &CounterName, outcome: CounterOutcome) {
         let Some(now) = self.now() else { return };
-        let mut wanted = Vec::new();
-        self.desk.borrow_mut().counted(now, &name.0, outcome, &mut wanted);
-        self.carry_out(wanted);
-        self.look_on();
+        let mut actions = Vec::new();
+        self.desk.borrow_mut().counted(now, &name.0, outcome, &mut actions);
+        self.execute(actions);
+        self.start_checks();
     }
 
-    /// This gateway has been told to end: others look from now on, and the counter gets what it has not.
+    /// Gives up all names when this gateway is told to end, and counts what is still pending.
     pub fn leave(&self) {
         let Some(now) = self.now() else { return };
-        let last = self.desk.borrow_mut().leave(now);
-        self.carry_out(last);
+        let actions = self.desk.borrow_mut().leave(now);
+        self.execute(actions);
     }
 
-    fn look(&self, now: Micros) {
-        let mut wanted = Vec::new();
-        self.desk.borrow_mut().due(now, &mut wanted);
-        self.carry_out(wanted);
+    fn make_due_calls(&self, now: Micros) {
+        let mut actions = Vec::new();
+        self.desk.borrow_mut().due(now, &mut actions);
+        self.execute(actions);
     }
 
-    /// Looks again and again while anything is owed.
-    fn look_on(self: &Rc<Self>) {
-        if self.desk.borrow().idle() || self.looking.replace(true) {
+    /// Starts periodic checks for due calls, which end when nothing is pending.
+    fn start_checks(self: &Rc<Self>) {
+        if self.desk.borrow().idle() || self.checking.replace(true) {
             return;
         }
         let turns = self.clone();
         self.platform.spawn(async move {
             while !turns.desk.borrow().idle() {
-                turns.platform.sleep(LOOK).await;
+                turns.platform.sleep(CHECK_INTERVAL).await;
                 let Some(now) = turns.now() else { return };
-                turns.look(now);
+                turns.make_due_calls(now);
             }
-            turns.looking.set(false);
+            turns.checking.set(false);
         });
     }
 
-    fn carry_out(&self, wanted: Vec<Do<Teller>>) {
-        for one in wanted {
-            match one {
+    fn execute(&self, actions: Vec<Do<Origin>>) {
+        for action in actions {
+            match action {
                 Do::Count { name, amount, keep_ms } => {
                     self.counter.call(Asker::Turns, CounterName(name), amount, keep_ms * 1_000);
                 }
-                Do::Say(Teller::Own(name), total) => self.own(name, CounterOutcome::Total(total)),
-                // Whoever asked may have gone.
-                Do::Say(Teller::Word(say), total) => drop(say.send(total)),
+                Do::Say(Origin::Own(name), total) => self.report(name, CounterOutcome::Total(total)),
+                // The receiver is gone if the peer has disconnected.
+                Do::Say(Origin::Peer(sender), total) => drop(sender.send(total)),
             }
         }
     }
 
-    /// What is known, for operators.
+    /// The state as text for operators.
     pub fn explain(&self) -> String {
         let Some(now) = self.now() else { return String::new() };
         let (names, gap) = self.desk.borrow().figures();
         let left_out = self.post.borrow().left_out(now);
-        let (sent, heard) = self.words.get();
+        let (sent, received) = (self.messages_sent.get(), self.counts_received.get());
         format!(
             "turns: looks for {names} names, a call to the counter in {:.1} ms at most; {sent} words sent, \
-             {heard} names told by others; left out: {left_out:?}\n",
+             {received} names told by others; left out: {left_out:?}\n",
             gap / 1e3
         )
     }
--- a/src/sites.rs
+++ b/src/sites.rs
@@ -3,7 +3,7 @@
 use crate::Failed;
 use clap::{Subcommand, ValueEnum};
 use hingestage_gateway::config::Config;
-use hingestage_gateway::sites::{Planned, Plans};
+use hingestage_gateway::sites::{PlanFuture, SitePlans};
 use hingestage_keep::call::Way;
 use hingestage_print::say;
 use hingestage_sites::{greedy, plan, read, worth, Ahead, Plan, Sites, Who};
@@ -94,12 +94,12 @@
 }
 
 /// The plans of a gateway's file, and the way to make them anew: on a thread of their own.
-pub fn planned(file: Sites, config: &Config) -> Result<Planned, String> {
+pub fn planned(file: Sites, config: &Config) -> Result<SitePlans, String> {
     let settings = &config.settings;
     let who = Who { number: settings.me, gateways: settings.instances, zone: settings.zone.0.clone() };
     let (plans, classes) = (config.names.plans.clone(), config.names.classes.clone());
     let ahead = Ahead::new(&file, &who, &plans, &classes)?;
-    let again = move |times: BTreeMap<(usize, usize), f64>| -> Plans {
+    let replan = move |times: BTreeMap<(usize, usize), f64>| -> PlanFuture {
         let named = |((plan, class), times): ((usize, usize), f64)| {
             Some(((plans.get(plan)?.clone(), classes.get(class)?.clone()), times))
         };
@@ -108,7 +108,7 @@
         let made = tokio::task::spawn_blocking(move || Ahead::new(&scaled, &who, &plans, &classes).ok());
         Box::pin(async move { made.await.ok().flatten() })
     };
-    Ok(Planned { ahead, again: Rc::new(again) })
+    Ok(SitePlans { ahead, replan: Rc::new(replan) })
 }
 
 /// Does it.
