--- a/src/bin/hingestage-adapter/main.rs
+++ b/src/bin/hingestage-adapter/main.rs
@@ -1,4 +1,5 @@
-//! Hosts gatekeepers on the text wire: reads batches of events, prints batches of actions.
+//! Adapter between the simulator's text protocol and the decision code: reads batches of events, prints batches of
+//! actions.
 //!
 //! Malformed input ends the program with a message that names the line and the field.
 
@@ -22,7 +23,7 @@
     }
 }
 
-/// Numbers the lines as they are read, for error messages.
+/// Reads lines and counts them for error messages.
 struct Lines<R> {
     input: R,
     number: u64,
@@ -42,7 +43,7 @@
 
 fn run(input: impl BufRead, mut output: impl Write) -> Result<(), String> {
     let mut lines = Lines { input, number: 0 };
-    let mut hosted: BTreeMap<u32, (Gatekeeper, Names)> = BTreeMap::new();
+    let mut instances: BTreeMap<u32, (Gatekeeper, Names)> = BTreeMap::new();
     while let Some(head) = lines.next()? {
         if head.is_empty() {
             continue;
@@ -60,13 +61,13 @@
             }
             let fields = Fields::parse(&line, lines.number)?;
             let instance = fields.number("gatekeeper")?;
-            let event = match wire::input(&fields, hosted.get(&instance).map(|(_, names)| names))? {
+            let event = match wire::input(&fields, instances.get(&instance).map(|(_, names)| names))? {
                 Input::Launch { settings, seed, names } => {
-                    hosted.insert(instance, (Gatekeeper::new(*settings, seed, now), *names));
+                    instances.insert(instance, (Gatekeeper::new(*settings, seed, now), *names));
                     continue;
                 }
                 Input::Teardown => {
-                    hosted.remove(&instance);
+                    instances.remove(&instance);
                     continue;
                 }
                 Input::Nothing => continue,
@@ -80,11 +81,11 @@
                 }
                 Input::Event(event) => event,
             };
-            let Some((gatekeeper, _)) = hosted.get_mut(&instance) else {
+            let Some((gatekeeper, _)) = instances.get_mut(&instance) else {
                 return Err(fields.error("gatekeeper", "no such instance"));
             };
             let mut actions: Vec<Action> = Vec::new();
-            // A panic is a defect in the decision code; the wire has a word for that.
+            // A panic in the decision code is reported in the reply.
             match panic::catch_unwind(AssertUnwindSafe(|| gatekeeper.handle(now, event, &mut actions))) {
                 Ok(()) => actions.iter().for_each(|action| wire::print(&mut reply, instance, action)),
                 Err(_) => wire::internal_error(&mut reply, instance, "panic in the decision code"),
--- a/src/bin/hingestage-adapter/wire.rs
+++ b/src/bin/hingestage-adapter/wire.rs
@@ -1,10 +1,10 @@
-//! The wire's words: parsing of events and settings, printing of actions. No decisions.
+//! Encoding of the text protocol: parses events and settings, prints actions.
 
 use hingestage_policy::settings::{settings, Fields, Names};
 use hingestage_policy::*;
 use std::fmt::Write;
 
-/// What one line asks of the host.
+/// A parsed line of input.
 pub enum Input {
     Launch { settings: Box<Settings>, seed: u64, names: Box<Names> },
     Teardown,
@@ -24,10 +24,12 @@
     ("NOP", Outcome::NotSent),
 ];
 
+/// The request id in the field `ticket`.
 fn ticket(f: &Fields) -> Result<RequestId, String> {
     f.text("ticket").map(|id| RequestId(id.into()))
 }
 
+/// Parses a line within a batch; `names` belong to the instance that it addresses.
 pub fn input(f: &Fields, names: Option<&Names>) -> Result<Input, String> {
     if f.name == "LAUNCH" {
         let (settings, names) = settings(f)?;
@@ -48,12 +50,12 @@
             return Ok(Input::Workers { scope, rows: f.optional("items")?.unwrap_or(0) });
         }
         "DEMAND" => {
-            let place = |names: &[String], value: &str| names.iter().position(|name| name == value);
+            let index = |names: &[String], value: &str| names.iter().position(|name| name == value);
             Event::Request(Request {
                 id: ticket(f)?,
                 customer: CustomerId(f.text("caller")?.into()),
-                class: place(&names.classes, f.text("type")?).map(ClassId),
-                plan: place(&names.plans, f.text("contract")?).map(PlanId),
+                class: index(&names.classes, f.text("type")?).map(ClassId),
+                plan: index(&names.plans, f.text("contract")?).map(PlanId),
                 units: f.float("quotaUnits")?,
                 gateways: f.number("width")?,
                 first: 0,
@@ -98,6 +100,7 @@
     Ok(Input::Event(event))
 }
 
+/// Parses a row of a list of workers.
 pub fn row(f: &Fields) -> Result<WorkerInfo, String> {
     if f.name != "ROW" {
         return Err(f.error("name", "ROW expected"));
@@ -108,7 +111,7 @@
         availability: f.choice("availability", &[("0", Gone), ("1", Ready), ("2", Draining)])?,
         zone: Zone(f.text_or_empty("zone").into()),
         cell: f.span_or_zero("block")?,
-        // A number the same at every gateway already.
+        // Worker numbers are the same at every gateway.
         mark: f.int("worker")?,
         size: f.checked("powerHint")?.unwrap_or(1.0),
         started: f.optional("lastStartUs")?.filter(|at| *at > 0),
@@ -144,7 +147,7 @@
     let _ = writeln!(reply, "{line}");
 }
 
-/// Prints that the decision code has failed.
+/// Prints an internal error as a line of the reply.
 pub fn internal_error(reply: &mut String, instance: u32, what: &str) {
     let _ = writeln!(reply, "INTERNAL_ERROR\tgatekeeper={instance}\twhat={what}");
 }
--- a/src/keep.rs
+++ b/src/keep.rs
@@ -1,4 +1,4 @@
-//! `hingestage keep`: a keeper of the policy as a process.
+//! `hingestage keep`: runs a keeper, a replica of the policy store.
 
 use crate::{block_on, Failed};
 use clap::ValueEnum;
@@ -10,34 +10,33 @@
 use tracing_subscriber::layer::SubscriberExt;
 use tracing_subscriber::util::SubscriberInitExt;
 
-/// How what is logged is written.
+/// Format of the log.
 #[derive(Clone, Copy, Debug, ValueEnum)]
-enum LogForm {
+enum LogFormat {
     Text,
     Json,
 }
 
-/// Runs a keeper of the policy until it is told to end. Ends with 1 where its store takes no more: it says nothing
-/// then that it might forget.
+/// Runs a keeper of the policy until it is stopped. Exits with 1 if its store can't be written.
 #[derive(clap::Args, Debug)]
 pub struct Args {
-    /// The keeper's file; see `deploy/keeper.example.lisp`.
+    /// The keeper's configuration file; see `deploy/keeper.example.lisp`.
     file: PathBuf,
-    /// Makes its store: it never ran, and is one of the keepers that begin.
+    /// Creates the store of a keeper that never ran, as one of the initial keepers.
     #[arg(long)]
     begin: bool,
-    /// Makes its store: it never ran, and is added to keepers that have begun.
+    /// Creates the store of a keeper that never ran and will be added to running keepers.
     #[arg(long, conflicts_with = "begin")]
     join: bool,
-    /// How what is logged is written to the standard error.
+    /// Format of the log on standard error.
     #[arg(long, value_enum, default_value = "text")]
-    log: LogForm,
+    log: LogFormat,
 }
 
-/// Runs it.
+/// Runs the keeper.
 pub fn run(args: Args) -> Result<(), Failed> {
-    let config = Config::load(&args.file).map_err(Failed::Asked)?;
-    log(args.log);
+    let config = Config::load(&args.file).map_err(Failed::InvalidInput)?;
+    init_log(args.log);
     let start = match (args.begin, args.join) {
         (true, _) => Start::Begin,
         (_, true) => Start::Join,
@@ -57,13 +56,14 @@
     .map_err(Failed::Running)
 }
 
-fn log(form: LogForm) {
-    // The log's library tells of each of its steps.
+/// Sets up logging.
+fn init_log(format: LogFormat) {
+    // Other crates, such as the Raft library, log every step at INFO.
     let levels = Targets::new().with_default(LevelFilter::WARN).with_target("hingestage", LevelFilter::INFO);
     let layer = tracing_subscriber::fmt::layer().with_writer(std::io::stderr).with_target(false);
     let logged = tracing_subscriber::registry().with(levels);
-    match form {
-        LogForm::Text => logged.with(layer.with_ansi(false)).init(),
-        LogForm::Json => logged.with(layer.json()).init(),
+    match format {
+        LogFormat::Text => logged.with(layer.with_ansi(false)).init(),
+        LogFormat::Json => logged.with(layer.json()).init(),
     }
 }
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,5 +1,5 @@
-//! The command line. Without a subcommand it is the platform's gatekeeper: it reads its configuration, serves
-//! until told to stop, and exits when all is answered.
+//! The `hingestage` command line. Without a subcommand it runs the gateway until it is stopped and all requests are
+//! answered.
 #![forbid(unsafe_code)]
 
 mod keep;
@@ -24,12 +24,12 @@
 use tokio::sync::mpsc;
 use tokio::task::{spawn_local, AbortHandle, LocalSet};
 
-/// Keeps each customer of a shared back end to its plan. Without a subcommand it serves as the platform's
-/// gatekeeper, as `RELAY_CONFIG` says.
+/// Keeps each customer of a shared back end to its plan. Without a subcommand it runs the gateway that `RELAY_CONFIG`
+/// configures.
 #[derive(Parser)]
 #[command(name = "hingestage", version)]
 struct Args {
-    /// The operators' own file; see `deploy/operator.example.lisp`.
+    /// The operator file; see `deploy/operator.example.lisp`.
     #[arg(long, env = "RELAY_OPERATOR", value_name = "FILE")]
     operator: Option<PathBuf>,
     #[command(subcommand)]
@@ -38,42 +38,42 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Shows the gateway at work among stand-ins on loopback sockets.
+    /// Demonstrates the gateway with simulated workers and services on loopback sockets.
     Lab(hingestage_lab::Args),
-    /// Shows the whole system at work: registries, stores and proxies as processes on loopback addresses.
+    /// Demonstrates the whole system: registries, stores and proxies as processes on loopback addresses.
     System(hingestage_playground::Args),
-    /// Lets trials of a tenant run out on whole systems of real processes, with faults, and judges what clients saw.
+    /// Lets trials of a tenant expire on systems of real processes, with faults, and checks what clients saw.
     Expire(hingestage_playground::expiry::Args),
-    /// Checks an operators' file; a fault is named with its field and place.
+    /// Checks an operator file. Errors name the field and its place.
     Check {
         /// The file.
         file: PathBuf,
     },
-    /// Follows a name's SRV records for a while and tells what would be believed, and why. Ends with 3 where
-    /// nothing was believed.
+    /// Follows the SRV records of a name for a while and shows the accepted endpoints, and why. Exits with 3 if none
+    /// were accepted.
     Srv(srv::Args),
-    /// Plays a fleet of processes among stand-ins, with faults between them, and judges it from outside.
+    /// Runs a fleet of processes among simulated services, with faults, and checks its behaviour from outside.
     Rehearse(hingestage_rehearse::Args),
-    /// Documents of policy: plans, classes, accounts. Checks and compares them, and asks keepers to change to one.
+    /// Checks and compares policy documents (plans, classes, accounts), and sends changes to the keepers.
     Policy {
         #[command(subcommand)]
         task: policy::Task,
     },
-    /// Plans for the loss of a site: where its load goes and what is refused first.
+    /// Plans for the loss of sites: where their load goes and what is refused first.
     Sites {
         #[command(subcommand)]
         task: sites::Task,
     },
     /// Runs a keeper of the policy; see `docs/on-change.md`.
     Keep(keep::Args),
-    /// Becomes a program that ends when the process that started this one does.
+    /// Replaces this process by a program that is killed when the given parent process ends.
     #[command(hide = true)]
     Leash {
-        /// The process that it ends with.
+        /// Process id of the parent.
         parent: u32,
         /// The program.
         program: PathBuf,
-        /// What it is told.
+        /// Arguments of the program.
         #[arg(trailing_var_arg = true, allow_hyphen_values = true)]
         args: Vec<OsString>,
     },
@@ -81,7 +81,7 @@
 
 fn main() -> ExitCode {
     let args = Args::parse();
-    // Requests would wait for ever behind a port that still accepts: better to end and be started again.
+    // After a panic the process exits, so that requests don't wait at a port that nobody serves.
     let report = std::panic::take_hook();
     std::panic::set_hook(Box::new(move |panic| {
         report(panic);
@@ -109,8 +109,8 @@
         Err(failed) => {
             let (message, code) = match failed {
                 Failed::Running(message) => (message, ExitCode::FAILURE),
-                Failed::Asked(message) => (message, ExitCode::from(2)),
-                Failed::Unheard(message) => (message, ExitCode::from(3)),
+                Failed::InvalidInput(message) => (message, ExitCode::from(2)),
+                Failed::Inconclusive(message) => (message, ExitCode::from(3)),
                 Failed::CalledOff(message) => (message, ExitCode::from(4)),
                 Failed::Unknown(message) => (message, ExitCode::from(5)),
             };
@@ -120,30 +120,32 @@
     }
 }
 
-/// Why the program ends without having done what was asked.
+/// Why a command failed; each variant has an exit code of its own.
 enum Failed {
-    /// Something went wrong.
+    /// Error while running; exit code 1.
     Running(String),
-    /// It was asked for what makes no sense: a fault in the operators' file or the command line.
-    Asked(String),
-    /// It did, and what came is no answer: nobody was heard, the machine was too slow, a change wants a word
-    /// more. A code of its own, so that a script can tell.
-    Unheard(String),
-    /// A change was called off.
+    /// Invalid input file or command line; exit code 2.
+    InvalidInput(String),
+    /// The command ran without a usable result: no response, a machine too slow, or a change that needs confirmation;
+    /// exit code 3.
+    Inconclusive(String),
+    /// A change was called off; exit code 4.
     CalledOff(String),
-    /// It is not known what became of it.
+    /// The result of a change is unknown; exit code 5.
     Unknown(String),
 }
 
+/// Runs the gateway.
 fn start(operator: Option<PathBuf>) -> Result<(), Failed> {
-    let read = read_operator(operator.as_deref()).map_err(Failed::Asked)?;
+    let read = read_operator(operator.as_deref()).map_err(Failed::InvalidInput)?;
     let config = Config::load(|name| std::env::var(name).ok()).map_err(Failed::Running)?;
     if config.admin.is_none() && read.fleet.as_ref().is_some_and(|fleet| !fleet.peers.is_empty()) {
-        return Err(Failed::Asked(
+        return Err(Failed::InvalidInput(
             "field `fleet.peer`: peers need the operators' address, RELAY_ADMIN".into(),
         ));
     }
-    let sites = read.sites.map(|file| sites::planned(file, &config)).transpose().map_err(Failed::Asked)?;
+    let sites =
+        read.sites.map(|file| sites::site_plans(file, &config)).transpose().map_err(Failed::InvalidInput)?;
     let config = Config { srv: read.srv, fleet: read.fleet, policy: read.policy, sites, ..config };
     block_on(run(config, operator)).map_err(Failed::Running)
 }
@@ -152,8 +154,9 @@
     file.map_or_else(|| Ok(Operator::default()), Operator::load)
 }
 
+/// Checks an operator file and prints a summary.
 fn check(file: &Path) -> Result<(), Failed> {
-    let operator = Operator::load(file).map_err(Failed::Asked)?;
+    let operator = Operator::load(file).map_err(Failed::InvalidInput)?;
     if operator == Operator::default() {
         say!("nothing is asked for");
     }
@@ -179,51 +182,49 @@
     match outcome.map_err(Failed::Running)? {
         Outcome::Holds => Ok(()),
         Outcome::Broken(message) => Err(Failed::Running(message)),
-        Outcome::Asked(message) => Err(Failed::Asked(message)),
-        Outcome::Void(message) => Err(Failed::Unheard(message)),
+        Outcome::Asked(message) => Err(Failed::InvalidInput(message)),
+        Outcome::Void(message) => Err(Failed::Inconclusive(message)),
     }
 }
 
+/// Runs a task on a new single-threaded runtime.
 fn block_on<T: 'static>(task: impl Future<Output = Result<T, String>> + 'static) -> Result<T, String> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     let runtime = runtime.map_err(|e| format!("no runtime: {e}"))?;
-    // As a task of its own: what `block_on` is given itself is polled at every turn of the loop.
+    // Spawned, since the future passed to `block_on` itself is polled in every iteration of the event loop.
     let served = async { spawn_local(task).await };
     LocalSet::new().block_on(&runtime, served).map_err(|e| e.to_string())?
 }
 
 async fn run(config: Config, operator: Option<PathBuf>) -> Result<(), String> {
     let mut term = signal(SignalKind::terminate()).map_err(|e| format!("no signals: {e}"))?;
-    // Without a handler the signal would end the program. It goes on while stopping as well.
+    // Without a handler SIGHUP would end the process. Reloads also work while stopping.
     let hang_up = signal(SignalKind::hangup()).map_err(|e| format!("no signals: {e}"))?;
-    let place = handover_place(&config);
-    let (listener, _predecessor) = listen(&config, place.as_deref())?;
-    let (tell, controls) = mpsc::channel(4);
-    let offered = place.and_then(|place| offer(&place, &listener, tell.clone()));
-    spawn_local(read_again(hang_up, operator, tell.clone()));
+    let handover_path = handover_path(&config);
+    let (listener, _predecessor) = listen(&config, handover_path.as_deref())?;
+    let (sender, controls) = mpsc::channel(4);
+    let offered = handover_path.and_then(|path| offer(&path, &listener, sender.clone()));
+    spawn_local(reload_on_signal(hang_up, operator, sender.clone()));
     spawn_local(async move {
         if term.recv().await.is_some() {
-            // Its part of the listening socket goes too: a queue that nobody accepts from would lose requests.
+            // Closes the offered copy of the listening socket: connections queued on it would be lost.
             offered.inspect(|offered| offered.abort());
-            let _ = tell.send(Control::Stop).await;
+            let _ = sender.send(Control::Stop).await;
         }
     });
     let listener = tokio::net::TcpListener::from_std(listener).map_err(|e| format!("field `listen`: {e}"))?;
     serve_on(Tokio, config, gatekeeper, listener, controls).await
 }
 
-/// Where processes of this gateway pass their listening socket on: in the folder that they share.
-fn handover_place(config: &Config) -> Option<PathBuf> {
+/// Path at which processes of this gateway hand over the listening socket.
+fn handover_path(config: &Config) -> Option<PathBuf> {
     hingestage_handover::place(&PathBuf::from(std::env::var_os("TMPDIR")?), config.listen)
 }
 
-/// The listening socket: that of the process in service, where there is one, else a new one.
-fn listen(
-    config: &Config,
-    place: Option<&std::path::Path>,
-) -> Result<(TcpListener, Option<Predecessor>), String> {
+/// Takes over the listening socket from the process in service, or binds a new one.
+fn listen(config: &Config, path: Option<&Path>) -> Result<(TcpListener, Option<Predecessor>), String> {
     let at = config.listen;
-    let taken = place.map(|place| hingestage_handover::take(place, at)).transpose();
+    let taken = path.map(|path| hingestage_handover::take(path, at)).transpose();
     if let Some(Taken { listener, predecessor }) =
         taken.map_err(|e| format!("the process in service: {e}"))?.flatten()
     {
@@ -234,45 +235,41 @@
     Ok((listener, None))
 }
 
-/// With the system library's queue of 128: a longer one would hide a crowd from those who wait behind it.
+/// Binds with the default backlog of 128, so that clients notice an overload instead of waiting in a long queue.
 fn bind(at: std::net::SocketAddr) -> std::io::Result<TcpListener> {
     let listener = TcpListener::bind(at)?;
     listener.set_nonblocking(true)?;
     Ok(listener)
 }
 
-/// Offers the listening socket to a successor. Without it the gateway serves all the same.
-fn offer(
-    place: &std::path::Path,
-    listener: &TcpListener,
-    tell: mpsc::Sender<Control>,
-) -> Option<AbortHandle> {
-    let offer = listener.try_clone().and_then(|listener| Offer::new(place, listener));
+/// Offers the listening socket to a successor. A failure is logged and otherwise ignored.
+fn offer(path: &Path, listener: &TcpListener, sender: mpsc::Sender<Control>) -> Option<AbortHandle> {
+    let offer = listener.try_clone().and_then(|listener| Offer::new(path, listener));
     match offer {
         Ok(offer) => {
             let serve = offer.serve(move |serves| {
-                // A full channel means that several things were told within one turn: the task waits its turn.
-                let tell = tell.clone();
-                spawn_local(async move { tell.send(Control::Successor(serves)).await });
+                // Sent from a task, since the channel may be full.
+                let sender = sender.clone();
+                spawn_local(async move { sender.send(Control::Successor(serves)).await });
             });
             Some(spawn_local(serve).abort_handle())
         }
         Err(e) => {
-            eprintln!("hingestage: no process can take over: {}: {e}", place.display());
+            eprintln!("hingestage: no process can take over: {}: {e}", path.display());
             None
         }
     }
 }
 
-/// Reads the configuration and the operators' file again at each signal.
-async fn read_again(mut hang_up: Signal, operator: Option<PathBuf>, tell: mpsc::Sender<Control>) {
+/// Reloads the configuration and the operator file at each SIGHUP.
+async fn reload_on_signal(mut hang_up: Signal, operator: Option<PathBuf>, sender: mpsc::Sender<Control>) {
     while hang_up.recv().await.is_some() {
         let reload = Config::reload(|name| std::env::var(name).ok()).and_then(|config| {
             let read = read_operator(operator.as_deref())?;
-            let sites = read.sites.map(|file| sites::planned(file, &config)).transpose()?;
+            let sites = read.sites.map(|file| sites::site_plans(file, &config)).transpose()?;
             Ok(Config { srv: read.srv, fleet: read.fleet, policy: read.policy, sites, ..config })
         });
-        if tell.send(Control::Reload(Box::new(reload))).await.is_err() {
+        if sender.send(Control::Reload(Box::new(reload))).await.is_err() {
             return;
         }
     }
--- a/src/policy.rs
+++ b/src/policy.rs
@@ -1,11 +1,11 @@
-//! `hingestage policy`: documents checked and compared, and changes asked of the keepers.
+//! `hingestage policy`: checks and compares policy documents, and sends changes to the keepers.
 
 use crate::{block_on, Failed};
 use clap::Subcommand;
 use hingestage_change::desk::{Proposed, Report};
 use hingestage_change::keeper::{Change, Fate, Micros, Mode, Version};
 use hingestage_change::{dangers, date, diff, read, Policy};
-use hingestage_keep::client::{Failed as Call, Keepers};
+use hingestage_keep::client::{Failed as CallError, Keepers};
 use hingestage_print::say;
 use hyper::Method;
 use std::collections::BTreeMap;
@@ -14,16 +14,16 @@
 use std::time::{Duration, UNIX_EPOCH};
 use tokio::time::sleep;
 
-/// How long keepers are asked before what became of a call is unknown: an election and what follows it.
-const PATIENCE: Duration = Duration::from_secs(10);
-/// How often is looked how far a change is.
-const LOOK: Duration = Duration::from_millis(200);
-/// How much longer than its deadline and its instant a change is waited for.
-const WAITS: Duration = Duration::from_secs(30);
-/// Gateways that a line of progress names.
-const NAMED: usize = 4;
+/// Time after which the result of a call is unknown; covers an election of a leader.
+const CALL_TIMEOUT: Duration = Duration::from_secs(10);
+/// Polling interval while waiting for a change.
+const POLL_INTERVAL: Duration = Duration::from_millis(200);
+/// Extra time to wait after the deadline of a change, or after the time at which it comes into force.
+const WAIT_MARGIN: Duration = Duration::from_secs(30);
+/// Maximum number of gateways named in a line of progress.
+const NAMED_MAX: usize = 4;
 
-/// Where keepers are.
+/// Addresses of the keepers.
 #[derive(clap::Args, Debug)]
 pub struct At {
     /// The keepers, as `0=127.0.0.1:7000,1=127.0.0.1:7001`.
@@ -31,77 +31,77 @@
     keepers: Vec<(u64, SocketAddr)>,
 }
 
+/// Parses a keeper as NUMBER=ADDRESS.
 fn keeper(text: &str) -> Result<(u64, SocketAddr), String> {
     let pair = text.split_once('=').and_then(|(n, at)| Some((n.parse().ok()?, at.parse().ok()?)));
     pair.ok_or_else(|| format!("`{text}` is no keeper as 0=127.0.0.1:7000"))
 }
 
-/// What is to be done with documents.
+/// Subcommands of `hingestage policy`.
 #[derive(Subcommand)]
 pub enum Task {
-    /// Checks a document; a fault is named with its field and place, and ends with 2.
+    /// Checks a document. Exits with 2 on an error, which names the field and its place.
     Check {
         /// The document.
         file: PathBuf,
     },
-    /// Tells what one document changes of another, and what of it wants a word more; ends with 3 where
-    /// something does.
+    /// Shows what one document changes of another, and which changes need confirmation. Exits with 3 if any does.
     Diff {
         /// The version before.
         before: PathBuf,
         /// The version after.
         after: PathBuf,
     },
-    /// Proposes a document to the keepers. Ends with 0 where that is done (with `--wait`: where it is in force
-    /// everywhere), 3 where it wants a word more, 4 where it was called off, 5 where what became of it is unknown:
-    /// to propose the same again has no second effect.
+    /// Proposes a document to the keepers. Exits with 0 once it is proposed (with `--wait`: once it is in force
+    /// everywhere), 3 if it needs confirmation, 4 if it was called off, 5 if the result is unknown. Proposing the same
+    /// document again has no further effect.
     Propose {
         /// The document.
         file: PathBuf,
         #[command(flatten)]
         at: At,
-        /// In force no earlier than this, as 2026-12-24T00:00:00Z.
+        /// Earliest time to come into force, such as 2026-12-24T00:00:00Z.
         #[arg(long = "at", value_name = "TIME", value_parser = time)]
         time: Option<Micros>,
-        /// Called off where not all are ready so many seconds from now.
+        /// Seconds after which the change is called off unless all gateways are ready.
         #[arg(long, default_value_t = 60.0, value_parser = seconds)]
         deadline: f64,
-        /// Waits until it is in force or called off, and tells how far it is.
+        /// Waits until the change is in force or called off, and shows its progress.
         #[arg(long)]
         wait: bool,
-        /// The word more.
+        /// Confirms changes that need it.
         #[arg(long)]
         yes: bool,
     },
-    /// Tells what is in force, what is under way and how each gateway stands.
+    /// Shows the version in force, a change under way and the state of each gateway.
     Status {
         #[command(flatten)]
         at: At,
     },
-    /// Calls a change off; ends with 1 where it is decided already.
+    /// Calls a change off. Exits with 1 if it is already decided.
     Abort {
         /// Its version.
         version: u64,
         #[command(flatten)]
         at: At,
     },
-    /// Tells what became of changes, or prints the document of a version.
+    /// Shows the results of past changes, or prints the document of a version.
     History {
         #[command(flatten)]
         at: At,
-        /// The version whose document is printed.
+        /// Version whose document is printed.
         #[arg(long, value_name = "VERSION")]
         text: Option<u64>,
     },
-    /// Says that a gateway is gone and begins nothing more: a change no longer waits for it. Whoever says so of one
-    /// that still serves lets it serve by an old version.
+    /// Declares a gateway gone, so that changes no longer wait for it. A gateway that still serves may then use an old
+    /// version.
     DeclareGone {
         /// Its name.
         gateway: String,
         #[command(flatten)]
         at: At,
     },
-    /// Makes these the keepers, in place of those there are; a new one runs with `--join` by then.
+    /// Replaces the set of keepers; new ones must already run with `--join`.
     Keepers {
         /// Their numbers.
         #[arg(required = true)]
@@ -111,23 +111,25 @@
     },
 }
 
+/// Parses an RFC 3339 time.
 fn time(text: &str) -> Result<Micros, String> {
     let at = humantime::parse_rfc3339(text).map_err(|e| e.to_string())?;
     let at = at.duration_since(UNIX_EPOCH).map_err(|e| e.to_string())?;
     Ok(at.as_micros() as Micros)
 }
 
+/// Parses a number of seconds.
 fn seconds(text: &str) -> Result<f64, String> {
     let seconds: f64 = text.parse().map_err(|_| format!("`{text}` is no number of seconds"))?;
-    let good = (0.1..=86_400.0).contains(&seconds);
-    if good {
+    let in_range = (0.1..=86_400.0).contains(&seconds);
+    if in_range {
         Ok(seconds)
     } else {
         Err(format!("{seconds} is not between 0.1 and 86400"))
     }
 }
 
-/// Does it.
+/// Runs a subcommand.
 pub fn run(task: Task) -> Result<(), Failed> {
     match task {
         Task::Check { file } => {
@@ -139,18 +141,18 @@
             let policy = load(&file)?;
             let within = (deadline * 1e6) as Micros;
             let proposed = Proposed { text: policy.text(), at: time.unwrap_or(0), within, despite: yes };
-            asking(at, move |keepers| propose(keepers, proposed, wait))
+            with_keepers(at, move |keepers| propose(keepers, proposed, wait))
         }
-        Task::Status { at } => asking(at, status),
-        Task::Abort { version, at } => asking(at, move |keepers| abort(keepers, version)),
-        Task::History { at, text } => asking(at, move |keepers| history(keepers, text)),
-        Task::DeclareGone { gateway, at } => asking(at, move |keepers| gone(keepers, gateway)),
-        Task::Keepers { numbers, at } => asking(at, move |keepers| change_keepers(keepers, numbers)),
+        Task::Status { at } => with_keepers(at, status),
+        Task::Abort { version, at } => with_keepers(at, move |keepers| abort(keepers, version)),
+        Task::History { at, text } => with_keepers(at, move |keepers| history(keepers, text)),
+        Task::DeclareGone { gateway, at } => with_keepers(at, move |keepers| declare_gone(keepers, gateway)),
+        Task::Keepers { numbers, at } => with_keepers(at, move |keepers| change_keepers(keepers, numbers)),
     }
 }
 
 fn load(file: &Path) -> Result<Policy, Failed> {
-    hingestage_form::load(file, read).map_err(Failed::Asked)
+    hingestage_form::load(file, read).map_err(Failed::InvalidInput)
 }
 
 fn check(policy: &Policy) {
@@ -169,31 +171,32 @@
     dangers.iter().for_each(|danger| say!("wants a word more: {danger}"));
     match dangers.len() {
         0 => Ok(()),
-        n => Err(Failed::Unheard(format!("{n} things want a word more"))),
+        n => Err(Failed::Inconclusive(format!("{n} things want a word more"))),
     }
 }
 
-/// Asks keepers of something, and ends as what came of it.
-fn asking<F>(at: At, what: impl FnOnce(Keepers) -> F + 'static) -> Result<(), Failed>
+/// Runs a command with a client of the keepers.
+fn with_keepers<F>(at: At, command: impl FnOnce(Keepers) -> F + 'static) -> Result<(), Failed>
 where
     F: std::future::Future<Output = Result<(), Failed>> + 'static,
 {
     let keepers: BTreeMap<u64, SocketAddr> = at.keepers.into_iter().collect();
     if keepers.is_empty() {
-        return Err(Failed::Asked("no keepers are named: --keepers or HINGESTAGE_KEEPERS".into()));
+        return Err(Failed::InvalidInput("no keepers are named: --keepers or HINGESTAGE_KEEPERS".into()));
     }
-    let keepers = Keepers::new(keepers, PATIENCE);
-    block_on(async move { Ok(what(keepers).await) }).map_err(Failed::Running)?
+    let keepers = Keepers::new(keepers, CALL_TIMEOUT);
+    block_on(async move { Ok(command(keepers).await) }).map_err(Failed::Running)?
 }
 
-fn failed(call: Call) -> Failed {
-    match call {
-        Call::Refused(why) => Failed::Running(why),
-        Call::Doubted(dangers) => {
+/// Converts an error of the client and prints what needs confirmation.
+fn failed(error: CallError) -> Failed {
+    match error {
+        CallError::Refused(why) => Failed::Running(why),
+        CallError::Doubted(dangers) => {
             dangers.lines().for_each(|danger| say!("wants a word more: {danger}"));
-            Failed::Unheard("say `--yes` where it is meant".into())
+            Failed::Inconclusive("say `--yes` where it is meant".into())
         }
-        Call::Unknown(why) => Failed::Unknown(format!("unknown: {why}")),
+        CallError::Unknown(why) => Failed::Unknown(format!("unknown: {why}")),
     }
 }
 
@@ -208,12 +211,12 @@
     if !wait {
         return Ok(());
     }
-    let (begun, mut last) = (tokio::time::Instant::now(), String::new());
-    let mut patience = within + WAITS;
-    while begun.elapsed() < patience {
+    let (started, mut last) = (tokio::time::Instant::now(), String::new());
+    let mut timeout = within + WAIT_MARGIN;
+    while started.elapsed() < timeout {
         let report = match report(&mut keepers).await {
             Ok(report) => report,
-            // Keepers may be choosing who leads.
+            // The keepers may be electing a leader.
             Err(Failed::Unknown(_)) => continue,
             Err(other) => return Err(other),
         };
@@ -224,8 +227,9 @@
         let line = match report.fate(version) {
             Some(Fate::CalledOff(why)) => return Err(Failed::CalledOff(format!("called off: {why}"))),
             Some(Fate::InForce(from)) => {
-                patience = patience
-                    .max(begun.elapsed() + Duration::from_micros(from.saturating_sub(report.now)) + WAITS);
+                timeout = timeout.max(
+                    started.elapsed() + Duration::from_micros(from.saturating_sub(report.now)) + WAIT_MARGIN,
+                );
                 format!("decided, in force from {}", date(from / 1_000_000))
             }
             None => progress(&report),
@@ -234,15 +238,15 @@
             say!("{line}");
             last = line;
         }
-        sleep(LOOK).await;
+        sleep(POLL_INTERVAL).await;
     }
     Err(Failed::Unknown("unknown: the keepers did not say in time".into()))
 }
 
-/// How far a proposal is, in a line.
+/// The progress of a proposal in one line.
 fn progress(report: &Report) -> String {
     let seconds = |span: Micros| span as f64 / 1e6;
-    let one = |name: &String| {
+    let describe = |name: &String| {
         let Some(stand) = report.gateways.get(name) else { return name.clone() };
         let silent = seconds(report.now.saturating_sub(stand.asked));
         match (stand.mode, stand.until.saturating_sub(report.now)) {
@@ -254,8 +258,8 @@
         }
     };
     let ready = report.gateways.values().filter(|stand| stand.ready).count();
-    let waits: Vec<String> = report.waits_for.iter().take(NAMED).map(one).collect();
-    let more = match report.waits_for.len().saturating_sub(NAMED) {
+    let waits: Vec<String> = report.waits_for.iter().take(NAMED_MAX).map(describe).collect();
+    let more = match report.waits_for.len().saturating_sub(NAMED_MAX) {
         0 => String::new(),
         n => format!(" and {n} more"),
     };
@@ -280,12 +284,12 @@
     for (name, stand) in &report.gateways {
         let mode = if stand.mode == Mode::Stop { "stop" } else { "serve" };
         let silent = report.now.saturating_sub(stand.asked) as f64 / 1e6;
-        let how = match (stand.over, stand.ready) {
+        let state = match (stand.over, stand.ready) {
             (true, _) => "its lease is over",
             (_, true) => "ready",
             _ => "serves",
         };
-        say!("  {name} ({mode}): {how}, asked {silent:.1} s ago");
+        say!("  {name} ({mode}): {state}, asked {silent:.1} s ago");
     }
     Ok(())
 }
@@ -319,7 +323,7 @@
     Ok(())
 }
 
-async fn gone(mut keepers: Keepers, gateway: String) -> Result<(), Failed> {
+async fn declare_gone(mut keepers: Keepers, gateway: String) -> Result<(), Failed> {
     let _: serde_json::Value = keepers.ask(Method::POST, "/gone", &gateway).await.map_err(failed)?;
     say!("gateway {gateway} is declared gone");
     Ok(())
--- a/src/sites.rs
+++ b/src/sites.rs
@@ -1,4 +1,4 @@
-//! `hingestage sites`: plans for the loss of a site, made ahead and told in words.
+//! `hingestage sites`: computes and prints plans for the loss of sites, and talks to the admin servers of gateways.
 
 use crate::Failed;
 use clap::{Subcommand, ValueEnum};
@@ -14,77 +14,79 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Below this a share is not worth a line.
-const SHARE: f64 = 5e-4;
+/// Smallest refused share that is printed.
+const PRINTED_SHARE_MIN: f64 = 5e-4;
 
-/// What is to be done with sites.
+/// Subcommands of `hingestage sites`.
 #[derive(Subcommand)]
 pub enum Task {
-    /// Checks a file of sites; a fault is named with its field and place, and ends with 2.
+    /// Checks a file of sites. Exits with 2 on an error, which names the field and its place.
     Check {
         /// The file; see `deploy/sites.example.lisp`.
         file: PathBuf,
     },
-    /// Tells for every loss of one site where its load goes, what is refused and what would help.
+    /// Shows for the loss of each site where its load goes, what is refused and what would help.
     Plan {
         /// The file.
         file: PathBuf,
-        /// Loads as many times as high.
-        #[arg(long, default_value_t = 1.0, value_parser = times)]
+        /// Factor applied to all loads.
+        #[arg(long, default_value_t = 1.0, value_parser = factor)]
         load: f64,
-        /// The loss of every two sites as well.
+        /// Includes the loss of every pair of sites.
         #[arg(long)]
         pairs: bool,
-        /// Writes a page with plots here: what is refused as load grows, for each loss.
+        /// Writes a page with plots of what is refused as load grows, for each loss.
         #[arg(long, value_name = "FILE")]
         page: Option<PathBuf>,
     },
-    /// Tells of one loss in full: each load, and from what load on it is refused, the first refused first.
+    /// Shows one loss in full: where each load goes, and from which total load on it is refused, in that order.
     WhatIf {
         /// The file.
         file: PathBuf,
-        /// The sites that are lost; none shows the day as it is.
+        /// The sites that are lost; without any, the plan of normal operation.
         #[arg(long, value_name = "SITE")]
         lose: Vec<String>,
-        /// Loads as many times as high.
-        #[arg(long, default_value_t = 1.0, value_parser = times)]
+        /// Factor applied to all loads.
+        #[arg(long, default_value_t = 1.0, value_parser = factor)]
         load: f64,
     },
-    /// Shows what gateways believe of each site, by their operators' addresses.
+    /// Shows the state of each site as seen by gateways.
     Show {
-        /// The operators' addresses.
+        /// Admin addresses of the gateways.
         #[arg(required = true, value_name = "ADDRESS")]
         gateways: Vec<SocketAddr>,
     },
-    /// Tells gateways what to take a site for; ends with 1 where one of them did not hear it.
+    /// Declares the state of a site to gateways. Exits with 1 if any of them could not be told.
     Declare {
         /// The site.
         site: String,
-        /// What it is to be taken for.
-        word: Word,
-        /// The operators' addresses.
+        /// The declared state.
+        #[arg(value_name = "WORD")]
+        state: DeclaredState,
+        /// Admin addresses of the gateways.
         #[arg(required = true, value_name = "ADDRESS")]
         gateways: Vec<SocketAddr>,
     },
 }
 
-/// What an operator says of a site.
+/// A state that an operator declares.
 #[derive(Clone, Copy, Debug, ValueEnum)]
-pub enum Word {
-    /// Nothing goes there, whatever answers.
+pub enum DeclaredState {
+    /// No load is sent there, even if workers answer.
     Lost,
-    /// All goes there, whatever fails; a return that is under way is hastened to its end.
+    /// Load is sent there, even if requests fail; ends a gradual return at once.
     Well,
-    /// A return goes no further than it is.
+    /// Stops a gradual return at its present share.
     Hold,
-    /// What was said is taken back: evidence alone counts.
+    /// Withdraws the declaration.
     Nothing,
 }
 
-/// A gateway that has not answered by then is not there.
-const ANSWERS: Duration = Duration::from_secs(3);
+/// Timeout for the response of a gateway.
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(3);
 
-fn times(text: &str) -> Result<f64, String> {
+/// Parses a load factor, optionally with a leading `x`.
+fn factor(text: &str) -> Result<f64, String> {
     let times: f64 = text.trim_start_matches('x').parse().map_err(|_| format!("`{text}` is no multiple"))?;
     if (0.01..=100.0).contains(&times) {
         Ok(times)
@@ -93,8 +95,8 @@
     }
 }
 
-/// The plans of a gateway's file, and the way to make them anew: on a thread of their own.
-pub fn planned(file: Sites, config: &Config) -> Result<SitePlans, String> {
+/// Computes the plans of a gateway's file; plans for other loads are computed on a separate thread.
+pub fn site_plans(file: Sites, config: &Config) -> Result<SitePlans, String> {
     let settings = &config.settings;
     let who = Who { number: settings.me, gateways: settings.instances, zone: settings.zone.0.clone() };
     let (plans, classes) = (config.names.plans.clone(), config.names.classes.clone());
@@ -111,9 +113,9 @@
     Ok(SitePlans { ahead, replan: Rc::new(replan) })
 }
 
-/// Does it.
+/// Runs a subcommand.
 pub fn run(task: Task) -> Result<(), Failed> {
-    let load = |file: &Path| hingestage_form::load(file, read).map_err(Failed::Asked);
+    let load = |file: &Path| hingestage_form::load(file, read).map_err(Failed::InvalidInput);
     match task {
         Task::Check { file } => {
             let sites = load(&file)?;
@@ -129,82 +131,85 @@
         }
         Task::WhatIf { file, lose, load: times } => {
             let sites = load(&file)?;
-            if let Some(strange) = lose.iter().find(|name| sites.site(name).is_none()) {
-                return Err(Failed::Asked(format!("there is no site `{strange}`")));
+            if let Some(unknown) = lose.iter().find(|name| sites.site(name).is_none()) {
+                return Err(Failed::InvalidInput(format!("there is no site `{unknown}`")));
             }
             what_if(&sites, &lose, times).map_err(Failed::Running)
         }
         Task::Show { gateways } => ask(&gateways, &Method::GET, "/sites"),
-        Task::Declare { site, word, gateways } => {
-            let word = word.to_possible_value().map_or(String::new(), |word| word.get_name().to_owned());
-            ask(&gateways, &Method::POST, &format!("/sites/{site}/{word}"))
+        Task::Declare { site, state, gateways } => {
+            let state = state.to_possible_value().map_or(String::new(), |state| state.get_name().to_owned());
+            ask(&gateways, &Method::POST, &format!("/sites/{site}/{state}"))
         }
     }
 }
 
-/// Asks each gateway the same, and says what it answers.
+/// Sends a request to each gateway and prints the responses.
 fn ask(gateways: &[SocketAddr], method: &Method, path: &str) -> Result<(), Failed> {
     let (all, method, path) = (gateways.to_vec(), method.clone(), path.to_owned());
-    let unheard = crate::block_on(async move {
-        let mut unheard = 0;
+    let failures = crate::block_on(async move {
+        let mut failures = 0;
         for at in all {
-            let mut way = Way::new(at);
-            let call = way.call(method.clone(), &path, Vec::new());
-            let answer = tokio::time::timeout(ANSWERS, call).await.map_err(|_| "no answer".to_owned());
-            let (heard, text) = match answer.and_then(|answer| answer) {
+            let mut connection = Way::new(at);
+            let call = connection.call(method.clone(), &path, Vec::new());
+            let answer =
+                tokio::time::timeout(RESPONSE_TIMEOUT, call).await.map_err(|_| "no answer".to_owned());
+            let (ok, text) = match answer.and_then(|answer| answer) {
                 Ok((status, body)) => (status == StatusCode::OK, String::from_utf8_lossy(&body).into_owned()),
                 Err(why) => (false, why),
             };
-            unheard += usize::from(!heard);
+            failures += usize::from(!ok);
             say!("{at}: {}", text.trim_end().replace('\n', &format!("\n{at}: ")));
         }
-        Ok(unheard)
+        Ok(failures)
     });
-    match unheard.map_err(Failed::Running)? {
+    match failures.map_err(Failed::Running)? {
         0 => Ok(()),
         some => Err(Failed::Running(format!("{some} of {} did not hear it", gateways.len()))),
     }
 }
 
+/// Prints the plans for all losses of one site, and of two if asked for.
 fn plan_all(sites: &Sites, times: f64, pairs: bool) -> Result<(), String> {
     let names: Vec<String> = sites.sites.iter().map(|site| site.name.clone()).collect();
     let mut losses: Vec<Vec<String>> = names.iter().map(|name| vec![name.clone()]).collect();
     if pairs {
-        let two = names
+        let pairs = names
             .iter()
             .enumerate()
             .flat_map(|(n, one)| names[n + 1..].iter().map(|two| vec![one.clone(), two.clone()]));
-        losses.extend(two);
+        losses.extend(pairs);
     }
     for lost in losses {
         let left = sites.without(&lost, times);
         let made = plan(&left)?;
         say!("losing `{}`: {}", lost.join("` and `"), summary(&left, &made));
         for (place, site) in left.sites.iter().enumerate().filter(|(_, site)| !lost.contains(&site.name)) {
-            say!("  `{}` is {:.0}% used{}", site.name, made.used[place] * 100.0, helps(&made, place));
+            say!("  `{}` is {:.0}% used{}", site.name, made.used[place] * 100.0, gain(&made, place));
         }
         say!(
             "  a fixed order would serve {:.1}% of the worth, this plan {:.1}%",
-            part(&made, worth(&left, &greedy(&left))) * 100.0,
-            part(&made, made.worth.0) * 100.0
+            worth_fraction(&made, worth(&left, &greedy(&left))) * 100.0,
+            worth_fraction(&made, made.worth.0) * 100.0
         );
     }
     Ok(())
 }
 
-/// A part of what is asked, in worth.
-fn part(made: &Plan, worth: f64) -> f64 {
+/// A worth as a fraction of the total worth that is asked for.
+fn worth_fraction(made: &Plan, worth: f64) -> f64 {
     worth / made.worth.1.max(f64::MIN_POSITIVE)
 }
 
-fn helps(made: &Plan, place: usize) -> String {
+/// What one more worker at a site would gain, in words.
+fn gain(made: &Plan, place: usize) -> String {
     match made.one_more[place] {
         more if more > 0.0 => format!("; one worker more there would serve {more:.1} of worth a second"),
         _ => String::new(),
     }
 }
 
-/// What is refused by plan and class, in a line.
+/// What is refused, by plan and class, in one line.
 fn summary(sites: &Sites, made: &Plan) -> String {
     let mut sums: Vec<(String, f64, f64)> = Vec::new();
     for part in &made.parts {
@@ -220,7 +225,7 @@
     }
     let parts: Vec<String> = sums
         .iter()
-        .filter(|(_, refused, asked)| *refused > SHARE * asked)
+        .filter(|(_, refused, asked)| *refused > PRINTED_SHARE_MIN * asked)
         .map(|(name, refused, asked)| format!("{:.0}% of {name}", refused / asked * 100.0))
         .collect();
     if parts.is_empty() {
@@ -230,10 +235,15 @@
     }
 }
 
+/// Prints the plan for one loss in full.
 fn what_if(sites: &Sites, lose: &[String], times: f64) -> Result<(), String> {
     let left = sites.without(lose, times);
     let made = plan(&left)?;
-    say!("{}; {:.1}% of the worth is served", summary(&left, &made), part(&made, made.worth.0) * 100.0);
+    say!(
+        "{}; {:.1}% of the worth is served",
+        summary(&left, &made),
+        worth_fraction(&made, made.worth.0) * 100.0
+    );
     say!(
         "{:<10} {:<10} {:<8} {:>8}  {:<32} {:>8}",
         "site",
@@ -261,7 +271,7 @@
         );
     }
     for (place, site) in left.sites.iter().enumerate().filter(|(_, site)| !lose.contains(&site.name)) {
-        say!("`{}` is {:.0}% used{}", site.name, made.used[place] * 100.0, helps(&made, place));
+        say!("`{}` is {:.0}% used{}", site.name, made.used[place] * 100.0, gain(&made, place));
     }
     say!("refused first, as load grows from this:");
     for refusal in Plan::refusals(&left)? {
--- a/src/srv.rs
+++ b/src/srv.rs
@@ -1,4 +1,4 @@
-//! `hingestage srv`: what would be believed of a name, and why, without a gateway.
+//! `hingestage srv`: follows the SRV records of a name and shows the accepted endpoints, without a gateway.
 
 use crate::{block_on, Failed};
 use hingestage_gateway::srv::{Follower, Hears};
@@ -10,31 +10,31 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// What to follow, and for how long.
+/// Arguments of `hingestage srv`.
 #[derive(clap::Args)]
 pub struct Args {
-    /// The name, as `_registry._tcp.sala.example.org`.
+    /// The name, such as `_registry._tcp.sala.example.org`.
     name: String,
-    /// Who is asked; several times for several.
+    /// DNS server; may be repeated.
     #[arg(long, required = true, value_name = "ADDR:PORT")]
     server: Vec<SocketAddr>,
-    /// Addresses outside of these are not believed; several times for several. Everywhere, where none is given.
+    /// Network outside of which addresses are not accepted; may be repeated. Defaults to all networks.
     #[arg(long, value_name = "ADDR/BITS")]
     network: Vec<Network>,
-    /// For how long it is followed.
+    /// How long to follow the name, in seconds.
     #[arg(long, default_value_t = 2, value_parser = clap::value_parser!(u64).range(1..=86_400))]
     seconds: u64,
 }
 
-/// Prints each change of what is believed.
-struct Print {
-    /// Whether anything ever was.
-    believed: Rc<Cell<bool>>,
+/// Prints each change of the accepted endpoints.
+struct PrintSink {
+    /// Set once any endpoints were accepted.
+    accepted: Rc<Cell<bool>>,
 }
 
-impl Hears for Print {
+impl Hears for PrintSink {
     fn believe(&self, endpoints: &[Endpoint]) {
-        self.believed.set(true);
+        self.accepted.set(true);
         say!("believed: {} workers", endpoints.len());
         for Endpoint { at, priority, size, .. } in endpoints {
             say!("  {at} priority {priority} size {size:.2}");
@@ -46,25 +46,25 @@
     }
 }
 
-/// Follows the name and prints.
+/// Follows the name and prints changes.
 pub fn run(args: Args) -> Result<(), Failed> {
-    let settings = SrvSettings::new(&args.name, args.server).map_err(Failed::Asked)?;
+    let settings = SrvSettings::new(&args.name, args.server).map_err(Failed::InvalidInput)?;
     let networks = if args.network.is_empty() { settings.networks.clone() } else { args.network };
     let settings = SrvSettings { networks, ..settings };
     let seconds = args.seconds;
-    let believed = Rc::new(Cell::new(false));
-    let print = Print { believed: believed.clone() };
+    let accepted = Rc::new(Cell::new(false));
+    let sink = PrintSink { accepted: accepted.clone() };
     block_on(async move {
         let seed = Tokio.unix_time().as_nanos() as u64;
-        let follower = Follower::start(Tokio, settings, seed, Box::new(print));
+        let follower = Follower::start(Tokio, settings, seed, Box::new(sink));
         Tokio.sleep(Duration::from_secs(seconds)).await;
         put!("{}", follower.explain());
         Ok(())
     })
     .map_err(Failed::Running)?;
-    if believed.get() {
+    if accepted.get() {
         Ok(())
     } else {
-        Err(Failed::Unheard("nothing is believed of the name".into()))
+        Err(Failed::Inconclusive("nothing is believed of the name".into()))
     }
 }
