--- a/crates/control-sim/src/judge.rs
+++ b/crates/control-sim/src/judge.rs
@@ -250,7 +250,7 @@
         if held < newest {
             return Err(format!("{name} has {held:?}; {newest:?} was acknowledged"));
         }
-        if core.replica.recovering() {
+        if core.replica.is_recovering() {
             return Err(format!("{name} never speaks again"));
         }
         for (zone, orders) in &self.drains {
@@ -288,7 +288,7 @@
             return Err(format!(
                 "{name} has the workers {held:?} up to {:?} (told of {:?}, complete: {}), the platform {:?}",
                 followed.catalog().version(),
-                followed.told_version(),
+                followed.announced_version(),
                 followed.is_complete(),
                 platform.truth()
             ));
--- a/crates/proxy/src/admission.rs
+++ b/crates/proxy/src/admission.rs
@@ -4,11 +4,11 @@
 use crate::server::Proxy;
 use compact_str::CompactString;
 use hingestage_configuration::Tenant;
-use hingestage_quota::{Admission, Part, RefusalReason, TenantLimits};
+use hingestage_quota::{Admission, EvenShare, RefusalReason, TenantLimits};
 use hingestage_replication::Micros;
 use hingestage_rpc::status::RequestOutcome;
 use hingestage_rpc::trials::TrialView;
-use hingestage_trial::{Judgement, Phase, RequestClass, Standing};
+use hingestage_trial::{ActiveStep, Phase, RequestClass, TrialDecision};
 use hyper::StatusCode;
 use std::cell::Cell;
 use std::rc::Rc;
@@ -49,7 +49,7 @@
 impl Drop for Admitted {
     fn drop(&mut self) {
         if !self.tenant.is_empty() {
-            self.proxy.tenants.borrow_mut().ended(self.proxy.now(), &self.tenant, self.ran);
+            self.proxy.tenants.borrow_mut().record_end(self.proxy.now(), &self.tenant, self.ran);
         }
     }
 }
@@ -174,7 +174,7 @@
     }
 
     /// Takes a token from the tenant's bucket, plus `lent` tokens of other proxies.
-    fn take_token(&self, tenant: &Tenant, limits: TenantLimits, part: Part, lent: f64) -> Admission {
+    fn take_token(&self, tenant: &Tenant, limits: TenantLimits, part: EvenShare, lent: f64) -> Admission {
         let spread = fastrand::u64(..);
         self.tenants.borrow_mut().admit_with(self.now(), &tenant.name, limits, part, spread, lent)
     }
@@ -184,24 +184,24 @@
         &self,
         tenant: &Tenant,
         routed: &RoutedRequest,
-        part: Part,
+        part: EvenShare,
         leaves_reserve: bool,
     ) -> Result<RequestLimits, Decision> {
         let quota = self.quota_of(tenant, part);
         let open_cap = open_cap(tenant, routed.route.timeout);
         match self.view.borrow_mut().evaluate_trial(self.now(), &tenant.name) {
-            Judgement::NoTrial => {
+            TrialDecision::NoTrial => {
                 let limits = TenantLimits { open_cap, ..quota };
                 Ok(RequestLimits { limits, class: None, slowed: false })
             }
-            Judgement::Unknown(wait) => {
+            TrialDecision::Unknown(wait) => {
                 let message = "the tenant's trial can't be judged for now";
                 let unknown =
                     Refusal::new(StatusCode::SERVICE_UNAVAILABLE, message, RequestOutcome::TrialUnknown);
                 let refusal = unknown.retry_after(RETRY_OTHER_PROXY.max(Duration::from_micros(wait)));
                 Err(Decision { class: Some(RequestClass::Ordinary), refusal: Some(refusal) })
             }
-            Judgement::Trial(standing) => {
+            TrialDecision::Trial(standing) => {
                 let class = standing.terms.class_of(&routed.route.name, routed.route.kind.as_str());
                 let slowed = standing.level.phase != Phase::Full;
                 match under_trial(&standing, quota, class, leaves_reserve) {
@@ -219,27 +219,27 @@
     pub(crate) fn trial_view(&self, tenant: &str) -> Option<TrialView> {
         let now = self.now();
         let mut view = self.view.borrow_mut();
-        let newest = view.trials().newest(tenant)?;
+        let newest = view.trials().newest_position(tenant)?;
         let lease_left = view.trials().lease_left(now) / MILLI;
         let in_effect = match view.evaluate_trial(now, tenant) {
-            Judgement::Trial(standing) => Some(standing.position),
-            Judgement::NoTrial | Judgement::Unknown(_) => None,
+            TrialDecision::Trial(standing) => Some(standing.position),
+            TrialDecision::NoTrial | TrialDecision::Unknown(_) => None,
         };
         Some(TrialView { in_effect, newest: Some(newest), lease_left, counts: self.trial_counts.of(tenant) })
     }
 
     /// Limits within which a tenant's tokens may be lent to other proxies; `None` if nothing may be lent.
-    pub(crate) fn lending_limits(&self, tenant: &Tenant, part: Part) -> Option<TenantLimits> {
+    pub(crate) fn lending_limits(&self, tenant: &Tenant, part: EvenShare) -> Option<TenantLimits> {
         let quota = self.quota_of(tenant, part);
         match self.view.borrow_mut().evaluate_trial(self.now(), &tenant.name) {
-            Judgement::NoTrial => Some(quota),
-            Judgement::Unknown(_) => None,
-            Judgement::Trial(standing) => under_trial(&standing, quota, RequestClass::RefusedLast, false),
+            TrialDecision::NoTrial => Some(quota),
+            TrialDecision::Unknown(_) => None,
+            TrialDecision::Trial(standing) => under_trial(&standing, quota, RequestClass::RefusedLast, false),
         }
     }
 
     /// A tenant's quota over all proxies, from the configuration.
-    fn quota_of(&self, tenant: &Tenant, part: Part) -> TenantLimits {
+    fn quota_of(&self, tenant: &Tenant, part: EvenShare) -> TenantLimits {
         let bounds = &self.settings.bounds;
         let window = bounds.quota_window.as_secs_f64();
         let excess = bounds.quota_excess * (tenant.rate_per_s * window + tenant.burst) + bounds.quota_slack;
@@ -259,7 +259,7 @@
 /// Reduces a quota to what a trial's step leaves for a class of requests; `None` if it leaves nothing. All classes use
 /// one bucket, sized for the class that is refused last; the other classes leave a reserve in it.
 fn under_trial(
-    standing: &Standing,
+    standing: &ActiveStep,
     quota: TenantLimits,
     class: RequestClass,
     leaves_reserve: bool,
--- a/crates/proxy/src/server.rs
+++ b/crates/proxy/src/server.rs
@@ -210,7 +210,7 @@
             cold_margin: micros(COLD_MARGIN),
             key_lease,
             share_lease: micros(SHARE_LEASE),
-            trials: hingestage_trial::Spans::default(),
+            trials: hingestage_trial::TrialTiming::default(),
         };
         let started = Instant::now();
         let incarnation = incarnation();
@@ -327,7 +327,7 @@
 
     /// Applies updates of worker lists.
     pub(crate) fn apply_services(&self, updates: Vec<ServiceUpdate>) {
-        let changed = self.view.borrow_mut().followed_mut().take(self.now(), updates);
+        let changed = self.view.borrow_mut().followed_mut().apply_updates(self.now(), updates);
         if changed.is_empty() {
             return;
         }
@@ -348,7 +348,7 @@
         if part.valid_until > 0 {
             self.services.set_proxy_count(part.gateways);
         }
-        self.tenants.borrow_mut().observe_part(self.now(), part);
+        self.tenants.borrow_mut().observe_share(self.now(), part);
     }
 
     /// Updates worker lists whenever workers become usable by the passing of time.
--- a/crates/proxy/src/view.rs
+++ b/crates/proxy/src/view.rs
@@ -2,13 +2,13 @@
 
 use compact_str::CompactString;
 use hingestage_configuration::{Configuration, KeyTable, RouteTable};
-use hingestage_discovery::{Follower, Listed};
-use hingestage_quota::Part;
+use hingestage_discovery::{Follower, ListedWorker};
+use hingestage_quota::EvenShare;
 use hingestage_replication::{Freshness, Micros};
 use hingestage_rpc::messages::{ConfigDocument, ConfigVersion, Have, ProxyStatus, ZoneDrains};
 use hingestage_rpc::trials::{TrialNews, TrialRevision};
 use hingestage_rpc::workers::{WorkerRecord, WorkersVersion};
-use hingestage_trial::{Judgement, TrialBook};
+use hingestage_trial::{TrialDecision, TrialTracker};
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
@@ -28,7 +28,7 @@
     /// Maximum age of the registries' data with which a share of a global limit may be used.
     pub share_lease: Micros,
     /// Time settings of trials.
-    pub trials: hingestage_trial::Spans,
+    pub trials: hingestage_trial::TrialTiming,
 }
 
 /// The active configuration with its lookup tables.
@@ -67,7 +67,7 @@
     members: u32,
     settled: bool,
     peers: Vec<ProxyStatus>,
-    trials: TrialBook,
+    trials: TrialTracker,
 }
 
 impl View {
@@ -83,7 +83,7 @@
             members: 0,
             settled: false,
             peers: Vec::new(),
-            trials: TrialBook::new(settings.trials),
+            trials: TrialTracker::new(settings.trials),
         }
     }
 
@@ -117,7 +117,7 @@
         Have {
             config: self.config_version(),
             drains: self.drains.clone(),
-            workers: self.workers.told_version(),
+            workers: self.workers.announced_version(),
             workers_seen: self.workers.seen_version(),
             directory: 0,
             trials: TrialRevision::default(),
@@ -167,26 +167,26 @@
 
     /// Applies trial updates from a registry's answer that was received at `received_at`.
     pub fn apply_trials(&mut self, received_at: Micros, updates: Vec<TrialNews>) {
-        self.trials.take(received_at, updates);
+        self.trials.apply_updates(received_at, updates);
     }
 
     /// Returns the trial state that applies to a request of a tenant that starts now.
-    pub fn evaluate_trial(&mut self, now: Micros, tenant: &str) -> Judgement {
-        self.trials.judge(now, tenant)
+    pub fn evaluate_trial(&mut self, now: Micros, tenant: &str) -> TrialDecision {
+        self.trials.decide(now, tenant)
     }
 
     /// All known trials.
-    pub fn trials(&self) -> &TrialBook {
+    pub fn trials(&self) -> &TrialTracker {
         &self.trials
     }
 
     /// Records how fresh an answer is: requested at `asked_at`, with data `age` milliseconds old when it was sent. It
     /// counts only if the answer's configuration is active here. Apply the answer's trials first.
     pub fn apply_freshness(&mut self, asked_at: Micros, age: Option<u64>, config: Option<ConfigVersion>) {
-        self.trials.take_freshness(asked_at, age);
+        self.trials.observe_freshness(asked_at, age);
         let up_to_date = self.config_version() >= config;
         if let Some(age) = age.filter(|_| up_to_date) {
-            self.freshness.note(asked_at, age * MILLI);
+            self.freshness.observe(asked_at, age * MILLI);
         }
     }
 
@@ -207,7 +207,7 @@
         workers.map(move |listed| (&listed.record, self.usability(now, listed)))
     }
 
-    fn usability(&self, now: Micros, listed: &Listed) -> Usability {
+    fn usability(&self, now: Micros, listed: &ListedWorker) -> Usability {
         let worker = &listed.record;
         let drained = self.drains.get(&worker.zone).is_some_and(|drain| drain.drained);
         let drain_ended = self.drain_ended_at.get(&worker.zone);
@@ -229,13 +229,13 @@
         returns.chain(warm).filter(|at| *at > now).min()
     }
 
-    fn cold_until(&self, listed: &Listed) -> Option<Micros> {
+    fn cold_until(&self, listed: &ListedWorker) -> Option<Micros> {
         listed.cold_until.map(|until| until + self.settings.cold_margin)
     }
 
     /// Whether a worker is listed for a service.
     pub fn is_listed(&self, service: &str, id: &str) -> bool {
-        self.workers.catalog().service(service).is_some_and(|list| list.lists(id))
+        self.workers.catalog().service(service).is_some_and(|list| list.contains(id))
     }
 
     /// Whether API keys may be accepted: the view is fresh enough to include all revocations that must be in effect.
@@ -246,7 +246,7 @@
     /// When API keys expire without a fresh answer; `None` for no limit.
     pub fn keys_valid_until(&self) -> Option<Micros> {
         let lease = self.settings.key_lease?;
-        Some(self.freshness.lease_until(lease))
+        Some(self.freshness.lease_expires_at(lease))
     }
 
     /// Latest time at which no newer configuration than the active one had been acknowledged.
@@ -265,10 +265,10 @@
     }
 
     /// This proxy's share of global limits, and until when it may be used.
-    pub fn limit_share(&self) -> Part {
+    pub fn limit_share(&self) -> EvenShare {
         let valid = self.settled && self.members > 0;
-        let valid_until = if valid { self.freshness.lease_until(self.settings.share_lease) } else { 0 };
-        Part { gateways: self.members.max(1), valid_until }
+        let valid_until = if valid { self.freshness.lease_expires_at(self.settings.share_lease) } else { 0 };
+        EvenShare { gateways: self.members.max(1), valid_until }
     }
 
     /// Number of proxies that share global limits; `None` while this one has no valid share.
--- a/crates/turns/tests/common/mod.rs
+++ b/crates/turns/tests/common/mod.rs
@@ -7,7 +7,7 @@
 use fastrand::Rng;
 use hingestage_fleet::roll::Roll;
 use hingestage_policy::*;
-use hingestage_shares::{Figures, Lease, Voter};
+use hingestage_shares::{Lease, LeaseConfig, Voter};
 use hingestage_turns::desk::{Desk, Do, Found};
 use hingestage_turns::post::{Ending, Post, Route, Word};
 use hingestage_turns::word::{Said, Told};
@@ -113,7 +113,7 @@
     desk: Desk<Asker>,
     roll: Roll,
     lease: Lease,
-    view: Option<View>,
+    view: Option<LeaseView>,
 }
 
 /// For whom the counter is called.
@@ -193,14 +193,14 @@
 
 fn settings(scene: &Scene, me: u32) -> Settings {
     let (rate, burst) = scene.quota;
-    let usual = Plan { rate, burst, over_cost: 1.0, ..Plan::default() };
+    let usual = Plan { rate, burst, over_quota_cost: 1.0, ..Plan::default() };
     let ceiling = Plan {
         ceiling_rate: CEILING.0 * rate,
         ceiling_burst: CEILING.1 * burst,
         ceiling_slack: CEILING.2,
         // Beyond the quota it earns all: the ceiling alone holds it.
-        over_earns: 1.0,
-        over_cost: 0.0,
+        over_quota_value: 1.0,
+        over_quota_cost: 0.0,
         ..usual.clone()
     };
     Settings {
@@ -209,7 +209,7 @@
         resolution: MS,
         counter: true,
         counter_timeout: WAIT,
-        most_units: 4.0,
+        max_units: 4.0,
         classes: vec![Class {
             aim: 500 * MS,
             deadline: 2 * S,
@@ -222,14 +222,14 @@
             second_copies: false,
             cancel: false,
             max_retry_after: S,
-            retries_saved: 0.0,
+            max_retry_budget: 0.0,
             refusals_promise: false,
         },
-        rules: RuleFigures {
-            cold_from: WARMS.0,
-            cold_for: WARMS.1,
-            fall_multiple: FALLS.0,
-            fall_after: FALLS.1,
+        rules: WarmUpRules {
+            initial_capacity: WARMS.0,
+            warm_up_time: WARMS.1,
+            overload_multiple: FALLS.0,
+            overload_window: FALLS.1,
         },
         ..Settings::default()
     }
@@ -301,21 +301,21 @@
         let n = self.scene.gateways;
         let roll = Roll::new(me, n, self.now);
         let scale = roll.slot() / S;
-        let figures = Figures {
+        let config = LeaseConfig {
             gateways: n,
             counter_votes: n - 1,
             lease: 18 * S / 10 * scale,
-            absent: 2 * S * scale,
-            settles: 2 * S * scale,
-            kept: 0.5,
+            absence_timeout: 2 * S * scale,
+            warm_up: 2 * S * scale,
+            reserved_fraction: 0.5,
         };
-        let (desk, lease) = (Desk::new(n, WAIT), Lease::new(me, figures));
+        let (desk, lease) = (Desk::new(n, WAIT), Lease::new(me, config));
         Gateway { keeper, life, up: true, post, desk, roll, lease, view: None }
     }
 
     fn listed(&self, id: u64) -> WorkerInfo {
         let started = self.cold.get(&id).map(|cold| cold.started);
-        WorkerInfo { started, mark: fnv(&id.to_le_bytes()), ..WorkerInfo::ready(WorkerId(id)) }
+        WorkerInfo { started, hash: fnv(&id.to_le_bytes()), ..WorkerInfo::ready(WorkerId(id)) }
     }
 
     /// A worker starts anew, and all that live are told at once.
@@ -342,7 +342,7 @@
         let mut view = self.gateways[by].lease.view(self.now, &unheard);
         if self.scene.own_views {
             let absent = unheard.into_iter().filter(|g| *g != by as u32).collect();
-            view = View { absent, ..view };
+            view = LeaseView { absent, ..view };
         }
         if self.gateways[by].view.replace(view.clone()) != Some(view.clone()) {
             self.feed(by, Event::Fleet(view));
@@ -645,7 +645,7 @@
             For::Roll => {
                 let gateway = &mut self.gateways[by];
                 if let Some(found) = gateway.roll.answered(&name, total.map(f64::from_bits)) {
-                    gateway.lease.confirmed(self.now, Voter::Counter, found.issued, found.absent);
+                    gateway.lease.record_ack(self.now, Voter::Counter, found.issued, found.absent);
                 }
                 return;
             }
