--- a/crates/fleet/src/table.rs
+++ b/crates/fleet/src/gossip.rs
@@ -13,7 +13,7 @@
 /// 50 messages per second and reaches every peer once in 1.3 s.
 pub const GATEWAYS_MAX: u32 = 64;
 /// The longest message in bytes: a line of 60 for each gateway, and the head.
-pub const MESSAGE_MAX: usize = 60 * (GATEWAYS_MAX as usize + 1);
+pub const MESSAGE_BYTES_MAX: usize = 60 * (GATEWAYS_MAX as usize + 1);
 
 /// Beats from here on are goodbyes, the last messages of an incarnation, which holds no part any more. The lower bits
 /// are the last slot of the roll call that it may have marked. Versions without goodbyes read them as newer beats.
@@ -23,11 +23,11 @@
 
 /// Liveness of a gateway as seen by another.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Standing {
+pub enum Liveness {
     /// A recent heartbeat is known.
     Alive,
     /// No heartbeat for half of the time after which it is gone, or its clients have moved here.
-    Doubtful,
+    Suspect,
     /// No heartbeat for long, or ever; or it said goodbye.
     Gone,
 }
@@ -35,7 +35,7 @@
 /// The newest heartbeat of a gateway.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct Heard {
-    life: u64,
+    incarnation: u64,
     beat: u64,
     /// When it was first received here, directly or through another gateway.
     at: Micros,
@@ -49,7 +49,7 @@
     /// Number of the sender.
     pub from: u32,
     /// Incarnation of the sender.
-    pub life: u64,
+    pub incarnation: u64,
     /// Heartbeat of the sender.
     pub beat: u64,
     /// Heartbeats that the sender knows: number, incarnation, beat.
@@ -63,11 +63,11 @@
 
 impl Message {
     /// Encodes the message.
-    pub fn text(&self) -> String {
-        let mut text = format!("{FORMAT} {} {} {}\n", self.from, self.life, self.beat);
-        for (number, life, beat) in &self.known {
+    pub fn encode(&self) -> String {
+        let mut text = format!("{FORMAT} {} {} {}\n", self.from, self.incarnation, self.beat);
+        for (number, incarnation, beat) in &self.known {
             let state = if self.absent.contains(number) { "absent" } else { "heard" };
-            let _ = writeln!(text, "{number} {life} {beat} {state}");
+            let _ = writeln!(text, "{number} {incarnation} {beat} {state}");
         }
         for number in self.absent.iter().filter(|n| !self.known.iter().any(|(known, ..)| known == *n)) {
             let _ = writeln!(text, "{number} 0 0 absent");
@@ -79,32 +79,34 @@
     ///
     /// # Errors
     /// The fault in the text.
-    pub fn read(text: &str) -> Result<Message, String> {
-        if text.len() > MESSAGE_MAX {
+    pub fn decode(text: &str) -> Result<Message, String> {
+        if text.len() > MESSAGE_BYTES_MAX {
             return Err("too long".into());
         }
         let mut lines = text.lines();
         let head: Vec<&str> = lines.next().unwrap_or_default().split(' ').collect();
-        let [format, from, life, beat] = head[..] else { return Err("no head".into()) };
+        let [format, from, incarnation, beat] = head[..] else { return Err("no head".into()) };
         if format != FORMAT {
             return Err(format!("not of the form {FORMAT}"));
         }
         let mut message = Message {
             from: parse_gateway(from)?,
-            life: parse_number(life)?,
+            incarnation: parse_number(incarnation)?,
             beat: parse_number(beat)?,
             known: Vec::new(),
             absent: BTreeSet::new(),
         };
         for line in lines {
             let words: Vec<&str> = line.split(' ').collect();
-            let [of, life, beat, state] = words[..] else { return Err("a line without four words".into()) };
+            let [of, incarnation, beat, state] = words[..] else {
+                return Err("a line without four words".into());
+            };
             let of = parse_gateway(of)?;
             if state == "absent" {
                 message.absent.insert(of);
             }
-            if (life, beat) != ("0", "0") {
-                message.known.push((of, parse_number(life)?, parse_number(beat)?));
+            if (incarnation, beat) != ("0", "0") {
+                message.known.push((of, parse_number(incarnation)?, parse_number(beat)?));
             }
         }
         Ok(message)
@@ -121,9 +123,9 @@
 }
 
 /// The heartbeats that one gateway knows, at most one for each gateway of the fleet.
-pub struct Table {
+pub struct GossipTable {
     me: u32,
-    life: u64,
+    incarnation: u64,
     beat: u64,
     gateways: u32,
     gone_after: Micros,
@@ -136,25 +138,32 @@
     superseded: bool,
 }
 
-impl Table {
-    /// Creates the table of a new incarnation. `life` must exceed that of all earlier ones, as the start time does.
-    pub fn new(me: u32, life: u64, gateways: u32, gone_after: Micros) -> Table {
+impl GossipTable {
+    /// Creates a table; `incarnation` must exceed that of all earlier processes, as the start time does.
+    pub fn new(me: u32, incarnation: u64, gateways: u32, gone_after: Micros) -> GossipTable {
         let (heard, gateways) = (BTreeMap::new(), gateways.min(GATEWAYS_MAX));
         let (left, superseded) = (false, false);
-        Table { me, life, beat: 0, gateways, gone_after, heard, left, turn: me, superseded }
+        GossipTable { me, incarnation, beat: 0, gateways, gone_after, heard, left, turn: me, superseded }
     }
 
     /// The next message to send, with a new beat in each call.
-    pub fn word(&mut self, now: Micros) -> Message {
+    pub fn next_message(&mut self, now: Micros) -> Message {
         self.beat += u64::from(!self.left);
-        let known = self.heard.iter().map(|(number, heard)| (*number, heard.life, heard.beat)).collect();
-        Message { from: self.me, life: self.life, beat: self.beat, known, absent: self.absent(now) }
+        let known =
+            self.heard.iter().map(|(number, heard)| (*number, heard.incarnation, heard.beat)).collect();
+        Message {
+            from: self.me,
+            incarnation: self.incarnation,
+            beat: self.beat,
+            known,
+            absent: self.absent(now),
+        }
     }
 
     /// Makes all further messages goodbyes: this incarnation holds no part any more, and others may list it as absent
     /// at once. It still answers, and its vote counts until it ends. `last_slot` is the last slot of the roll call that
     /// it may have marked, if it takes part in one.
-    pub fn goodbye(&mut self, last_slot: Option<u64>) {
+    pub fn leave(&mut self, last_slot: Option<u64>) {
         if !self.left {
             self.beat = last_slot.map_or(NO_SLOT, |slot| GOODBYE | slot);
             self.left = true;
@@ -168,24 +177,28 @@
     }
 
     /// Merges a message into the table; false if its sender does not belong to this fleet.
-    pub fn take(&mut self, now: Micros, message: &Message) -> bool {
+    pub fn apply(&mut self, now: Micros, message: &Message) -> bool {
         if message.from >= self.gateways {
             return false;
         }
-        self.record(now, message.from, message.life, message.beat);
-        message.known.iter().for_each(|(number, life, beat)| self.record(now, *number, *life, *beat));
+        self.record(now, message.from, message.incarnation, message.beat);
+        message
+            .known
+            .iter()
+            .for_each(|(number, incarnation, beat)| self.record(now, *number, *incarnation, *beat));
         true
     }
 
-    fn record(&mut self, now: Micros, number: u32, life: u64, beat: u64) {
+    fn record(&mut self, now: Micros, number: u32, incarnation: u64, beat: u64) {
         if number == self.me {
             // Own heartbeats come back; one of a later incarnation means that two processes share the number.
-            self.superseded |= life > self.life;
+            self.superseded |= incarnation > self.incarnation;
             return;
         }
-        let newer = self.heard.get(&number).is_none_or(|known| (known.life, known.beat) < (life, beat));
+        let newer =
+            self.heard.get(&number).is_none_or(|known| (known.incarnation, known.beat) < (incarnation, beat));
         if newer && number < self.gateways {
-            self.heard.insert(number, Heard { life, beat, at: now, suspected: false });
+            self.heard.insert(number, Heard { incarnation, beat, at: now, suspected: false });
         }
     }
 
@@ -196,7 +209,7 @@
 
     /// Clients of the set of `spread` gateways from `first` on have come here. Unless this gateway belongs to the set,
     /// its gateways are suspected until a new heartbeat of them arrives.
-    pub fn clients_moved(&mut self, first: u32, spread: u32) {
+    pub fn suspect_set(&mut self, first: u32, spread: u32) {
         let all = self.gateways.max(1);
         let of_set: Vec<u32> = (0..spread.min(all)).map(|n| (first + n) % all).collect();
         if of_set.contains(&self.me) {
@@ -208,36 +221,36 @@
     }
 
     /// Liveness of a gateway.
-    pub fn standing(&self, now: Micros, number: u32) -> Standing {
+    pub fn liveness(&self, now: Micros, number: u32) -> Liveness {
         if number == self.me {
-            return Standing::Alive;
+            return Liveness::Alive;
         }
-        let Some(heard) = self.heard.get(&number) else { return Standing::Gone };
+        let Some(heard) = self.heard.get(&number) else { return Liveness::Gone };
         match now.saturating_sub(heard.at) {
-            _ if heard.beat >= GOODBYE => Standing::Gone,
-            age if age >= self.gone_after => Standing::Gone,
-            age if heard.suspected || age * 2 >= self.gone_after => Standing::Doubtful,
-            _ => Standing::Alive,
+            _ if heard.beat >= GOODBYE => Liveness::Gone,
+            age if age >= self.gone_after => Liveness::Gone,
+            age if heard.suspected || age * 2 >= self.gone_after => Liveness::Suspect,
+            _ => Liveness::Alive,
         }
     }
 
     /// All gateways that are gone.
     pub fn absent(&self, now: Micros) -> BTreeSet<u32> {
-        (0..self.gateways).filter(|n| self.standing(now, *n) == Standing::Gone).collect()
+        (0..self.gateways).filter(|n| self.liveness(now, *n) == Liveness::Gone).collect()
     }
 
     /// The peer to ask next: suspected ones first, otherwise round robin. `None` if there is no other gateway.
-    pub fn next(&mut self, now: Micros) -> Option<u32> {
+    pub fn next_peer(&mut self, now: Micros) -> Option<u32> {
         let others = (1..=self.gateways).map(|n| (self.turn + n) % self.gateways);
         let others: Vec<u32> = others.filter(|n| *n != self.me).collect();
-        let doubtful = others.iter().find(|n| {
+        let suspect = others.iter().find(|n| {
             let suspected = self.heard.get(n).is_some_and(|heard| heard.suspected);
-            suspected && self.standing(now, **n) == Standing::Doubtful
+            suspected && self.liveness(now, **n) == Liveness::Suspect
         });
-        if let Some(doubtful) = doubtful.copied() {
+        if let Some(suspect) = suspect.copied() {
             // Asked once per suspicion, whether or not it answers.
-            self.heard.entry(doubtful).and_modify(|heard| heard.suspected = false);
-            return Some(doubtful);
+            self.heard.entry(suspect).and_modify(|heard| heard.suspected = false);
+            return Some(suspect);
         }
         self.turn = *others.first()?;
         Some(self.turn)
@@ -250,8 +263,8 @@
 
     const SECOND: Micros = 1_000_000;
 
-    fn table(me: u32) -> Table {
-        Table::new(me, 100 + u64::from(me), 4, 3 * SECOND)
+    fn table(me: u32) -> GossipTable {
+        GossipTable::new(me, 100 + u64::from(me), 4, 3 * SECOND)
     }
 
     #[test]
@@ -259,8 +272,8 @@
         let mut one = table(1);
         one.record(SECOND, 2, 9, 4);
         one.record(SECOND, 3, 9, 4);
-        let message = one.word(3 * SECOND);
-        assert_eq!(Message::read(&message.text()), Ok(message.clone()));
+        let message = one.next_message(3 * SECOND);
+        assert_eq!(Message::decode(&message.encode()), Ok(message.clone()));
         assert_eq!((message.absent, message.known.len()), ([0].into(), 2));
     }
 
@@ -275,53 +288,53 @@
             ("fleet-1 1 1 1\n2 3\n", "four words"),
             ("fleet-1 1 1 1\n2 3 99999999999999999999 heard\n", "no number"),
         ] {
-            let error = Message::read(text).unwrap_err();
+            let error = Message::decode(text).unwrap_err();
             assert!(error.contains(wanted), "{text}: {error}");
         }
-        assert!(Message::read(&"x".repeat(MESSAGE_MAX + 1)).is_err());
-        let beyond = Message { from: 9, life: 1, beat: 1, known: vec![], absent: BTreeSet::new() };
-        assert!(!table(0).take(0, &beyond));
+        assert!(Message::decode(&"x".repeat(MESSAGE_BYTES_MAX + 1)).is_err());
+        let beyond = Message { from: 9, incarnation: 1, beat: 1, known: vec![], absent: BTreeSet::new() };
+        assert!(!table(0).apply(0, &beyond));
     }
 
     #[test]
     fn heartbeats_arrive_through_other_gateways_and_old_ones_do_not_count() {
         let (mut a, mut b, mut c) = (table(0), table(1), table(2));
-        b.take(SECOND, &c.word(SECOND));
-        a.take(2 * SECOND, &b.word(2 * SECOND));
-        assert_eq!(a.standing(4 * SECOND, 2), Standing::Doubtful);
-        a.take(4 * SECOND, &b.word(4 * SECOND));
-        assert_eq!(a.standing(5 * SECOND, 2), Standing::Gone, "a repeated beat does not count");
-        assert_eq!(a.standing(5 * SECOND, 1), Standing::Alive);
+        b.apply(SECOND, &c.next_message(SECOND));
+        a.apply(2 * SECOND, &b.next_message(2 * SECOND));
+        assert_eq!(a.liveness(4 * SECOND, 2), Liveness::Suspect);
+        a.apply(4 * SECOND, &b.next_message(4 * SECOND));
+        assert_eq!(a.liveness(5 * SECOND, 2), Liveness::Gone, "a repeated beat does not count");
+        assert_eq!(a.liveness(5 * SECOND, 1), Liveness::Alive);
         assert_eq!(a.absent(5 * SECOND), [2, 3].into());
     }
 
     #[test]
     fn goodbye_makes_a_gateway_gone_at_once_until_its_next_incarnation() {
         let (mut a, mut b, mut c) = (table(0), table(1), table(2));
-        a.take(SECOND, &c.word(SECOND));
-        assert_eq!(a.standing(SECOND, 2), Standing::Alive);
-        c.goodbye(Some(17));
-        b.take(SECOND, &c.word(SECOND));
-        b.take(SECOND, &c.word(SECOND));
-        a.take(SECOND, &b.word(SECOND));
-        assert_eq!((a.standing(SECOND, 2), b.absent(SECOND)), (Standing::Gone, [0, 2, 3].into()));
+        a.apply(SECOND, &c.next_message(SECOND));
+        assert_eq!(a.liveness(SECOND, 2), Liveness::Alive);
+        c.leave(Some(17));
+        b.apply(SECOND, &c.next_message(SECOND));
+        b.apply(SECOND, &c.next_message(SECOND));
+        a.apply(SECOND, &b.next_message(SECOND));
+        assert_eq!((a.liveness(SECOND, 2), b.absent(SECOND)), (Liveness::Gone, [0, 2, 3].into()));
         assert_eq!(a.goodbyes(), [(2, 17)].into());
-        let message = b.word(SECOND);
-        assert_eq!(Message::read(&message.text()), Ok(message));
-        let mut next = Table::new(2, 200, 4, 3 * SECOND);
-        a.take(2 * SECOND, &next.word(2 * SECOND));
-        a.take(2 * SECOND, &c.word(2 * SECOND));
+        let message = b.next_message(SECOND);
+        assert_eq!(Message::decode(&message.encode()), Ok(message));
+        let mut next = GossipTable::new(2, 200, 4, 3 * SECOND);
+        a.apply(2 * SECOND, &next.next_message(2 * SECOND));
+        a.apply(2 * SECOND, &c.next_message(2 * SECOND));
         assert_eq!(
-            a.standing(2 * SECOND, 2),
-            Standing::Alive,
+            a.liveness(2 * SECOND, 2),
+            Liveness::Alive,
             "a late message of the former incarnation does not count"
         );
         assert_eq!(a.goodbyes(), [].into());
-        next.goodbye(None);
-        a.take(2 * SECOND, &next.word(2 * SECOND));
+        next.leave(None);
+        a.apply(2 * SECOND, &next.next_message(2 * SECOND));
         assert_eq!(
-            (a.standing(2 * SECOND, 2), a.goodbyes()),
-            (Standing::Gone, [].into()),
+            (a.liveness(2 * SECOND, 2), a.goodbyes()),
+            (Liveness::Gone, [].into()),
             "a goodbye without a slot"
         );
     }
@@ -332,7 +345,7 @@
         a.record(SECOND, 1, 100, 77);
         a.record(2 * SECOND, 1, 200, 1);
         a.record(4 * SECOND, 1, 100, 78);
-        assert_eq!(a.heard[&1], Heard { life: 200, beat: 1, at: 2 * SECOND, suspected: false });
+        assert_eq!(a.heard[&1], Heard { incarnation: 200, beat: 1, at: 2 * SECOND, suspected: false });
     }
 
     #[test]
@@ -347,19 +360,19 @@
     #[test]
     fn peers_are_asked_in_turn_and_suspected_ones_first() {
         let mut a = table(0);
-        let asked: Vec<_> = (0..5).map(|_| a.next(SECOND).unwrap()).collect();
+        let asked: Vec<_> = (0..5).map(|_| a.next_peer(SECOND).unwrap()).collect();
         assert_eq!(asked, [1, 2, 3, 1, 2]);
         a.record(SECOND, 1, 9, 9);
         a.record(SECOND, 2, 9, 9);
-        a.clients_moved(2, 2);
-        assert_eq!((a.standing(SECOND, 2), a.standing(SECOND, 1)), (Standing::Doubtful, Standing::Alive));
-        assert_eq!((a.next(SECOND), a.next(SECOND)), (Some(2), Some(3)));
-        a.clients_moved(3, 2);
+        a.suspect_set(2, 2);
+        assert_eq!((a.liveness(SECOND, 2), a.liveness(SECOND, 1)), (Liveness::Suspect, Liveness::Alive));
+        assert_eq!((a.next_peer(SECOND), a.next_peer(SECOND)), (Some(2), Some(3)));
+        a.suspect_set(3, 2);
         assert_eq!(
-            a.standing(SECOND, 3),
-            Standing::Gone,
+            a.liveness(SECOND, 3),
+            Liveness::Gone,
             "a set that includes this gateway raises no suspicion"
         );
-        assert_eq!(Table::new(0, 1, 1, SECOND).next(SECOND), None);
+        assert_eq!(GossipTable::new(0, 1, 1, SECOND).next_peer(SECOND), None);
     }
 }
--- a/crates/gateway/src/admin.rs
+++ b/crates/gateway/src/admin.rs
@@ -8,7 +8,7 @@
 use bytes::Bytes;
 use hingestage_dataplane::driver::Driver;
 use hingestage_dataplane::note;
-use hingestage_fleet::table::{GATEWAYS_MAX, MESSAGE_MAX};
+use hingestage_fleet::gossip::{GATEWAYS_MAX, MESSAGE_BYTES_MAX};
 use hingestage_operate::Told;
 use hingestage_platform::{Listener, Platform};
 use hingestage_turns::word::WORD_MAX;
@@ -160,7 +160,7 @@
     async fn gossip(&self, request: Request<Incoming>) -> Response<Full<Bytes>> {
         let Some(fleet) = self.subsystems.fleet.get() else { return no_fleet() };
         let site_report = request.headers().get(SITES).cloned();
-        let message = body(request, MESSAGE_MAX).await;
+        let message = body(request, MESSAGE_BYTES_MAX).await;
         let Ok(message) = message else { return text(StatusCode::BAD_REQUEST, "no message") };
         match fleet.answer(&message, site_report.as_ref()) {
             Ok(answer) => {
--- a/crates/gateway/src/fleet.rs
+++ b/crates/gateway/src/fleet.rs
@@ -7,8 +7,8 @@
 use crate::sites::Sites;
 use hingestage_dataplane::driver::Driver;
 use hingestage_failover::Word as SiteReport;
-use hingestage_fleet::roll::Roll;
-use hingestage_fleet::table::{Message, Standing, Table, MESSAGE_MAX};
+use hingestage_fleet::gossip::{GossipTable, Liveness, Message, MESSAGE_BYTES_MAX};
+use hingestage_fleet::roll_call::RollCall;
 use hingestage_operator::Fleet as FleetSettings;
 use hingestage_platform::Platform;
 use hingestage_policy::{CounterName, CounterOutcome, Event, LeaseView, Micros};
@@ -45,8 +45,8 @@
     sites: Rc<Sites<P>>,
     settings: FleetSettings,
     me: u32,
-    table: RefCell<Table>,
-    roll: Option<RefCell<Roll>>,
+    table: RefCell<GossipTable>,
+    roll: Option<RefCell<RollCall>>,
     lease: RefCell<Lease>,
     view: RefCell<Option<LeaseView>>,
     /// Number of unanswered messages.
@@ -64,9 +64,9 @@
     ) -> Rc<Self> {
         let now = driver.micros();
         let micros = |span: Duration| span.as_micros() as Micros;
-        let roll = (settings.roll_call && counter.is_some()).then(|| Roll::new(me, gateways, now));
+        let roll = (settings.roll_call && counter.is_some()).then(|| RollCall::new(me, gateways, now));
         // A lease must outlast a slot of the roll call, which grows with the fleet.
-        let scale = roll.as_ref().map_or(1, |roll| roll.slot().div_ceil(1_000_000).max(1));
+        let scale = roll.as_ref().map_or(1, |roll| roll.slot_length().div_ceil(1_000_000).max(1));
         let votes = settings.counter_votes.unwrap_or(gateways / 2);
         let absent = micros(settings.absent) * scale;
         let lease = Lease::new(
@@ -80,7 +80,7 @@
                 reserved_fraction: settings.kept,
             },
         );
-        let table = Table::new(me, now, gateways, absent);
+        let table = GossipTable::new(me, now, gateways, absent);
         Rc::new(Fleet {
             driver: Rc::downgrade(driver),
             platform: driver.platform.clone(),
@@ -140,7 +140,7 @@
     /// Passes goodbyes received by gossip on to the roll call.
     fn apply_goodbyes(&self, now: Micros) {
         let goodbyes = self.table.borrow().goodbyes();
-        let found = self.roll.as_ref().and_then(|roll| roll.borrow_mut().goodbyes(goodbyes));
+        let found = self.roll.as_ref().and_then(|roll| roll.borrow_mut().set_goodbyes(goodbyes));
         if let Some(found) = found {
             self.lease.borrow_mut().record_ack(now, Voter::Counter, found.issued, found.absent);
         }
@@ -149,7 +149,7 @@
     /// Handles a client of the set of `spread` gateways from `first` on: if this gateway is not in the set, the set is
     /// suspected.
     pub fn client_arrived(&self, first: u32, spread: u32) {
-        self.table.borrow_mut().clients_moved(first, spread);
+        self.table.borrow_mut().suspect_set(first, spread);
     }
 
     /// Sends messages to the peers in turn.
@@ -162,7 +162,7 @@
         }
         loop {
             let Some(now) = self.now() else { return };
-            let next = self.table.borrow_mut().next(now);
+            let next = self.table.borrow_mut().next_peer(now);
             let at = next.and_then(|number| self.settings.peers.get(&number).copied());
             if let (Some(at), true) = (at, self.pending.get() < PENDING_MAX) {
                 let fleet = self.clone();
@@ -175,13 +175,14 @@
     /// Sends one message and applies the answer if it arrives in time.
     async fn send(self: Rc<Self>, at: SocketAddr) {
         let Some(now) = self.now() else { return };
-        let message = self.table.borrow_mut().word(now);
+        let message = self.table.borrow_mut().next_message(now);
         self.pending.set(self.pending.get() + 1);
-        let answer = self.platform.timeout(self.settings.lease / 2, self.exchange(at, message.text())).await;
+        let answer =
+            self.platform.timeout(self.settings.lease / 2, self.exchange(at, message.encode())).await;
         self.pending.set(self.pending.get() - 1);
         let Ok(Some(message)) = answer else { return };
         let Some(received) = self.now() else { return };
-        if self.table.borrow_mut().take(received, &message) {
+        if self.table.borrow_mut().apply(received, &message) {
             self.lease.borrow_mut().record_ack(received, Voter::Gateway(message.from), now, message.absent);
             self.update_view();
         }
@@ -190,9 +191,9 @@
     async fn exchange(&self, at: SocketAddr, text: String) -> Option<Message> {
         let (call, header) = ((Method::POST, "/fleet"), self.site_report().map(|text| (SITES, text)));
         let (status, headers, body) =
-            request_with_header(&self.platform, at, call, text, MESSAGE_MAX, header).await?;
+            request_with_header(&self.platform, at, call, text, MESSAGE_BYTES_MAX, header).await?;
         let text = std::str::from_utf8(&body).ok().filter(|_| status == StatusCode::OK)?;
-        let message = Message::read(text).ok()?;
+        let message = Message::decode(text).ok()?;
         self.apply_site_report(message.from, headers.get(SITES));
         Some(message)
     }
@@ -201,8 +202,8 @@
     /// timeout.
     pub fn goodbye(self: &Rc<Self>) {
         self.lease.borrow_mut().release();
-        let last_slot = self.roll.as_ref().map(|roll| roll.borrow_mut().leave());
-        self.table.borrow_mut().goodbye(last_slot);
+        let last_slot = self.roll.as_ref().map(|roll| roll.borrow_mut().stop());
+        self.table.borrow_mut().leave(last_slot);
         self.platform.log(format_args!("fleet: goodbye sent; this gateway gives up its part"));
         self.update_view();
         for at in self.settings.peers.values().copied() {
@@ -239,12 +240,12 @@
     /// # Errors
     /// The fault in the message.
     pub fn answer(&self, text: &str, site_report: Option<&HeaderValue>) -> Result<String, String> {
-        let message = Message::read(text)?;
+        let message = Message::decode(text)?;
         self.apply_site_report(message.from, site_report);
         let now = self.now().ok_or("the gateway ends")?;
         let mut table = self.table.borrow_mut();
-        match table.take(now, &message) {
-            true => Ok(table.word(now).text()),
+        match table.apply(now, &message) {
+            true => Ok(table.next_message(now).encode()),
             false => Err("no gateway of this fleet".into()),
         }
     }
@@ -252,7 +253,7 @@
     /// Makes the calls of the roll call that are due.
     fn call_roll(&self) {
         let (Some(roll), Some(counter), Some(now)) = (&self.roll, &self.counter, self.now()) else { return };
-        let calls = roll.borrow_mut().calls(now);
+        let calls = roll.borrow_mut().due_calls(now);
         for call in calls {
             counter.call(Asker::Roll, CounterName(call.name), call.amount, call.keep);
         }
@@ -262,7 +263,7 @@
     pub fn handle_outcome(&self, name: &CounterName, outcome: CounterOutcome) {
         let Some(roll) = self.roll.as_ref() else { return };
         let total = if let CounterOutcome::Total(total) = outcome { Some(total) } else { None };
-        let found = roll.borrow_mut().answered(&name.0, total);
+        let found = roll.borrow_mut().handle_answer(&name.0, total);
         if let (Some(found), Some(now)) = (found, self.now()) {
             self.lease.borrow_mut().record_ack(now, Voter::Counter, found.issued, found.absent);
         }
@@ -275,7 +276,7 @@
 
     /// Whether another gateway is not gone.
     pub fn is_alive(&self, now: Micros, number: u32) -> bool {
-        self.table.borrow().standing(now, number) != Standing::Gone
+        self.table.borrow().liveness(now, number) != Liveness::Gone
     }
 
     /// The state as text for operators.
@@ -289,10 +290,10 @@
         };
         let view = self.view.borrow();
         for (number, at) in &self.settings.peers {
-            let standing = match table.standing(now, *number) {
-                Standing::Alive => "alive",
-                Standing::Doubtful => "doubtful",
-                Standing::Gone => "gone",
+            let standing = match table.liveness(now, *number) {
+                Liveness::Alive => "alive",
+                Liveness::Suspect => "doubtful",
+                Liveness::Gone => "gone",
             };
             let taken = if view.as_ref().is_some_and(|view| view.absent.contains(number)) {
                 ", its part is taken"
--- a/crates/operator/src/fleet.rs
+++ b/crates/operator/src/fleet.rs
@@ -5,7 +5,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Most gateways that tell each other; see `hingestage_fleet::table`.
+/// Most gateways that tell each other; see `hingestage_fleet::gossip`.
 const PEERS_MAX: f64 = 64.0;
 /// Most votes of the counter.
 const VOTES_MAX: f64 = 10_000.0;
--- a/crates/shares/src/lease.rs
+++ b/crates/shares/src/lease.rs
@@ -41,7 +41,7 @@
 //!
 //! The clocks of gateways need not agree but must run at the same rate; in practice `lease` is shorter than the two
 //! other timeouts by a margin. The counter receives a heartbeat when a gateway increments its mark for a time slot,
-//! and lists every gateway without a mark in the latest slots; see `hingestage_fleet::roll` for the margins.
+//! and lists every gateway without a mark in the latest slots; see `hingestage_fleet::roll_call` for the margins.
 
 use crate::Micros;
 use std::collections::{BTreeMap, BTreeSet};
--- a/crates/shares/tests/counter_partition.rs
+++ b/crates/shares/tests/counter_partition.rs
@@ -1,7 +1,7 @@
 //! Partition with the counter as the only common voter: a gateway that restarts on one side must not hold its
 //! lease while the other side still relies on heartbeat marks read before the restart.
 
-use hingestage_fleet::roll::Roll;
+use hingestage_fleet::roll_call::RollCall;
 use hingestage_shares::{Lease, LeaseConfig, LeaseState, Micros, Voter};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -24,13 +24,13 @@
 
 struct Gateway {
     me: u32,
-    roll: Roll,
+    roll: RollCall,
     lease: Lease,
     up: bool,
 }
 
 fn start(me: u32, now: Micros) -> Gateway {
-    Gateway { me, roll: Roll::new(me, 5, now), lease: Lease::new(me, config()), up: true }
+    Gateway { me, roll: RollCall::new(me, 5, now), lease: Lease::new(me, config()), up: true }
 }
 
 /// Faults of gateway 0, which reads the marks late.
@@ -65,10 +65,10 @@
         let now = EPOCH + since;
         if since == 20 * S {
             gateways[2].up = false;
-            let last = gateways[2].roll.leave();
+            let last = gateways[2].roll.stop();
             let last = if faults.leave == LeaveMessage::NeverExpires { u64::MAX - 1 } else { last };
             for gateway in gateways[..2].iter_mut().filter(|_| faults.leave != LeaveMessage::None) {
-                if let Some(found) = gateway.roll.goodbyes([(2, last)].into()) {
+                if let Some(found) = gateway.roll.set_goodbyes([(2, last)].into()) {
                     gateway.lease.record_ack(now, Voter::Counter, found.issued, found.absent);
                 }
             }
@@ -82,11 +82,11 @@
         let side_of = |me: u32| if FIRST_SIDE.contains(&me) { &FIRST_SIDE[..] } else { &SECOND_SIDE[..] };
         for gateway in gateways.iter_mut().filter(|gateway| up.contains(&gateway.me)) {
             let clock = now - if gateway.me == 0 { faults.clock_lag } else { 0 };
-            for call in gateway.roll.calls(clock) {
+            for call in gateway.roll.due_calls(clock) {
                 let total = totals.entry(call.name.clone()).or_default();
                 let lost = gateway.me == 0 && is_within(since, faults.lost);
                 *total += if lost { 0.0 } else { call.amount };
-                if let Some(found) = gateway.roll.answered(&call.name, Some(*total).filter(|_| !lost)) {
+                if let Some(found) = gateway.roll.handle_answer(&call.name, Some(*total).filter(|_| !lost)) {
                     gateway.lease.record_ack(clock, Voter::Counter, found.issued, found.absent);
                 }
             }
--- a/crates/shares/tests/random_faults.rs
+++ b/crates/shares/tests/random_faults.rs
@@ -3,8 +3,8 @@
 //! faults suffice to find them.
 
 use fastrand::Rng;
-use hingestage_fleet::roll::Roll;
-use hingestage_fleet::table::{Message, Table};
+use hingestage_fleet::gossip::{GossipTable, Message};
+use hingestage_fleet::roll_call::RollCall;
 use hingestage_shares::{Lease, LeaseConfig, LeaseState, Micros, Voter};
 use std::collections::BTreeMap;
 
@@ -41,8 +41,8 @@
 struct Gateway {
     /// Gateway number. Equals its index, except for a duplicate process.
     me: u32,
-    table: Table,
-    roll: Roll,
+    table: GossipTable,
+    roll: RollCall,
     lease: Lease,
     next_heartbeat: Micros,
     /// End of a stall, during which incoming messages are queued.
@@ -121,8 +121,8 @@
         self.instances += 1;
         Gateway {
             me,
-            table: Table::new(me, self.instances, CONFIG.gateways, absence_timeout(self.defect)),
-            roll: Roll::new(me, CONFIG.gateways, self.now),
+            table: GossipTable::new(me, self.instances, CONFIG.gateways, absence_timeout(self.defect)),
+            roll: RollCall::new(me, CONFIG.gateways, self.now),
             lease: Lease::new(me, config(self.defect)),
             next_heartbeat: self.now,
             stalled_until: 0,
@@ -179,8 +179,8 @@
     fn leave(&mut self, one: usize, duration: Micros) {
         let ends = self.now + self.rng.u64(..3_000) * MS;
         let gateway = &mut self.gateways[one];
-        let last_slot = gateway.roll.leave();
-        gateway.table.goodbye(Some(last_slot));
+        let last_slot = gateway.roll.stop();
+        gateway.table.leave(Some(last_slot));
         if self.defect != Defect::HoldAfterLeave {
             gateway.lease.release();
         }
@@ -240,9 +240,9 @@
         }
         if gateway.next_heartbeat <= now {
             gateway.next_heartbeat = now + HEARTBEAT_ROUND / 4;
-            let number = gateway.table.next(now).unwrap_or_default();
-            let message = gateway.table.word(now);
-            let life = message.life;
+            let number = gateway.table.next_peer(now).unwrap_or_default();
+            let message = gateway.table.next_message(now);
+            let life = message.incarnation;
             // With duplicate processes, either one may receive the message.
             let of_number: Vec<usize> =
                 (0..self.gateways.len()).filter(|n| self.gateways[*n].me == number).collect();
@@ -251,10 +251,10 @@
         }
         let gateway = &mut self.gateways[me];
         let goodbyes = gateway.table.goodbyes();
-        if let Some(found) = gateway.roll.goodbyes(goodbyes) {
+        if let Some(found) = gateway.roll.set_goodbyes(goodbyes) {
             gateway.lease.record_ack(now, Voter::Counter, found.issued, found.absent);
         }
-        let (calls, life) = (gateway.roll.calls(now), gateway.table.word(now).life);
+        let (calls, life) = (gateway.roll.due_calls(now), gateway.table.next_message(now).incarnation);
         for call in calls {
             self.send(
                 me,
@@ -269,18 +269,18 @@
         match message {
             Envelope::Heartbeat { to, from, issued, life, message } if self.awake(to) => {
                 let gateway = &mut self.gateways[to];
-                gateway.table.take(now, &message);
-                let answer = gateway.table.word(now);
+                gateway.table.apply(now, &message);
+                let answer = gateway.table.next_message(now);
                 self.send(to, from, Envelope::Ack { to: from, from: to, issued, life, message: answer });
             }
             Envelope::Ack { to, from, issued, life, message } if self.awake(to) => {
                 let (defect, of) = (self.defect, self.gateways[from].me);
                 let gateway = &mut self.gateways[to];
                 // Answers to a previous instance are dropped.
-                if gateway.table.word(now).life != life {
+                if gateway.table.next_message(now).incarnation != life {
                     return;
                 }
-                gateway.table.take(now, &message);
+                gateway.table.apply(now, &message);
                 let absent = match defect {
                     Defect::IgnoreVoterLists => (0..CONFIG.gateways).collect(),
                     _ => message.absent,
@@ -297,10 +297,10 @@
             Envelope::Total { to, life, name, total } if self.awake(to) => {
                 let defect = self.defect;
                 let gateway = &mut self.gateways[to];
-                if gateway.table.word(now).life != life {
+                if gateway.table.next_message(now).incarnation != life {
                     return;
                 }
-                if let Some(found) = gateway.roll.answered(&name, Some(total)) {
+                if let Some(found) = gateway.roll.handle_answer(&name, Some(total)) {
                     let absent = match defect {
                         Defect::IgnoreVoterLists => (0..CONFIG.gateways).collect(),
                         _ => found.absent,
--- a/crates/shares/tests/scenarios.rs
+++ b/crates/shares/tests/scenarios.rs
@@ -3,7 +3,7 @@
 //! gateway.
 
 use fastrand::Rng;
-use hingestage_fleet::roll::Roll;
+use hingestage_fleet::roll_call::RollCall;
 use hingestage_shares::{Lease, LeaseConfig, Micros, Voter};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -41,7 +41,7 @@
 
 struct Gateway {
     alive: bool,
-    roll: Roll,
+    roll: RollCall,
     lease: Lease,
 }
 
@@ -71,7 +71,7 @@
         let mut rng = Rng::with_seed(seed ^ 0x5eed);
         let n = 20 + rng.u64(..281) as u32;
         let now = 1_000_000 * S;
-        let slot = Roll::new(0, n, now).slot();
+        let slot = RollCall::new(0, n, now).slot_length();
         let scale = slot / S;
         let config = LeaseConfig {
             gateways: n,
@@ -83,8 +83,11 @@
         };
         let scenario = SCENARIOS[(seed % 6) as usize];
         let starts_up = |me: u32| scenario != Scenario::ScaleUp || me.is_multiple_of(4);
-        let start =
-            |me| Gateway { alive: starts_up(me), roll: Roll::new(me, n, now), lease: Lease::new(me, config) };
+        let start = |me| Gateway {
+            alive: starts_up(me),
+            roll: RollCall::new(me, n, now),
+            lease: Lease::new(me, config),
+        };
         let gateways = (0..n).map(start).collect();
         let (totals, partitioned) = (BTreeMap::new(), false);
         Fleet { scenario, rng, now, slot, gateways, totals, config, partitioned }
@@ -94,7 +97,7 @@
         let (now, config) = (self.now, self.config);
         let gateway = &mut self.gateways[me];
         if alive && !gateway.alive {
-            gateway.roll = Roll::new(me as u32, config.gateways, now);
+            gateway.roll = RollCall::new(me as u32, config.gateways, now);
             gateway.lease = Lease::new(me as u32, config);
         }
         gateway.alive = alive;
@@ -137,13 +140,13 @@
             if !gateway.alive || late {
                 continue;
             }
-            for call in gateway.roll.calls(now) {
+            for call in gateway.roll.due_calls(now) {
                 if !reaches || lost {
                     continue;
                 }
                 let total = self.totals.entry(call.name.clone()).or_default();
                 *total += call.amount;
-                if let Some(found) = gateway.roll.answered(&call.name, Some(*total)) {
+                if let Some(found) = gateway.roll.handle_answer(&call.name, Some(*total)) {
                     gateway.lease.record_ack(now, Voter::Counter, found.issued, found.absent);
                 }
             }
--- a/crates/turns/tests/common/mod.rs
+++ b/crates/turns/tests/common/mod.rs
@@ -5,7 +5,7 @@
 #![allow(dead_code)]
 
 use fastrand::Rng;
-use hingestage_fleet::roll::Roll;
+use hingestage_fleet::roll_call::RollCall;
 use hingestage_policy::*;
 use hingestage_shares::{Lease, LeaseConfig, Voter};
 use hingestage_turns::desk::{Desk, Do, Found};
@@ -111,7 +111,7 @@
     up: bool,
     post: Post,
     desk: Desk<Asker>,
-    roll: Roll,
+    roll: RollCall,
     lease: Lease,
     view: Option<LeaseView>,
 }
@@ -299,8 +299,8 @@
         keeper.handle(self.now, Event::Workers(list), &mut Vec::new());
         let post = Post::new(me, 0..self.scene.gateways);
         let n = self.scene.gateways;
-        let roll = Roll::new(me, n, self.now);
-        let scale = roll.slot() / S;
+        let roll = RollCall::new(me, n, self.now);
+        let scale = roll.slot_length() / S;
         let config = LeaseConfig {
             gateways: n,
             counter_votes: n - 1,
@@ -334,7 +334,7 @@
         if !self.scene.views {
             return;
         }
-        for call in self.gateways[by].roll.calls(self.now) {
+        for call in self.gateways[by].roll.due_calls(self.now) {
             let told = Told { name: call.name, amount: call.amount, keep_ms: call.keep / 1_000 };
             self.call(by, told, For::Roll);
         }
@@ -644,7 +644,7 @@
             For::Decisions => return self.own(by, name, outcome),
             For::Roll => {
                 let gateway = &mut self.gateways[by];
-                if let Some(found) = gateway.roll.answered(&name, total.map(f64::from_bits)) {
+                if let Some(found) = gateway.roll.handle_answer(&name, total.map(f64::from_bits)) {
                     gateway.lease.record_ack(self.now, Voter::Counter, found.issued, found.absent);
                 }
                 return;
