--- a/crates/gateway/src/config.rs
+++ b/crates/gateway/src/config.rs
@@ -57,7 +57,7 @@
     /// Seed of the random numbers.
     pub seed: u64,
     /// Cached list of workers from an earlier run; may be stale.
-    pub known: HostList,
+    pub cached_workers: HostList,
     /// SRV name that supplies workers, beside discovery or alone; from the operator file.
     pub srv: Option<Srv>,
     /// Failure detection within the fleet; from the operator file.
@@ -81,7 +81,7 @@
     /// Timeout for connecting to a worker.
     pub connect_timeout: Duration,
     /// Idle time after which workers close a connection.
-    pub worker_idle: Duration,
+    pub worker_idle_timeout: Duration,
 }
 
 /// Descriptors reserved for the listener, counter, discovery, runtime and standard streams, and for those of a
@@ -122,7 +122,7 @@
             class_names: self.names.classes.clone(),
             workers_max: self.workers_max,
             connect_timeout: self.connect_timeout,
-            worker_idle: self.worker_idle,
+            worker_idle: self.worker_idle_timeout,
             dialect: Rc::new(RelayDialect),
         }
     }
@@ -157,13 +157,13 @@
             admin: variable("RELAY_ADMIN").or(file.admin).map(|at| address("admin", Some(at))).transpose()?,
             seed: u64::from_str_radix(&file.seed, 16)
                 .map_err(|_| format!("configuration: field `seed`: `{}` is not hexadecimal", file.seed))?,
-            known: file.known,
+            cached_workers: file.known,
             srv: None,
             fleet: None,
             policy: None,
             sites: None,
             connect_timeout: span("limits.connectTimeoutUs")?,
-            worker_idle: span("limits.connIdleUs")?,
+            worker_idle_timeout: span("limits.connIdleUs")?,
             settings,
             names,
             memory: file.limits.memory_mb.saturating_mul(1 << 20),
--- a/crates/gateway/src/counter.rs
+++ b/crates/gateway/src/counter.rs
@@ -40,11 +40,11 @@
 
 /// The part of the gateway that makes a call. Counter names alone do not identify it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Asker {
+pub enum CounterCaller {
     /// The decision code.
     Decisions,
     /// The fleet's roll call.
-    Roll,
+    RollCall,
     /// The turns at the counter, on behalf of several gateways.
     Turns,
 }
@@ -53,7 +53,7 @@
 enum RequestKind {
     Ping,
     /// A call; `None` once it has timed out locally.
-    Call(Option<(Asker, CounterName)>),
+    Call(Option<(CounterCaller, CounterName)>),
 }
 
 /// One connection to the counter with its pending calls.
@@ -96,7 +96,7 @@
 
     /// Times a call out and returns its caller and name. Its reply stays pending and will be dropped, so that later
     /// replies still match their calls.
-    fn expire(&self, seq: u64) -> Option<(Asker, CounterName)> {
+    fn expire(&self, seq: u64) -> Option<(CounterCaller, CounterName)> {
         match self.pending.borrow_mut().iter_mut().find(|pending| pending.seq == seq)?.request {
             RequestKind::Call(ref mut call) => call.take(),
             RequestKind::Ping => None,
@@ -117,7 +117,7 @@
 }
 
 /// Receives the outcome of each call exactly once.
-pub type OnOutcome = Box<dyn Fn(Asker, CounterName, CounterOutcome)>;
+pub type OnOutcome = Box<dyn Fn(CounterCaller, CounterName, CounterOutcome)>;
 
 /// Client of the shared counter.
 pub struct Counter<P: Platform> {
@@ -149,7 +149,7 @@
     }
 
     /// Adds to a counter. Its outcome is passed to `on_outcome` exactly once.
-    pub fn call(self: &Rc<Self>, caller: Asker, name: CounterName, amount: f64, keep: Micros) {
+    pub fn call(self: &Rc<Self>, caller: CounterCaller, name: CounterName, amount: f64, keep: Micros) {
         let keep = keep.div_ceil(1_000).max(1).to_string();
         let args = ["CNT.ADD", &name.0, &amount.to_string(), &keep];
         let connection = self.connection.borrow().clone();
--- a/crates/gateway/src/fleet.rs
+++ b/crates/gateway/src/fleet.rs
@@ -3,7 +3,7 @@
 //! each new view is passed to the decisions.
 
 use crate::admin_client::request_with_header;
-use crate::counter::{Asker, Counter};
+use crate::counter::{Counter, CounterCaller};
 use crate::sites::Sites;
 use hingestage_dataplane::driver::Driver;
 use hingestage_failover::Word as SiteReport;
@@ -255,7 +255,7 @@
         let (Some(roll), Some(counter), Some(now)) = (&self.roll, &self.counter, self.now()) else { return };
         let calls = roll.borrow_mut().due_calls(now);
         for call in calls {
-            counter.call(Asker::Roll, CounterName(call.name), call.amount, call.keep);
+            counter.call(CounterCaller::RollCall, CounterName(call.name), call.amount, call.keep);
         }
     }
 
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -7,7 +7,7 @@
 use crate::policy_follower::PolicyFollower;
 use crate::server::{connection_settings, Server};
 use crate::sites::Sites;
-use crate::srv::{Follower, Hears};
+use crate::srv::{EndpointSink, Follower};
 use crate::subsystems::GatewaySubsystems;
 use crate::turns::Turns;
 use hingestage_dataplane::connections::Connections;
@@ -104,13 +104,13 @@
     follower.iter().for_each(|follower| admin.iter().for_each(|admin| admin.set_follower(follower.clone())));
     let uses_discovery = config.srv.as_ref().is_none_or(|srv| srv.beside_list);
     let watcher = uses_discovery.then(|| {
-        directory.apply_list(&driver, &config.known, ListScope::Cached);
-        Watcher::start(driver.clone(), directory.clone(), config.discovery, config.known.rev, {
+        directory.apply_list(&driver, &config.cached_workers, ListScope::Cached);
+        Watcher::start(driver.clone(), directory.clone(), config.discovery, config.cached_workers.rev, {
             let server = server.clone();
             move || server.told(Told::Ready)
         })
     });
-    if uses_discovery && !config.known.targets.is_empty() {
+    if uses_discovery && !config.cached_workers.targets.is_empty() {
         // While discovery is down, the cached list is used.
         let (server, sleep) = (server.clone(), platform.sleep(CACHED_LIST_DELAY));
         platform.spawn(async move {
@@ -178,8 +178,8 @@
     directory: Rc<WorkerDirectory>,
 }
 
-impl<P: Platform> Hears for DnsSink<P> {
-    fn believe(&self, endpoints: &[Endpoint]) {
+impl<P: Platform> EndpointSink for DnsSink<P> {
+    fn replace(&self, endpoints: &[Endpoint]) {
         let address = |e: &Endpoint| Address {
             at: e.at,
             tier: e.priority.into(),
@@ -191,7 +191,7 @@
         self.server.told(Told::Ready);
     }
 
-    fn lapse(&self) -> Option<Duration> {
+    fn expire(&self) -> Option<Duration> {
         let at = self.directory.expire(&self.driver)?;
         Some(Duration::from_micros(at.saturating_sub(self.driver.micros())))
     }
--- a/crates/gateway/src/srv.rs
+++ b/crates/gateway/src/srv.rs
@@ -18,12 +18,12 @@
 const DATAGRAM_BYTES_MAX: usize = 4_096;
 
 /// Receives the endpoints that a follower accepts.
-pub trait Hears {
+pub trait EndpointSink {
     /// Replaces the workers by these endpoints.
-    fn believe(&self, endpoints: &[Endpoint]);
+    fn replace(&self, endpoints: &[Endpoint]);
 
     /// Applies timeouts that are due; returns the time until the next one.
-    fn lapse(&self) -> Option<Duration>;
+    fn expire(&self) -> Option<Duration>;
 }
 
 /// Follows the SRV records of one name.
@@ -31,7 +31,7 @@
     platform: P,
     service: RefCell<Service>,
     queries: RefCell<BTreeMap<u64, P::Task>>,
-    sink: Box<dyn Hears>,
+    sink: Box<dyn EndpointSink>,
     wake: Notify,
     started: Instant,
     seed: u64,
@@ -41,7 +41,7 @@
 
 impl<P: Platform> Follower<P> {
     /// Starts to follow a name.
-    pub fn start(platform: P, settings: SrvSettings, seed: u64, sink: Box<dyn Hears>) -> Rc<Self> {
+    pub fn start(platform: P, settings: SrvSettings, seed: u64, sink: Box<dyn EndpointSink>) -> Rc<Self> {
         let follower = Rc::new(Follower {
             started: platform.now(),
             service: RefCell::new(Service::new(settings, seed, 0)),
@@ -109,7 +109,7 @@
             self.step(Service::tick);
             let next = self.service.borrow().wake();
             let next = next.map(|at| Duration::from_micros(at.saturating_sub(self.now())));
-            let delay = next.into_iter().chain(self.sink.lapse()).min();
+            let delay = next.into_iter().chain(self.sink.expire()).min();
             // At least a millisecond, to avoid a busy loop.
             let delay = delay.unwrap_or(Duration::from_secs(1)).max(Duration::from_millis(1));
             tokio::select! {
@@ -147,7 +147,7 @@
             Action::Forget(ask) => {
                 self.queries.borrow_mut().remove(&ask).into_iter().for_each(|task| task.abort());
             }
-            Action::Believe(endpoints) => self.sink.believe(&endpoints),
+            Action::Believe(endpoints) => self.sink.replace(&endpoints),
             Action::Note(what) => self.platform.log(format_args!("srv: {what}")),
         }
     }
--- a/crates/gateway/src/subsystems.rs
+++ b/crates/gateway/src/subsystems.rs
@@ -1,6 +1,6 @@
 //! The subsystems that the gateway's driver calls: counter, fleet, turns at the counter, policy and sites.
 
-use crate::counter::{Asker, Counter};
+use crate::counter::{Counter, CounterCaller};
 use crate::fleet::Fleet;
 use crate::policy_follower::PolicyFollower;
 use crate::sites::Sites;
@@ -53,12 +53,14 @@
     }
 
     /// Passes the outcome of a call on to the part that made it.
-    fn counter_outcome(&self, caller: Asker, name: &CounterName, outcome: CounterOutcome) {
+    fn counter_outcome(&self, caller: CounterCaller, name: &CounterName, outcome: CounterOutcome) {
         let Some(driver) = self.driver.get().and_then(Weak::upgrade) else { return };
         match caller {
-            Asker::Decisions => driver.feed(Event::Counter { name: name.clone(), outcome }),
-            Asker::Roll => self.fleet.get().into_iter().for_each(|fleet| fleet.handle_outcome(name, outcome)),
-            Asker::Turns => {
+            CounterCaller::Decisions => driver.feed(Event::Counter { name: name.clone(), outcome }),
+            CounterCaller::RollCall => {
+                self.fleet.get().into_iter().for_each(|fleet| fleet.handle_outcome(name, outcome))
+            }
+            CounterCaller::Turns => {
                 self.turns.get().into_iter().for_each(|turns| turns.handle_outcome(name, outcome))
             }
         }
@@ -95,7 +97,7 @@
     /// Counts through the gateway that owns the name, or at the counter directly.
     fn count(&self, name: &CounterName, amount: f64, keep: Micros) -> Option<CounterOutcome> {
         if !self.turns.get().is_some_and(|turns| turns.count(name, amount, keep)) {
-            self.counter.call(Asker::Decisions, name.clone(), amount, keep);
+            self.counter.call(CounterCaller::Decisions, name.clone(), amount, keep);
         }
         None
     }
--- a/crates/gateway/src/turns.rs
+++ b/crates/gateway/src/turns.rs
@@ -2,7 +2,7 @@
 //! others under the names that it owns itself. `hingestage_turns` decides who owns a name, what is retried and how often
 //! the counter is called.
 
-use crate::counter::{Asker, Counter};
+use crate::counter::{Counter, CounterCaller};
 use crate::fleet::Fleet;
 use crate::peer_connections::{PeerConnections, PeerError};
 use hingestage_dataplane::driver::Driver;
@@ -141,7 +141,7 @@
                 Ending::Total(total) => self.report(name, CounterOutcome::Total(total)),
                 Ending::Timeout => self.report(name, CounterOutcome::Timeout),
                 Ending::Counter => {
-                    self.counter.call(Asker::Decisions, name, told.amount, told.keep_ms * 1_000)
+                    self.counter.call(CounterCaller::Decisions, name, told.amount, told.keep_ms * 1_000)
                 }
             }
         }
@@ -214,7 +214,7 @@
         for action in actions {
             match action {
                 Do::Count { name, amount, keep_ms } => {
-                    self.counter.call(Asker::Turns, CounterName(name), amount, keep_ms * 1_000);
+                    self.counter.call(CounterCaller::Turns, CounterName(name), amount, keep_ms * 1_000);
                 }
                 Do::Say(Origin::Own(name), total) => self.report(name, CounterOutcome::Total(total)),
                 // The receiver is gone if the peer has disconnected.
--- a/src/srv.rs
+++ b/src/srv.rs
@@ -1,7 +1,7 @@
 //! `hingestage srv`: follows the SRV records of a name and shows the accepted endpoints, without a gateway.
 
 use crate::{block_on, Failed};
-use hingestage_gateway::srv::{Follower, Hears};
+use hingestage_gateway::srv::{EndpointSink, Follower};
 use hingestage_platform::{Platform, Tokio};
 use hingestage_print::{put, say};
 use hingestage_srv::{Endpoint, Network, SrvSettings};
@@ -32,8 +32,8 @@
     accepted: Rc<Cell<bool>>,
 }
 
-impl Hears for PrintSink {
-    fn believe(&self, endpoints: &[Endpoint]) {
+impl EndpointSink for PrintSink {
+    fn replace(&self, endpoints: &[Endpoint]) {
         self.accepted.set(true);
         say!("believed: {} workers", endpoints.len());
         for Endpoint { at, priority, size, .. } in endpoints {
@@ -41,7 +41,7 @@
         }
     }
 
-    fn lapse(&self) -> Option<Duration> {
+    fn expire(&self) -> Option<Duration> {
         None
     }
 }
