--- a/crates/operator/src/fleet.rs
+++ b/crates/operator/src/fleet.rs
@@ -5,13 +5,13 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Maximum number of gateways in a fleet; see `hingestage_fleet::table`.
+/// Most gateways that tell each other; see `hingestage_fleet::gossip`.
 const GATEWAYS_MAX: f64 = 64.0;
-/// Maximum number of votes of the counter.
+/// Most votes of the counter.
 const COUNTER_VOTES_MAX: f64 = 10_000.0;
-/// Maximum duration of any field in seconds.
+/// The longest lease, seconds.
 const DURATION_SECONDS_MAX: f64 = 600.0;
-/// Minimum ratio of `absent` and `settles` to the lease, to allow for clock drift.
+/// How much longer others wait than a lease lasts, for clocks that do not run quite alike: a hundredth at least.
 const CLOCK_DRIFT_MARGIN: f64 = 1.01;
 
 /// Settings of the gateway fleet: peer detection, and use of the shares of absent gateways.
--- a/crates/turns/tests/common/mod.rs
+++ b/crates/turns/tests/common/mod.rs
@@ -5,7 +5,7 @@
 #![allow(dead_code)]
 
 use fastrand::Rng;
-use hingestage_fleet::roll::Roll;
+use hingestage_fleet::roll_call::RollCall;
 use hingestage_policy::*;
 use hingestage_shares::{Lease, LeaseConfig, Voter};
 use hingestage_turns::aggregator::{AddResult, Aggregator, Command};
@@ -112,7 +112,7 @@
     up: bool,
     forwarder: Forwarder,
     aggregator: Aggregator<Requester>,
-    roll: Roll,
+    roll: RollCall,
     lease: Lease,
     view: Option<LeaseView>,
 }
@@ -309,8 +309,8 @@
         gatekeeper.handle(self.now, Event::Workers(list), &mut Vec::new());
         let forwarder = Forwarder::new(me, 0..self.scenario.gateways);
         let n = self.scenario.gateways;
-        let roll = Roll::new(me, n, self.now);
-        let scale = roll.slot() / S;
+        let roll = RollCall::new(me, n, self.now);
+        let scale = roll.slot_length() / S;
         let config = LeaseConfig {
             gateways: n,
             counter_votes: n - 1,
@@ -345,7 +345,7 @@
         if !self.scenario.views {
             return;
         }
-        for call in self.gateways[by].roll.calls(self.now) {
+        for call in self.gateways[by].roll.due_calls(self.now) {
             let increment = Increment { name: call.name, amount: call.amount, ttl_ms: call.keep / 1_000 };
             self.call(by, increment, Caller::Roll);
         }
@@ -674,7 +674,7 @@
             Caller::Decisions => return self.deliver(by, name, outcome),
             Caller::Roll => {
                 let gateway = &mut self.gateways[by];
-                if let Some(found) = gateway.roll.answered(&name, total.map(f64::from_bits)) {
+                if let Some(found) = gateway.roll.handle_answer(&name, total.map(f64::from_bits)) {
                     gateway.lease.record_ack(self.now, Voter::Counter, found.issued, found.absent);
                 }
                 return;
