--- a/src/sites.rs
+++ b/src/sites.rs
@@ -117,7 +117,7 @@
 
 /// Runs a subcommand.
 pub fn run(task: Task) -> Result<(), Failed> {
-    let load = |file: &Path| hingestage_form::load(file, read).map_err(Failed::InvalidInput);
+    let load = |file: &Path| hingestage_form::load(file, parse).map_err(Failed::InvalidInput);
     match task {
         Task::Check { file } => {
             let sites = load(&file)?;
