--- a/crates/control-sim/src/core_node.rs
+++ b/crates/control-sim/src/core_node.rs
@@ -1,4 +1,4 @@
-//! A core machine: a store and a registry, without their sockets.
+//! A core machine: a store and a registry, without sockets.
 
 use crate::message::{Envelope, Message, NodeId};
 use crate::platform::Platform;
@@ -23,35 +23,35 @@
 use hingestage_rpc::workers::{ServiceIndex, WorkersVersion};
 use std::net::{IpAddr, SocketAddr};
 
-/// Ticks between exchanges of stores, meetings of registries, admissions, and reads of the list.
+/// Ticks between store exchanges, registry heartbeats, admissions, and reads of the worker list.
 const EXCHANGE_TICKS: u64 = 3;
 const MEET_TICKS: u64 = 5;
 const ADMIT_TICKS: u64 = 5;
 const READ_TICKS: u64 = 9;
-/// The same between looks for steps of trials that are due.
+/// Ticks between checks for due trial steps.
 const STEP_TICKS: u64 = 3;
-/// How long a caller waits for a change to become durable.
+/// Timeout for a change to become durable.
 const PROPOSE_WAIT: Micros = 850 * MILLI;
-/// How long a write takes to reach the disk, where it is acknowledged before.
+/// Delay of a disk sync with [`Defect::AckBeforeSync`].
 const LATE_SYNC: Micros = 40 * MILLI;
-/// How long an answer about workers is awaited.
+/// Timeout of a request for workers.
 const SERVICES_WITHIN: Micros = 600 * MILLI;
-/// When a proxy is to tell again.
+/// Time within which a proxy must send its next watch.
 const WATCH_WITHIN: Micros = 800 * MILLI;
 
-/// Number of orders that nobody judges.
+/// Id of proposals whose outcome is not checked.
 pub(crate) const UNWATCHED: u64 = 0;
-/// Stores that found a system.
+/// Number of founding stores.
 const FOUNDERS: usize = 3;
 
-/// What a disk holds.
+/// Contents of a disk.
 #[derive(Clone, Default)]
 struct Disk {
-    /// Number of the disk; none until a store has begun on it.
+    /// Id of the disk; none until a store has started on it.
     number: Option<u64>,
     founder: bool,
     record: Record,
-    /// Written, and lost where power goes before this moment.
+    /// Writes that are lost if power fails before their sync time.
     unsynced: Vec<(Micros, Record)>,
 }
 
@@ -63,7 +63,7 @@
     }
 }
 
-/// A disk while a store writes to it.
+/// Writes a replica's records to a disk.
 struct Writer<'a> {
     disk: &'a mut Disk,
     now: Micros,
@@ -80,7 +80,7 @@
     }
 }
 
-/// An order that a caller waits for.
+/// A proposal whose outcome is pending.
 #[derive(Clone, Debug)]
 pub(crate) struct Order {
     pub number: u64,
@@ -88,7 +88,7 @@
     until: Micros,
 }
 
-/// A read that a caller waits for.
+/// A pending read of the configuration.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Read {
     pub asked_at: Micros,
@@ -96,7 +96,7 @@
     until: Micros,
 }
 
-/// A core machine.
+/// A simulated core machine.
 pub(crate) struct CoreNode {
     pub process: Process,
     pub member: StoreMember,
@@ -113,15 +113,15 @@
     orders: Vec<Order>,
     reads: Vec<Read>,
     ticks: u64,
-    /// Whether it is gone for good.
+    /// Whether the machine was permanently removed.
     pub retired: bool,
 }
 
-/// The stores of a system that starts.
+/// Placement of the core machines.
 pub(crate) struct Layout<'a> {
-    /// Zones of all core machines, those that come later last.
+    /// Zones of all core machines, spares last.
     pub zones: &'a [&'a str],
-    /// How many there are at the start.
+    /// Number of machines that run from the start.
     pub present: usize,
 }
 
@@ -153,20 +153,20 @@
         node
     }
 
-    /// The machine has lost power; what is not on its disk is gone.
+    /// Stops the process and discards unsynced writes.
     pub fn lose_power(&mut self, now: Micros) {
         self.disk.sync(now);
         self.disk.unsynced.clear();
         self.process.stop();
     }
 
-    /// Its disk is lost as well.
+    /// Erases the disk.
     pub fn wipe(&mut self) {
         let number = self.disk.number.filter(|_| self.defect == Some(Defect::EmptyDiskVotes));
         self.disk = Disk { number, ..Disk::default() };
     }
 
-    /// Starts on what the disk holds. `seeds` are stores that it is told of.
+    /// Starts from the disk's contents. `seeds` are the initially known stores.
     pub fn start(&mut self, now: Micros, seeds: &[StoreMember]) {
         self.process.start(now);
         let life = u64::from(self.process.life);
@@ -193,22 +193,22 @@
         self.reads.clear();
     }
 
-    /// Whether nothing is in its way, or it is not there at all.
+    /// Whether the machine runs unpaused or is not part of the system.
     pub fn is_whole(&self, now: Micros) -> bool {
         !self.is_there() || (self.process.up && !self.process.is_frozen(now))
     }
 
-    /// Whether it has ever started and is not gone for good.
+    /// Whether the machine has started and was not removed.
     pub fn is_there(&self) -> bool {
         self.process.life > 0 && !self.retired
     }
 
-    /// It comes into the place of a machine of some zone.
+    /// Assigns the machine to a zone.
     pub fn place(&mut self, zone: &str) {
         self.member.zone = zone.into();
     }
 
-    /// It is told to end.
+    /// Begins the handover before shutdown.
     pub fn leave(&mut self) {
         self.replica.begin_handover();
     }
@@ -225,7 +225,7 @@
         outgoing.into_iter().map(envelope).collect()
     }
 
-    /// Lets the replica do what is due.
+    /// Runs the replica's due work.
     fn poll(&mut self, now: Micros) -> Vec<Envelope> {
         let clock = self.process.clock(now);
         let mut writer = Writer { disk: &mut self.disk, now, defect: self.defect };
@@ -237,14 +237,14 @@
         sent
     }
 
-    /// Asks all other stores that are known how far they are.
+    /// Exchanges progress with all other known stores.
     fn exchange(&self, now: Micros) -> Vec<Envelope> {
         let members = self.replica.members().into_iter().filter(|member| member.name != self.member.name);
         let request = self.replica.exchange_request();
         self.ask(now, members.map(|to| OutgoingRequest { to, request: request.clone() }).collect())
     }
 
-    /// A caller hands an order over; none where nobody can take it.
+    /// Proposes a change; sends nothing while the replica is recovering.
     pub fn propose(&mut self, now: Micros, number: u64, change: Change) -> Vec<Envelope> {
         if self.replica.is_recovering() {
             return Vec::new();
@@ -256,7 +256,7 @@
         self.poll(now)
     }
 
-    /// What has become of orders, by their numbers.
+    /// Takes the outcomes of proposals by id, and withdraws those that timed out.
     pub fn outcomes(&mut self, now: Micros) -> Vec<(u64, Proposed)> {
         let mut outcomes = Vec::new();
         for order in std::mem::take(&mut self.orders) {
@@ -269,14 +269,14 @@
         outcomes
     }
 
-    /// A caller asks for the configuration.
+    /// Starts a read of the configuration.
     pub fn read(&mut self, now: Micros) -> Vec<Envelope> {
         let since = self.process.clock(now);
         self.reads.push(Read { asked_at: now, since, until: now + PROPOSE_WAIT });
         self.exchange(now)
     }
 
-    /// Reads that are answered now, each with what it is told.
+    /// Takes the reads that can be answered now, each with its result.
     pub fn answers(&mut self, now: Micros) -> Vec<(Read, Option<ConfigVersion>)> {
         let clock = self.process.clock(now);
         let version = self.replica.state().config.as_ref().map(|config| config.version);
@@ -288,7 +288,7 @@
         current.into_iter().map(|read| (read, version)).collect()
     }
 
-    /// A moment has passed.
+    /// Runs periodic work and returns the messages to send.
     pub fn tick(&mut self, now: Micros, platform: &mut Platform, random: &mut Rng) -> Vec<Envelope> {
         let clock = self.process.clock(now);
         self.ticks += 1;
@@ -339,7 +339,7 @@
         self.propose(now, UNWATCHED, Change::Proxies(names))
     }
 
-    /// Announces steps of trials that are due by this machine's time of day, where it has the duty.
+    /// Announces trial steps that are due by this machine's wall clock, if it is the elected reader.
     fn announce_steps(&mut self, now: Micros) -> Vec<Envelope> {
         if self.duty.fence().is_none() {
             return Vec::new();
@@ -351,7 +351,7 @@
         self.propose(now, UNWATCHED, Change::TrialSteps(steps))
     }
 
-    /// An operator hands terms of a trial over.
+    /// Proposes trial terms.
     pub fn propose_terms(&mut self, now: Micros, record: TrialRecord) -> Vec<Envelope> {
         self.propose(now, UNWATCHED, Change::TrialTerms(record))
     }
@@ -370,7 +370,7 @@
         }
     }
 
-    /// A message has come.
+    /// Handles a message and returns the messages to send.
     pub fn deliver(&mut self, now: Micros, envelope: Envelope) -> Vec<Envelope> {
         let clock = self.process.clock(now);
         let (from, life) = (envelope.from, envelope.from_life);
@@ -483,7 +483,7 @@
     format_compact!("core-{number}")
 }
 
-/// The machine at a store's address.
+/// Returns the index of the machine with a store's address.
 fn node_at(addr: SocketAddr) -> NodeId {
     match addr.ip() {
         IpAddr::V4(ip) => ip.octets()[3].into(),
--- a/crates/control-sim/src/defect.rs
+++ b/crates/control-sim/src/defect.rs
@@ -1,41 +1,41 @@
-//! Faults that are planted on purpose.
+//! Known defects that can be planted to prove that the checks detect them.
 
 use std::fmt;
 use std::str::FromStr;
 
-/// A fault that is planted on purpose.
+/// A defect that replaces correct behaviour in one place.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Defect {
-    /// A store says that an update is on its disk before it is.
+    /// A store acknowledges an update before it is synced to disk.
     AckBeforeSync,
-    /// A proxy counts a lease from when the answer came, not from when it asked.
+    /// A proxy starts a lease at receipt of the answer instead of when it sent the request.
     LeaseFromReceipt,
-    /// Proxies go by the time of day.
+    /// Proxies use the wall clock instead of the monotonic clock.
     WallClock,
-    /// A store that lost its disk speaks as if it had had nothing.
+    /// A store that lost its disk votes under its old disk id.
     EmptyDiskVotes,
-    /// A store answers reads without asking others.
+    /// A store answers reads without confirming with a quorum.
     ReadWithoutContact,
-    /// An order under a serial that another document has is acknowledged.
+    /// A configuration is acknowledged although its serial belongs to another document.
     OtherContentAcknowledged,
-    /// All readers of the platform's list number it alike.
+    /// All readers of the worker list use the same fence, so their versions collide.
     DutyWithoutFence,
-    /// A proxy keeps its part of common limits over a restart.
+    /// A proxy keeps its share of common limits across a restart.
     PartKeptOverRestart,
-    /// A new proxy gets its part as soon as its name is known.
+    /// A new proxy gets its share immediately, before the lease of the previous shares ends.
     NewcomerAtOnce,
-    /// Each proxy takes steps of trials by its own time of day.
+    /// Each proxy applies trial steps by its own wall clock.
     StepByOwnClock,
-    /// A proxy takes a step as soon as it hears of it.
+    /// A proxy applies a trial step on receipt, without the delay.
     StepAtOnce,
-    /// The first step is announced as soon as the terms are known.
+    /// The first trial step is announced as soon as the terms are known, without notice.
     StepWithoutNotice,
-    /// A proxy goes by the steps that it knows however old its news is.
+    /// A proxy applies the trial steps that it knows after its lease has expired.
     StepWithoutLease,
 }
 
 impl Defect {
-    /// All of them.
+    /// All defects.
     pub const ALL: [Defect; 13] = [
         Defect::AckBeforeSync,
         Defect::LeaseFromReceipt,
@@ -52,7 +52,7 @@
         Defect::StepWithoutLease,
     ];
 
-    /// Whether it shows only where operators set terms of trials.
+    /// Whether the defect can only be detected when operators set trial terms.
     pub fn is_of_trials(self) -> bool {
         matches!(
             self,
--- a/crates/control-sim/src/faults.rs
+++ b/crates/control-sim/src/faults.rs
@@ -1,45 +1,45 @@
-//! Faults, drawn from a seed before a run begins.
+//! Generates the schedule of injected faults from a seed.
 
 use crate::message::NodeId;
 use crate::{Micros, MILLI, SECOND};
 use fastrand::Rng;
 
-/// When faults may begin and when the last one does.
+/// Faults begin between these two points in time.
 pub(crate) const FAULTS_FROM: Micros = 8 * SECOND;
 pub(crate) const FAULTS_UNTIL: Micros = 40 * SECOND;
-/// Longest time that a fault lasts.
+/// Longest duration of a freeze or a network cut.
 const LASTS_MAX: Micros = 7 * SECOND;
-/// How long one core machine is cut off at times.
+/// Duration of the long isolation of a single core machine.
 const LONG_CUT: Micros = 20 * SECOND;
-/// Longest time that a machine is down.
+/// Longest downtime after a power loss.
 const DOWN_MAX: Micros = 3 * SECOND;
-/// Longest jump of the time of day.
+/// Half the range of the wall clock offset.
 const JUMP_MAX: Micros = 9 * SECOND;
 
-/// A fault.
+/// A fault to inject.
 #[derive(Clone, Debug)]
 pub(crate) enum Fault {
     /// Machines lose power and come back.
     Power { nodes: Vec<NodeId>, down: Micros },
-    /// The same, and one core machine's disk is lost; where `all`, all core machines lose power with it.
+    /// A core machine loses power and its disk; if `all`, all core machines lose power.
     Wipe { core: NodeId, all: bool, down: Micros },
     /// All core machines of a zone lose their disks.
     WipeZone { zone: usize, down: Micros },
-    /// All core machines lose power right after the next acknowledgement; where `wipe`, one loses its disk.
+    /// All core machines lose power right after the next acknowledgement; if `wipe`, one loses its disk.
     PowerAfterAck { wipe: bool, down: Micros },
-    /// A machine stands still.
+    /// A machine pauses.
     Freeze { node: NodeId, lasts: Micros },
-    /// Machines are cut off from some others: both ways, or only what they send, or only what is sent to them.
+    /// Messages between `nodes` and `others` are dropped, in one or both directions.
     Cut { nodes: Vec<NodeId>, others: Vec<NodeId>, direction: Direction, lasts: Micros },
-    /// The time of day jumps.
+    /// The wall clock jumps.
     Clock { node: NodeId, to: Micros },
-    /// A core machine goes for good, and a new one comes into its zone: afterwards, or where `planned` before it.
+    /// A core machine is removed and a new one starts in its zone: afterwards, or before it if `planned`.
     Replace { core: NodeId, planned: bool },
-    /// A proxy that was never there starts.
+    /// A proxy starts for the first time.
     Join { proxy: NodeId },
 }
 
-/// Which way a cut goes.
+/// The direction in which messages are dropped, seen from the nodes of the cut.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Direction {
     Both,
@@ -47,14 +47,14 @@
     Inward,
 }
 
-/// How large a system is.
+/// Numbers of machines and zones in the system.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Size {
-    /// Core machines, those that come later among them.
+    /// All core machines, including spares.
     pub cores: usize,
-    /// Core machines that the system starts with.
+    /// Core machines that run from the start.
     pub present_cores: usize,
-    /// Proxies that start with the system.
+    /// Proxies that run from the start.
     pub proxies: usize,
     /// Proxies that start later.
     pub joining: usize,
@@ -62,13 +62,13 @@
 }
 
 impl Size {
-    /// All machines that there ever are.
+    /// Total number of machines, including those that start later.
     pub fn nodes(&self) -> usize {
         self.cores + self.proxies + self.joining
     }
 }
 
-/// Draws what happens, and when.
+/// Draws the faults and their times.
 pub(crate) fn draw(random: &mut Rng, size: &Size) -> Vec<(Micros, Fault)> {
     let mut faults = Vec::new();
     let mut at = FAULTS_FROM;
--- a/crates/control-sim/src/judge.rs
+++ b/crates/control-sim/src/judge.rs
@@ -1,4 +1,4 @@
-//! What must hold, looked at from outside.
+//! Checks the invariants of the control plane from outside the nodes.
 
 use crate::core_node::CoreNode;
 use crate::faults::FAULTS_FROM;
@@ -16,21 +16,21 @@
 use std::collections::BTreeMap;
 use std::fmt;
 
-/// A key that was taken away binds so long after the acknowledgement.
+/// Time after an acknowledgement within which proxies must honour a key revocation.
 const REVOKE: Micros = 5 * SECOND;
-/// Orders are acknowledged again so long after nothing is in the way any more.
+/// Time after the last fault within which configurations are acknowledged again.
 const SERVES_WITHIN: Micros = 5 * SECOND;
-/// What rounding may add to a sum of parts.
+/// Rounding tolerance of a sum of shares.
 const ROUNDING: f64 = 1e-9;
 
-/// A rule that was broken.
+/// A violated invariant.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Broken {
     /// The seed of the run.
     pub seed: u64,
-    /// When, in microseconds from the start.
+    /// Time since the start of the run, in microseconds.
     pub at: Micros,
-    /// What.
+    /// Description of the violation.
     pub what: String,
 }
 
@@ -40,38 +40,38 @@
     }
 }
 
-/// Orders about a zone. Its operator sends one after another.
+/// Drain changes of one zone, sent by an operator one after another.
 #[derive(Default)]
 struct DrainOrders {
     acknowledged: bool,
     sent_since: Vec<bool>,
 }
 
-/// What has been seen so far.
+/// State observed so far, and the checks on it.
 #[derive(Default)]
 pub(crate) struct Judge {
     acknowledged: Vec<(Micros, ConfigVersion)>,
-    /// The highest serial that an operator has sent.
+    /// The highest serial that any operator has sent.
     highest_sent: u64,
-    /// The content of each serial that was seen to hold.
+    /// The committed version of each observed serial.
     holds: BTreeMap<u64, ConfigVersion>,
-    /// The order about each zone that was acknowledged last, and those sent after it.
+    /// The last acknowledged drain change of each zone, and those sent after it.
     drains: BTreeMap<&'static str, DrainOrders>,
-    /// What each version of a service's workers has in it.
+    /// The workers in each version of a service's list.
     contents: BTreeMap<(CompactString, WorkersVersion), Vec<(CompactString, bool)>>,
-    /// The configuration in force at each proxy, and the life of its process.
+    /// The configuration in force at each proxy, and the incarnation of its process.
     in_force: BTreeMap<CompactString, (u32, Option<ConfigVersion>)>,
-    /// When a request of each tenant was first judged by a position.
+    /// When each trial position of a tenant was first in effect at a proxy.
     judged: BTreeMap<(&'static str, TrialPosition), Micros>,
 }
 
 impl Judge {
-    /// An operator sends a configuration.
+    /// Records that an operator sent a configuration.
     pub fn sent(&mut self, version: ConfigVersion) {
         self.highest_sent = self.highest_sent.max(version.serial);
     }
 
-    /// A configuration is acknowledged. While no higher serial was ever sent, it is the one that holds.
+    /// Records an acknowledgement. The version is committed if no higher serial was sent.
     pub fn acknowledged(&mut self, now: Micros, version: ConfigVersion) -> Result<(), String> {
         self.acknowledged.push((now, version));
         if version.serial >= self.highest_sent {
@@ -80,7 +80,7 @@
         Ok(())
     }
 
-    /// A configuration is refused, as another one has its serial.
+    /// Checks that a configuration refused for its serial is not the committed one.
     pub fn refused(&self, version: ConfigVersion) -> Result<(), String> {
         match self.holds.get(&version.serial) {
             Some(held) if *held == version => Err(format!("{version:?} holds and is refused")),
@@ -88,7 +88,7 @@
         }
     }
 
-    /// An operator's read that began at a moment is answered.
+    /// Checks that a read returns at least the newest version acknowledged before it began.
     pub fn read(&mut self, asked_at: Micros, version: Option<ConfigVersion>) -> Result<(), String> {
         let before = self.acknowledged.iter().filter(|(at, _)| *at < asked_at);
         let newest = before.map(|(_, version)| version.serial).max();
@@ -98,7 +98,7 @@
         version.map_or(Ok(()), |version| self.seen_to_hold("a reader", version))
     }
 
-    /// One serial has one content, whoever sees it.
+    /// Checks that a serial has the same content at every node.
     fn seen_to_hold(&mut self, who: &str, version: ConfigVersion) -> Result<(), String> {
         let held = *self.holds.entry(version.serial).or_insert(version);
         match held == version {
@@ -107,12 +107,12 @@
         }
     }
 
-    /// An operator sends an order about a zone.
+    /// Records that an operator sent a drain change.
     pub fn drain_sent(&mut self, zone: &'static str, drained: bool) {
         self.drains.entry(zone).or_default().sent_since.push(drained);
     }
 
-    /// An order about a zone is acknowledged.
+    /// Records that a drain change was acknowledged.
     pub fn drain_acknowledged(&mut self, zone: &'static str, drained: bool) {
         self.drains.insert(zone, DrainOrders { acknowledged: drained, sent_since: Vec::new() });
     }
@@ -121,7 +121,7 @@
         self.acknowledged.len()
     }
 
-    /// What must hold at every moment.
+    /// Checks the invariants that hold at all times.
     pub fn check(
         &mut self,
         now: Micros,
@@ -147,7 +147,7 @@
         check_parts(now, &running)
     }
 
-    /// No proxy believes keys by a configuration that is too old, in touch or not.
+    /// No proxy accepts keys from an outdated configuration, even while it is disconnected.
     fn check_keys(&self, now: Micros, proxy: &ProxyNode) -> Result<(), String> {
         if proxy.process.is_frozen(now) || !proxy.view.keys_valid(proxy.clock(now)) {
             return Ok(());
@@ -161,8 +161,8 @@
         Ok(())
     }
 
-    /// No tenant is judged by an earlier position long after it was judged by a later one anywhere. A tenant whose trial is
-    /// not known has its whole quota, as before the first step of any terms.
+    /// Once a trial position is in effect anywhere, no proxy applies an earlier one after the uncertainty has passed. A
+    /// tenant without a known trial has its whole quota, as before the first step.
     fn check_trials(&mut self, now: Micros, proxy: &mut ProxyNode) -> Result<(), String> {
         for tenant in TENANTS {
             let Some(position) = proxy.judged_by(now, tenant) else { continue };
@@ -194,7 +194,7 @@
         }
     }
 
-    /// One version of a service's workers is one list, wherever it is held.
+    /// Checks that one version of a service's workers has the same content at every node.
     fn check_contents(&mut self, node: &CompactString, catalog: &Catalog) -> Result<(), String> {
         for name in catalog.names() {
             let Some(list) = catalog.service(name) else { continue };
@@ -210,7 +210,7 @@
         Ok(())
     }
 
-    /// What must hold once faults have been over for long.
+    /// Checks the invariants that hold after the system has recovered from all faults.
     pub fn check_end(
         &self,
         now: Micros,
@@ -297,7 +297,7 @@
     }
 }
 
-/// Those that vote are there, and more than half of all that are.
+/// All voters are active, and they are more than half of the active stores.
 fn check_voters_at_end(there: &[&CoreNode]) -> Result<(), String> {
     let membership = there.iter().map(|core| &core.replica.state().membership).max_by_key(|m| m.epoch);
     let voters = membership.map(|membership| membership.voters.as_slice()).unwrap_or_default();
@@ -309,7 +309,7 @@
     }
 }
 
-/// All proxies judge by the last step of the terms that all stores hold.
+/// All proxies apply the last step of the terms, and all stores hold the same terms.
 fn check_trials_at_end(now: Micros, cores: &[CoreNode], proxies: &mut [ProxyNode]) -> Result<(), String> {
     for tenant in TENANTS {
         let mut there = cores.iter().filter(|core| core.is_there());
@@ -338,7 +338,7 @@
     Ok(())
 }
 
-/// Parts of what is common never come to more than the whole.
+/// The shares of common limits never exceed the whole.
 fn check_parts(now: Micros, running: &[&ProxyNode]) -> Result<(), String> {
     if now < FAULTS_FROM {
         return Ok(());
--- a/crates/control-sim/src/lib.rs
+++ b/crates/control-sim/src/lib.rs
@@ -1,8 +1,8 @@
-//! The control plane on a virtual clock: the cores of stores, registries and proxies, a network between them, an
-//! operator, a platform, and faults drawn from a seed. The rules are checked from outside, by what each proxy would do.
+//! Deterministic simulation of the control plane on a virtual clock: stores, registries and proxies without sockets, a
+//! network, operators, a platform, and faults drawn from a seed. Invariants are checked from outside the nodes.
 //!
-//! What runs here is the programs' own code without its sockets. A seed is one run. [`Defect`]s plant known faults, to
-//! show that the checks notice them.
+//! A seed determines the whole run. A [`Defect`] plants a known fault to prove that the
+//! checks detect it.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/crates/control-sim/src/main.rs
+++ b/crates/control-sim/src/main.rs
@@ -1,4 +1,4 @@
-//! `hingestage-control-sim`: plays seeds of the control plane.
+//! `hingestage-control-sim`: runs simulations of the control plane for a range of seeds.
 #![forbid(unsafe_code)]
 
 use hingestage_control_sim::{play, play_and_tell, Broken, Defect, Options, Played};
@@ -7,26 +7,26 @@
 use std::sync::Mutex;
 
 xflags::xflags! {
-    /// Plays the control plane on a virtual clock, under faults drawn from seeds.
+    /// Simulates the control plane on a virtual clock, with faults drawn from seeds.
     ///
-    /// Exit codes: 0 no rule broken, 1 one was, 2 bad usage.
+    /// Exit codes: 0 all invariants held, 1 an invariant was violated, 2 bad usage.
     cmd hingestage-control-sim {
-        /// The first seed; 0 where it is left out.
+        /// The first seed; default 0.
         optional --from seed: u64
-        /// How many seeds; 100 where it is left out.
+        /// Number of seeds; default 100.
         optional --seeds count: u64
-        /// A fault to plant, by its name.
+        /// The name of a defect to plant.
         optional --defect name: Defect
-        /// Let operators set terms of trials.
+        /// Let operators set trial terms.
         optional --trials
-        /// Tell what happens in the first seed, and play no other.
+        /// Print the events of the first seed and run no other.
         optional --history
-        /// Threads; all cores where it is left out.
+        /// Number of threads; default all cores.
         optional --jobs count: usize
     }
 }
 
-/// Broken seeds that are told of.
+/// Maximum number of violations to print.
 const TOLD_MAX: usize = 10;
 
 fn main() -> ExitCode {
--- a/crates/control-sim/src/message.rs
+++ b/crates/control-sim/src/message.rs
@@ -1,4 +1,4 @@
-//! What goes between the processes of a simulated system. Requests carry when they were asked, and answers say it again.
+//! Messages between simulated processes. Answers echo the send time of their request.
 
 use crate::Micros;
 use hingestage_rpc::messages::{
@@ -6,35 +6,35 @@
 };
 use hingestage_rpc::workers::{KnownServiceVersion, ServiceIndex, ServiceUpdate, WorkersVersion};
 
-/// A machine: core machines first, then proxies.
+/// Index of a machine: core machines first, then proxies.
 pub(crate) type NodeId = usize;
 
-/// A message on its way.
+/// A message in transit.
 #[derive(Clone, Debug)]
 pub(crate) struct Envelope {
     pub from: NodeId,
     pub to: NodeId,
-    /// Life of the process that an answer is for; a request reaches whatever process is there.
+    /// Incarnation that an answer is addressed to; none for requests, which any incarnation accepts.
     pub to_life: Option<u32>,
-    /// Life of the sender.
+    /// Incarnation of the sender.
     pub from_life: u32,
     pub message: Message,
 }
 
-/// What is said.
+/// Requests and answers of stores, registries and proxies.
 #[derive(Clone, Debug)]
 pub(crate) enum Message {
-    /// A store asks another.
+    /// A request between stores.
     Store {
         asked_at: Micros,
         request: PeerRequest,
     },
-    /// Its answer.
+    /// The answer of a store.
     StoreAnswer {
         asked_at: Micros,
         answer: PeerAnswer,
     },
-    /// Registries hear each other.
+    /// Heartbeat between registries.
     Meet {
         from: RegistryMember,
         members: Vec<RegistryMember>,
@@ -46,7 +46,7 @@
         members: Vec<RegistryMember>,
         workers: ServiceIndex,
     },
-    /// A proxy asks a registry for news.
+    /// A proxy asks a registry for updates.
     Watch {
         asked_at: Micros,
         status: ProxyStatus,
@@ -58,7 +58,7 @@
     },
     FetchConfig,
     Config(ConfigDocument),
-    /// A registry or a home is asked for services' workers.
+    /// Asks a registry or a home proxy for the workers of services.
     FetchServices(Vec<KnownServiceVersion>),
     Services(Vec<ServiceUpdate>),
 }
--- a/crates/control-sim/src/platform.rs
+++ b/crates/control-sim/src/platform.rs
@@ -1,4 +1,4 @@
-//! The platform's list of workers, as it was a moment ago.
+//! Simulated platform API that returns its list of workers with a lag.
 
 use crate::world::QUIET;
 use crate::{Micros, MILLI};
@@ -10,13 +10,13 @@
 const LAG: Micros = 800 * MILLI;
 const SERVICES: usize = 3;
 const WORKERS_EACH: usize = 4;
-/// One call in so many fails.
+/// One read in this many fails.
 const FAILS_ONCE_IN: u32 = 12;
 
-/// The platform.
+/// The platform and the history of its worker list.
 pub(crate) struct Platform {
     workers: Vec<WorkerRecord>,
-    /// Earlier lists, and when each came about.
+    /// Past and current lists, each with the time of its change.
     history: VecDeque<(Micros, Vec<WorkerRecord>)>,
     started: usize,
 }
@@ -45,7 +45,7 @@
         }
     }
 
-    /// A worker begins to leave, leaves, or is replaced.
+    /// Starts draining a random worker, or replaces it if it is draining.
     pub fn change(&mut self, now: Micros, random: &mut Rng) {
         let place = random.usize(..self.workers.len());
         if self.workers[place].draining {
@@ -57,7 +57,7 @@
         self.history.push_back((now, self.workers.clone()));
     }
 
-    /// The list as a reader gets it; none where the call fails.
+    /// Returns the list as of [`LAG`] ago; none if the call fails.
     pub fn read(&mut self, now: Micros, random: &mut Rng) -> Option<Vec<WorkerRecord>> {
         while self.history.get(1).is_some_and(|(since, _)| since + LAG <= now) {
             self.history.pop_front();
@@ -66,7 +66,7 @@
         self.history.front().filter(|_| !fails).map(|(_, workers)| workers.clone())
     }
 
-    /// What the list says once nothing changes any more: ids by service, and whether each leaves.
+    /// The current workers without lag: sorted ids, and whether each is draining.
     pub fn truth(&self) -> Vec<(CompactString, bool)> {
         let mut truth: Vec<(CompactString, bool)> =
             self.workers.iter().map(|worker| (worker.id.clone(), worker.draining)).collect();
--- a/crates/control-sim/src/process.rs
+++ b/crates/control-sim/src/process.rs
@@ -1,17 +1,17 @@
-//! The life of a simulated process.
+//! Lifecycle and clocks of a simulated process.
 
 use crate::{Micros, MILLI};
 
-/// Whether a process runs, since when, and by which clock it goes.
+/// State and clocks of a process.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Process {
     pub up: bool,
-    /// Grows with each start.
+    /// Incarnation; increases with each start.
     pub life: u32,
     pub started: Micros,
-    /// Until when it stands still.
+    /// The process is paused until this time.
     pub frozen_until: Micros,
-    /// What its time of day is ahead of what it was.
+    /// Offset of the wall clock from the virtual clock.
     pub wall_ahead: Micros,
 }
 
@@ -27,12 +27,12 @@
         self.up = false;
     }
 
-    /// Its steady clock.
+    /// Monotonic clock: time since the process started.
     pub fn clock(&self, now: Micros) -> Micros {
         now - self.started
     }
 
-    /// Its time of day, milliseconds.
+    /// Wall clock in milliseconds.
     pub fn time_of_day(&self, now: Micros) -> u64 {
         (now + self.wall_ahead) / MILLI
     }
--- a/crates/control-sim/src/proxy_node.rs
+++ b/crates/control-sim/src/proxy_node.rs
@@ -1,4 +1,4 @@
-//! A proxy: what it knows, without its sockets and its requests.
+//! A proxy's view of the control plane, without sockets and requests.
 
 use crate::message::{Envelope, Message, NodeId};
 use crate::process::Process;
@@ -12,17 +12,17 @@
 use hingestage_rpc::workers::KnownServiceVersion;
 use hingestage_trial::TrialDecision;
 
-/// Ticks between watches, questions to homes, and questions about what homes are late with.
+/// Ticks between watches, requests to home proxies, and fallback requests to registries.
 const WATCH_TICKS: u64 = 4;
 const FOLLOW_TICKS: u64 = 3;
 const LATE_TICKS: u64 = 2;
-/// How long a home may take with news that a registry has told of.
+/// Time after which a home that lacks an announced update is considered unresponsive.
 const HOME_PATIENCE: Micros = 200 * MILLI;
-/// For how long a home that was late is none.
+/// How long an unresponsive home is excluded.
 const HOME_SILENT: Micros = 3 * SECOND;
-/// How long an answer about workers is awaited.
+/// Timeout of a request for workers.
 const SERVICES_WITHIN: Micros = 400 * MILLI;
-/// What a proxy goes by.
+/// Settings of the view.
 const SPANS: ViewSettings = ViewSettings {
     zone_return_delay: 2_500 * MILLI,
     cold_margin: 300 * MILLI,
@@ -30,10 +30,10 @@
     share_lease: 11 * SECOND,
     trials: TRIAL_SPANS,
 };
-/// How steps of trials take effect.
+/// Timing of trial steps.
 pub(crate) const TRIAL_SPANS: hingestage_trial::TrialTiming = hingestage_trial::TrialTiming::DEFAULT;
 
-/// A proxy.
+/// A simulated proxy.
 pub(crate) struct ProxyNode {
     pub process: Process,
     pub name: CompactString,
@@ -43,13 +43,13 @@
     defect: Option<Defect>,
     pub view: View,
     homes: Homes,
-    /// How far each core machine told of trials.
+    /// The trial revision last received from each core machine.
     trials: Vec<TrialRevision>,
     ticks: u64,
 }
 
 impl ProxyNode {
-    /// A proxy that has not started.
+    /// Creates a proxy that has not started.
     pub fn new(number: NodeId, cores: usize, zone: &str, defect: Option<Defect>) -> ProxyNode {
         let name = format_compact!("edge-{number}");
         ProxyNode {
@@ -75,7 +75,7 @@
         self.homes = Homes::new(&self.name);
     }
 
-    /// The clock that it goes by.
+    /// The clock used for leases.
     pub fn clock(&self, now: Micros) -> Micros {
         let steady = self.process.clock(now);
         if self.defect == Some(Defect::WallClock) {
@@ -85,8 +85,8 @@
         }
     }
 
-    /// By which position of a trial it would judge a request: none where it would not, and the lowest where it knows of no
-    /// trial.
+    /// The trial position that applies to a tenant's requests: none if the proxy would refuse them, the lowest if it knows
+    /// no trial.
     pub fn judged_by(&mut self, now: Micros, tenant: &str) -> Option<TrialPosition> {
         let clock = self.clock(now);
         if self.view.limit_share().share(clock) <= 0.0 {
@@ -103,7 +103,7 @@
         }
     }
 
-    /// A moment has passed.
+    /// Runs periodic work and returns the messages to send.
     pub fn tick(&mut self, now: Micros, random: &mut Rng) -> Vec<Envelope> {
         let clock = self.clock(now);
         self.ticks += 1;
@@ -156,13 +156,13 @@
             zone: self.zone.clone(),
             region: "r".into(),
             http: ([10, 1, 0, 0], 80).into(),
-            // The port tells the machine.
+            // The port encodes the machine's index.
             peer: ([10, 1, 0, 0], self.number as u16).into(),
             ready: self.view.can_serve(),
         }
     }
 
-    /// A message has come.
+    /// Handles a message and returns the messages to send.
     pub fn deliver(&mut self, now: Micros, envelope: Envelope) -> Vec<Envelope> {
         let clock = self.clock(now);
         match envelope.message {
--- a/crates/control-sim/src/world.rs
+++ b/crates/control-sim/src/world.rs
@@ -1,4 +1,4 @@
-//! The run: events in the order of a virtual clock.
+//! Event loop of a run on a virtual clock.
 
 use crate::core_node::{CoreNode, Layout, UNWATCHED};
 use crate::faults::{self, Direction, Fault, Size, FAULTS_UNTIL};
@@ -17,35 +17,35 @@
 
 const TICK: Micros = 100 * MILLI;
 const CHECK_PERIOD: Micros = 50 * MILLI;
-/// From then on nothing is in the way.
+/// All faults are over by this time.
 pub(crate) const HEALED: Micros = FAULTS_UNTIL + 3 * SECOND;
-/// From then on operator and platform change nothing.
+/// Operators and platform make no changes after this time.
 pub(crate) const QUIET: Micros = HEALED + 15 * SECOND;
 const END: Micros = QUIET + 30 * SECOND;
-/// How long all core machines have to be whole before a disk may be lost.
+/// How long all core machines must be healthy before another disk may be lost.
 const SYNC_TIME: Micros = 4 * SECOND;
-/// What the time of day is ahead of at the start, so that it can go back.
+/// Initial wall clock offset, so that the clock can also jump back.
 const WALL_AHEAD: Micros = 9 * SECOND;
-/// Machines start within so much of each other.
+/// Proxies start within this time.
 const START_WITHIN: Micros = 300 * MILLI;
-/// One change in so many is made by two operators at once.
+/// One change in this many is made by two operators concurrently.
 const RACE_ONCE_IN: u32 = 6;
-/// The same of orders that are sent again, reads, and orders about zones.
+/// Frequencies of resent documents, reads, and drain changes.
 const RESEND_ONCE_IN: u32 = 4;
 const READ_ONCE_IN: u32 = 2;
 const DRAIN_ONCE_IN: u32 = 4;
-/// Zones that are evacuated.
+/// Zones that operators drain.
 const DRAINED_ZONES: [&str; 2] = ["a", "b"];
-/// Core machines that can come later.
+/// Core machines that can replace others.
 const SPARE_CORES: usize = 4;
-/// From the loss of a machine to its successor, or from that to the loss where it is planned.
+/// Time between the removal of a machine and the start of its successor, in either order.
 const SUCCESSOR_AFTER: Micros = SECOND;
-/// How long a machine that is told to end may take.
+/// Shutdown timeout of a core machine.
 const GRACE: Micros = 2 * SECOND;
 
 /// Tenants with trials.
 pub(crate) const TENANTS: [&str; 6] = ["trial-a", "trial-b", "trial-c", "trial-d", "trial-e", "trial-f"];
-/// Longest time from terms to the end that they set, milliseconds.
+/// Longest time from setting terms to the trial's end, in milliseconds.
 const END_WITHIN: u64 = 12_000;
 
 enum Event {
@@ -53,14 +53,14 @@
     Tick(NodeId, u32),
     Start(NodeId),
     Fault(Fault),
-    /// A new core machine starts in the place of one.
+    /// A new core machine replaces another.
     Succeed {
         core: NodeId,
         successor: NodeId,
     },
-    /// A core machine is told to end.
+    /// A core machine begins its shutdown.
     Leave(NodeId),
-    /// One that was told to end ends once it is done, or its time is up.
+    /// A core machine stops once its handover is complete or the timeout has passed.
     End {
         core: NodeId,
         until: Micros,
@@ -97,28 +97,28 @@
     }
 }
 
-/// Links that carry nothing.
+/// Links that drop all messages.
 struct Cut {
     from: Vec<NodeId>,
     to: Vec<NodeId>,
     until: Micros,
 }
 
-/// What an operator has sent.
+/// A change that an operator requested.
 #[derive(Clone, Copy, Debug)]
 enum OrderSent {
     Config(ConfigVersion),
     Drain { zone: &'static str, drained: bool },
 }
 
-/// How a run went.
+/// Result of a run without violations.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Played {
-    /// Events.
+    /// Number of events.
     pub events: u64,
-    /// Acknowledged configurations.
+    /// Number of acknowledged configurations.
     pub acknowledged: usize,
-    /// A digest of the run: the same for the same seed.
+    /// Digest of the events; equal for equal seeds and options.
     pub digest: u64,
 }
 
@@ -136,13 +136,13 @@
     judge: Judge,
     serial: u64,
     terms_version: u64,
-    /// Since when all core machines have been whole.
+    /// Since when all core machines have been healthy.
     whole_since: Micros,
-    /// What happens at the next acknowledgement.
+    /// Power loss at the next acknowledgement: whether a disk is wiped, and the downtime.
     after_ack: Option<(bool, Micros)>,
-    /// Whether a disk was lost since all core machines were whole for long.
+    /// Whether a disk was lost since all core machines were last healthy for [`SYNC_TIME`].
     disk_lost: bool,
-    /// Orders that were sent, by their numbers.
+    /// Requested changes by proposal id.
     orders: BTreeMap<u64, OrderSent>,
     last_document: Option<ConfigDocument>,
     defect: Option<Defect>,
@@ -151,30 +151,30 @@
     tell: Tell,
 }
 
-/// Tells of what happens, and when.
+/// Receives the time and description of each notable event.
 type Tell = Box<dyn Fn(Micros, &str)>;
 
-/// What is played besides what a seed draws.
+/// Options of a run.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Options {
-    /// A fault that is planted.
+    /// A defect to plant.
     pub defect: Option<Defect>,
-    /// Whether operators set terms of trials.
+    /// Whether operators set trial terms.
     pub trials: bool,
 }
 
-/// Plays a seed.
+/// Runs the simulation of a seed.
 ///
 /// # Errors
-/// The first rule that was broken.
+/// Returns the first invariant violation.
 pub fn play(seed: u64, options: Options) -> Result<Played, Broken> {
     play_and_tell(seed, options, |_, _| {})
 }
 
-/// Plays a seed, and tells of faults, starts and acknowledgements as they happen.
+/// Runs the simulation of a seed and reports faults, starts and acknowledgements as they happen.
 ///
 /// # Errors
-/// The first rule that was broken.
+/// Returns the first invariant violation.
 pub fn play_and_tell(
     seed: u64,
     options: Options,
@@ -400,7 +400,7 @@
         self.now >= self.whole_since + SYNC_TIME
     }
 
-    /// A core machine goes for good, and another one comes.
+    /// Permanently removes a core machine and starts a successor.
     fn replace(&mut self, core: NodeId, planned: bool) {
         let successor = (0..self.size.cores).find(|spare| self.cores[*spare].process.life == 0);
         let Some(successor) = successor else { return };
@@ -446,7 +446,7 @@
         self.whole_since = self.now;
     }
 
-    /// Three stores that run.
+    /// Picks up to three running stores.
     fn seeds(&mut self) -> Vec<StoreMember> {
         let running = self.cores.iter().filter(|core| core.process.up);
         let mut members: Vec<StoreMember> = running.map(|core| core.member.clone()).collect();
@@ -493,7 +493,7 @@
         }
     }
 
-    /// Core machines lose power, and one of them its disk where that may be borne now.
+    /// Cuts the power of core machines, and wipes the disk of one if no other disk was lost recently.
     fn lose_cores(&mut self, nodes: Vec<NodeId>, wiped: Option<NodeId>, down: Micros) {
         self.lose_power(nodes, down);
         if let Some(core) = wiped.filter(|core| !self.disk_lost && self.cores[*core].is_there()) {
@@ -583,7 +583,7 @@
         }
     }
 
-    /// An operator hands a document to some core machine.
+    /// Sends a document to a random core machine.
     fn send_document(&mut self, document: ConfigDocument) {
         self.judge.sent(document.version);
         self.last_document = Some(document.clone());
@@ -600,7 +600,7 @@
         }
     }
 
-    /// A core machine that an operator reaches.
+    /// Picks a random active core machine; none if it is down or paused.
     fn reachable_core(&mut self) -> Option<NodeId> {
         let there: Vec<NodeId> = (0..self.size.cores).filter(|core| self.cores[*core].is_there()).collect();
         let core = there[self.random.usize(..there.len())];
@@ -608,7 +608,7 @@
         (process.up && !process.is_frozen(self.now)).then_some(core)
     }
 
-    /// Operators set terms of trials: new ones, an extension, an end at once, or none any more; at times two at once.
+    /// Sets random trial terms, sometimes by two operators concurrently.
     fn set_terms(&mut self) {
         self.terms_version += u64::from(self.random.u32(..RACE_ONCE_IN) > 0);
         let operators = 1 + usize::from(self.random.u32(..RACE_ONCE_IN) == 0);
@@ -646,7 +646,7 @@
     ConfigDocument::new(serial, json)
 }
 
-/// Terms that an operator sets: an end by a clock that is right, or none.
+/// Builds trial terms with an end by the unskewed wall clock, or without an end.
 fn terms(tenant: &str, version: u64, now: Micros, random: &mut Rng) -> TrialRecord {
     let ends_at = (now + WALL_AHEAD) / MILLI + random.u64(..END_WITHIN);
     let end = format!(
--- a/crates/control-sim/tests/seeds.rs
+++ b/crates/control-sim/tests/seeds.rs
@@ -1,15 +1,15 @@
-//! Seeds keep the rules, a seed is one run, and each planted defect is noticed.
+//! Invariants hold for all seeds, runs are deterministic, and each planted defect is detected.
 
 use hingestage_control_sim::{play, Defect, Options};
 
-/// Seeds that are played here; CI plays more.
+/// Number of seeds per set of options.
 const SEEDS: u64 = 40;
-/// Seeds within which each defect is found.
+/// Number of seeds within which each defect is detected.
 const FOUND_WITHIN: u64 = 60;
-/// Where seeds begin for a defect that shows in one of some hundred: a proxy has to be cut off from the first terms of a
+/// First seed for `StepWithoutNotice`, which is rarely visible: a proxy has to be cut off from the first terms of a
 /// tenant until after their first step.
 const RARE_FROM: u64 = 240;
-/// What operators do in every run, and with trials besides.
+/// Runs without and with trial terms.
 const USUAL: Options = Options { defect: None, trials: false };
 const TRIALS: Options = Options { defect: None, trials: true };
 
@@ -29,8 +29,8 @@
     assert_ne!(play(1, USUAL), play(7, USUAL));
 }
 
-/// A restarted proxy believed news from before its start (44, 281, 315); what a home had passed on was above what any
-/// registry knew of after all of them were killed (12564, 18125).
+/// Regressions: a restarted proxy accepted answers from before its start (44, 281, 315); a home passed on a worker
+/// version above any known to the registries after all of them were killed (12564, 18125).
 #[test]
 fn seeds_that_found_faults_are_kept() {
     for seed in [44, 281, 315, 12_564, 18_125] {
