--- a/crates/control-sim/src/core_node.rs
+++ b/crates/control-sim/src/core_node.rs
@@ -25,22 +25,22 @@
 
 /// Ticks between store exchanges, registry heartbeats, admissions, and reads of the worker list.
 const EXCHANGE_TICKS: u64 = 3;
-const MEET_TICKS: u64 = 5;
+const HEARTBEAT_TICKS: u64 = 5;
 const ADMIT_TICKS: u64 = 5;
 const READ_TICKS: u64 = 9;
 /// Ticks between checks for due trial steps.
 const STEP_TICKS: u64 = 3;
 /// Timeout for a change to become durable.
-const PROPOSE_WAIT: Micros = 850 * MILLI;
+const PROPOSE_TIMEOUT: Micros = 850 * MILLI;
 /// Delay of a disk sync with [`Defect::AckBeforeSync`].
-const LATE_SYNC: Micros = 40 * MILLI;
+const SYNC_DELAY: Micros = 40 * MILLI;
 /// Timeout of a request for workers.
-const SERVICES_WITHIN: Micros = 600 * MILLI;
+const SERVICES_TIMEOUT: Micros = 600 * MILLI;
 /// Time within which a proxy must send its next watch.
-const WATCH_WITHIN: Micros = 800 * MILLI;
+const WATCH_INTERVAL_MAX: Micros = 800 * MILLI;
 
 /// Id of proposals whose outcome is not checked.
-pub(crate) const UNWATCHED: u64 = 0;
+pub(crate) const UNTRACKED_PROPOSAL: u64 = 0;
 /// Number of founding stores.
 const FOUNDERS: usize = 3;
 
@@ -73,7 +73,7 @@
 impl ReplicaDisk for Writer<'_> {
     fn write(&mut self, record: &Record) -> std::io::Result<()> {
         match self.defect {
-            Some(Defect::AckBeforeSync) => self.disk.unsynced.push((self.now + LATE_SYNC, record.clone())),
+            Some(Defect::AckBeforeSync) => self.disk.unsynced.push((self.now + SYNC_DELAY, record.clone())),
             _ => self.disk.record = record.clone(),
         }
         Ok(())
@@ -82,7 +82,7 @@
 
 /// A proposal whose outcome is pending.
 #[derive(Clone, Debug)]
-pub(crate) struct Order {
+pub(crate) struct PendingProposal {
     pub number: u64,
     pub ticket: u64,
     until: Micros,
@@ -90,7 +90,7 @@
 
 /// A pending read of the configuration.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Read {
+pub(crate) struct PendingRead {
     pub asked_at: Micros,
     since: Micros,
     until: Micros,
@@ -105,13 +105,13 @@
     defect: Option<Defect>,
     disk: Disk,
     pub replica: Replica,
-    in_force: CommittedState,
-    pub duty: ReaderElection,
+    committed: CommittedState,
+    pub reader_election: ReaderElection,
     pub workers: Follower,
     admissions: Admissions,
     directory: Directory,
-    orders: Vec<Order>,
-    reads: Vec<Read>,
+    proposals: Vec<PendingProposal>,
+    reads: Vec<PendingRead>,
     ticks: u64,
     /// Whether the machine was permanently removed.
     pub retired: bool,
@@ -130,25 +130,25 @@
         let member = store_member(number, layout.zones[number], 0);
         let mut node = CoreNode {
             process: Process::default(),
-            duty: ReaderElection::new(registry_member(&member, 0), ElectionSettings::default()),
-            replica: Replica::new(member.clone(), Record::default(), Vec::new(), figures(), 1),
+            reader_election: ReaderElection::new(registry_member(&member, 0), ElectionSettings::default()),
+            replica: Replica::new(member.clone(), Record::default(), Vec::new(), replica_config(), 1),
             member,
             number,
             cores: layout.zones.len(),
             defect,
             disk: Disk { founder: number < layout.present, ..Disk::default() },
-            in_force: in_force(0, defect),
+            committed: committed_state(0, defect),
             workers: Follower::default(),
-            admissions: Admissions::new(true, admission_figures(defect)),
+            admissions: Admissions::new(true, admission_settings(defect)),
             directory: Directory::new(DirectorySettings::default()),
-            orders: Vec::new(),
+            proposals: Vec::new(),
             reads: Vec::new(),
             ticks: 0,
             retired: false,
         };
         if number < layout.present {
             node.start(0, &[]);
-            node.admissions = Admissions::new(true, admission_figures(defect));
+            node.admissions = Admissions::new(true, admission_settings(defect));
         }
         node
     }
@@ -169,51 +169,51 @@
     /// Starts from the disk's contents. `seeds` are the initially known stores.
     pub fn start(&mut self, now: Micros, seeds: &[StoreMember]) {
         self.process.start(now);
-        let life = u64::from(self.process.life);
-        let number = *self.disk.number.get_or_insert((life << 32) | (self.number as u64 + 1));
+        let incarnation = u64::from(self.process.incarnation);
+        let number = *self.disk.number.get_or_insert((incarnation << 32) | (self.number as u64 + 1));
         self.member.disk = number;
         let founders = (0..FOUNDERS).map(|number| store_member(number, "", 0).addr);
         let founders = if self.disk.founder { founders.collect() } else { Vec::new() };
         let record = self.disk.record.clone();
-        let seed = (life << 8) | (self.number as u64 + 1);
-        self.replica = Replica::new(self.member.clone(), record, founders, figures(), seed);
+        let seed = (incarnation << 8) | (self.number as u64 + 1);
+        self.replica = Replica::new(self.member.clone(), record, founders, replica_config(), seed);
         self.replica.add_known_members(0, seeds);
         if self.disk.founder {
             let founders: Vec<StoreMember> =
                 (0..FOUNDERS).map(|number| store_member(number, "", 0)).collect();
             self.replica.add_known_members(0, &founders);
         }
-        self.in_force = in_force(self.process.life, self.defect);
-        let me = registry_member(&self.member, self.process.life);
-        self.duty = ReaderElection::new(me, ElectionSettings::default());
+        self.committed = committed_state(self.process.incarnation, self.defect);
+        let me = registry_member(&self.member, self.process.incarnation);
+        self.reader_election = ReaderElection::new(me, ElectionSettings::default());
         self.workers = Follower::default();
-        self.admissions = Admissions::new(false, admission_figures(self.defect));
+        self.admissions = Admissions::new(false, admission_settings(self.defect));
         self.directory = Directory::new(DirectorySettings::default());
-        self.orders.clear();
+        self.proposals.clear();
         self.reads.clear();
     }
 
     /// Whether the machine runs unpaused or is not part of the system.
-    pub fn is_whole(&self, now: Micros) -> bool {
-        !self.is_there() || (self.process.up && !self.process.is_frozen(now))
+    pub fn is_healthy_or_absent(&self, now: Micros) -> bool {
+        !self.is_active() || (self.process.up && !self.process.is_paused(now))
     }
 
     /// Whether the machine has started and was not removed.
-    pub fn is_there(&self) -> bool {
-        self.process.life > 0 && !self.retired
+    pub fn is_active(&self) -> bool {
+        self.process.incarnation > 0 && !self.retired
     }
 
     /// Assigns the machine to a zone.
-    pub fn place(&mut self, zone: &str) {
+    pub fn set_zone(&mut self, zone: &str) {
         self.member.zone = zone.into();
     }
 
     /// Begins the handover before shutdown.
-    pub fn leave(&mut self) {
+    pub fn begin_shutdown(&mut self) {
         self.replica.begin_handover();
     }
 
-    pub fn has_left(&self, now: Micros) -> bool {
+    pub fn is_shutdown_complete(&self, now: Micros) -> bool {
         self.replica.is_handover_complete(self.process.clock(now))
     }
 
@@ -250,20 +250,20 @@
             return Vec::new();
         }
         let clock = self.process.clock(now);
-        if let Some(ticket) = self.replica.propose(clock, change, clock + PROPOSE_WAIT) {
-            self.orders.push(Order { number, ticket, until: now + PROPOSE_WAIT });
+        if let Some(ticket) = self.replica.propose(clock, change, clock + PROPOSE_TIMEOUT) {
+            self.proposals.push(PendingProposal { number, ticket, until: now + PROPOSE_TIMEOUT });
         }
         self.poll(now)
     }
 
     /// Takes the outcomes of proposals by id, and withdraws those that timed out.
-    pub fn outcomes(&mut self, now: Micros) -> Vec<(u64, Proposed)> {
+    pub fn take_outcomes(&mut self, now: Micros) -> Vec<(u64, Proposed)> {
         let mut outcomes = Vec::new();
-        for order in std::mem::take(&mut self.orders) {
-            match self.replica.take_outcome(order.ticket) {
-                Some(outcome) => outcomes.push((order.number, outcome)),
-                None if now < order.until => self.orders.push(order),
-                None => self.replica.withdraw(order.ticket),
+        for proposal in std::mem::take(&mut self.proposals) {
+            match self.replica.take_outcome(proposal.ticket) {
+                Some(outcome) => outcomes.push((proposal.number, outcome)),
+                None if now < proposal.until => self.proposals.push(proposal),
+                None => self.replica.withdraw(proposal.ticket),
             }
         }
         outcomes
@@ -272,18 +272,18 @@
     /// Starts a read of the configuration.
     pub fn read(&mut self, now: Micros) -> Vec<Envelope> {
         let since = self.process.clock(now);
-        self.reads.push(Read { asked_at: now, since, until: now + PROPOSE_WAIT });
+        self.reads.push(PendingRead { asked_at: now, since, until: now + PROPOSE_TIMEOUT });
         self.exchange(now)
     }
 
     /// Takes the reads that can be answered now, each with its result.
-    pub fn answers(&mut self, now: Micros) -> Vec<(Read, Option<ConfigVersion>)> {
+    pub fn take_read_results(&mut self, now: Micros) -> Vec<(PendingRead, Option<ConfigVersion>)> {
         let clock = self.process.clock(now);
         let version = self.replica.state().config.as_ref().map(|config| config.version);
-        let skips = self.defect == Some(Defect::ReadWithoutContact);
-        let (current, waiting): (Vec<Read>, Vec<Read>) = std::mem::take(&mut self.reads)
+        let skip_quorum = self.defect == Some(Defect::ReadWithoutContact);
+        let (current, waiting): (Vec<PendingRead>, Vec<PendingRead>) = std::mem::take(&mut self.reads)
             .into_iter()
-            .partition(|read| skips || self.replica.is_current_since(clock, read.since));
+            .partition(|read| skip_quorum || self.replica.is_current_since(clock, read.since));
         self.reads = waiting.into_iter().filter(|read| now < read.until).collect();
         current.into_iter().map(|read| (read, version)).collect()
     }
@@ -294,17 +294,17 @@
         self.ticks += 1;
         self.disk.sync(now);
         let mut sent = self.poll(now);
-        let news = self.replica.updates_for(clock, &self.in_force.summary);
-        self.in_force.apply(clock, clock, news);
+        let updates = self.replica.updates_for(clock, &self.committed.summary);
+        self.committed.apply(clock, clock, updates);
         self.directory.remove_expired(clock);
-        self.duty.remove_expired(clock);
+        self.reader_election.remove_expired(clock);
         if self.ticks.is_multiple_of(EXCHANGE_TICKS) {
             sent.extend(self.exchange(now));
         }
-        if self.ticks.is_multiple_of(MEET_TICKS) {
-            self.to_other_cores(&mut sent, |node| Message::Meet {
-                from: node.duty.local_member(clock),
-                members: node.duty.members(clock),
+        if self.ticks.is_multiple_of(HEARTBEAT_TICKS) {
+            self.broadcast(&mut sent, |node| Message::Meet {
+                from: node.reader_election.local_member(clock),
+                members: node.reader_election.members(clock),
                 workers: node.workers.announced_version(),
                 workers_seen: node.workers.seen_version(),
             });
@@ -321,65 +321,71 @@
         sent
     }
 
-    fn to_other_cores(&self, sent: &mut Vec<Envelope>, message: impl Fn(&CoreNode) -> Message) {
+    fn broadcast(&self, sent: &mut Vec<Envelope>, message: impl Fn(&CoreNode) -> Message) {
         for to in (0..self.cores).filter(|to| *to != self.number) {
             sent.push(self.envelope(to, None, message(self)));
         }
     }
 
-    fn envelope(&self, to: NodeId, to_life: Option<u32>, message: Message) -> Envelope {
-        Envelope { from: self.number, to, to_life, from_life: self.process.life, message }
+    fn envelope(&self, to: NodeId, to_incarnation: Option<u32>, message: Message) -> Envelope {
+        Envelope {
+            from: self.number,
+            to,
+            to_incarnation,
+            from_incarnation: self.process.incarnation,
+            message,
+        }
     }
 
     fn admit(&mut self, now: Micros) -> Vec<Envelope> {
-        let names = self.admissions.due_changes(self.process.clock(now), &self.in_force.proxies);
+        let names = self.admissions.due_changes(self.process.clock(now), &self.committed.proxies);
         if names.is_empty() {
             return Vec::new();
         }
-        self.propose(now, UNWATCHED, Change::Proxies(names))
+        self.propose(now, UNTRACKED_PROPOSAL, Change::Proxies(names))
     }
 
     /// Announces trial steps that are due by this machine's wall clock, if it is the elected reader.
     fn announce_steps(&mut self, now: Micros) -> Vec<Envelope> {
-        if self.duty.fence().is_none() {
+        if self.reader_election.fence().is_none() {
             return Vec::new();
         }
-        let steps = self.in_force.trials.steps_due(self.process.clock(now), self.process.time_of_day(now));
+        let steps = self.committed.trials.steps_due(self.process.clock(now), self.process.wall_clock_ms(now));
         if steps.is_empty() {
             return Vec::new();
         }
-        self.propose(now, UNWATCHED, Change::TrialSteps(steps))
+        self.propose(now, UNTRACKED_PROPOSAL, Change::TrialSteps(steps))
     }
 
     /// Proposes trial terms.
     pub fn propose_terms(&mut self, now: Micros, record: TrialRecord) -> Vec<Envelope> {
-        self.propose(now, UNWATCHED, Change::TrialTerms(record))
+        self.propose(now, UNTRACKED_PROPOSAL, Change::TrialTerms(record))
     }
 
     fn read_list(&mut self, now: Micros, platform: &mut Platform, random: &mut Rng) {
         let clock = self.process.clock(now);
-        let Some(mut version) = self.duty.next_version(clock) else { return };
+        let Some(mut version) = self.reader_election.next_version(clock) else { return };
         if self.defect == Some(Defect::DutyWithoutFence) {
             version = WorkersVersion { fence: 1, reader: 1, number: version.number };
         }
         let read = platform.read(now, random);
-        self.duty.record_read(clock, read.is_some());
+        self.reader_election.record_read(clock, read.is_some());
         if let Some(workers) = read {
             self.workers.apply_list(clock, version, workers);
-            self.duty.observe_version(self.workers.announced_version());
+            self.reader_election.observe_version(self.workers.announced_version());
         }
     }
 
     /// Handles a message and returns the messages to send.
     pub fn deliver(&mut self, now: Micros, envelope: Envelope) -> Vec<Envelope> {
         let clock = self.process.clock(now);
-        let (from, life) = (envelope.from, envelope.from_life);
+        let (from, incarnation) = (envelope.from, envelope.from_incarnation);
         let answer = match envelope.message {
             Message::Store { asked_at, request } => {
                 let mut writer = Writer { disk: &mut self.disk, now, defect: self.defect };
                 let answer = self.replica.handle_request(clock, request, &mut writer);
                 let mut sent = self.poll(now);
-                sent.push(self.envelope(from, Some(life), Message::StoreAnswer { asked_at, answer }));
+                sent.push(self.envelope(from, Some(incarnation), Message::StoreAnswer { asked_at, answer }));
                 return sent;
             }
             Message::StoreAnswer { asked_at, answer } => {
@@ -390,23 +396,23 @@
                 return sent;
             }
             Message::Meet { from, members, workers, workers_seen } => {
-                self.met(clock, from, members);
-                self.duty.observe_version(workers_seen);
+                self.record_heartbeat(clock, from, members);
+                self.reader_election.observe_version(workers_seen);
                 Message::Met {
-                    from: self.duty.local_member(clock),
-                    members: self.duty.members(clock),
+                    from: self.reader_election.local_member(clock),
+                    members: self.reader_election.members(clock),
                     workers: self.workers.catalog().index_since(workers),
                 }
             }
             Message::Met { from: member, members, workers } => {
-                self.met(clock, member, members);
-                return self.follow(clock, from, &workers);
+                self.record_heartbeat(clock, member, members);
+                return self.apply_index(clock, from, &workers);
             }
             Message::Watch { asked_at, status, have } => {
-                Message::Watched { asked_at, news: Box::new(self.watched(clock, status, have)) }
+                Message::Watched { asked_at, update: Box::new(self.watch_answer(clock, status, have)) }
             }
-            Message::FetchConfig => match self.in_force.configs.newest() {
-                Some(document) if self.in_force.offered_version(clock).is_some() => {
+            Message::FetchConfig => match self.committed.configs.newest() {
+                Some(document) if self.committed.offered_version(clock).is_some() => {
                     Message::Config(document.clone())
                 }
                 _ => return Vec::new(),
@@ -416,67 +422,67 @@
             }
             Message::Services(updates) => {
                 self.workers.apply_updates(clock, updates);
-                self.duty.observe_version(self.workers.seen_version());
+                self.reader_election.observe_version(self.workers.seen_version());
                 return Vec::new();
             }
             Message::Watched { .. } | Message::Config(_) => return Vec::new(),
         };
-        vec![self.envelope(from, Some(life), answer)]
+        vec![self.envelope(from, Some(incarnation), answer)]
     }
 
-    fn met(&mut self, clock: Micros, from: RegistryMember, members: Vec<RegistryMember>) {
-        self.duty.record_heartbeat(clock, from);
-        members.into_iter().for_each(|member| self.duty.add_candidate(member));
+    fn record_heartbeat(&mut self, clock: Micros, from: RegistryMember, members: Vec<RegistryMember>) {
+        self.reader_election.record_heartbeat(clock, from);
+        members.into_iter().for_each(|member| self.reader_election.add_candidate(member));
     }
 
-    fn follow(&mut self, clock: Micros, from: NodeId, index: &ServiceIndex) -> Vec<Envelope> {
-        self.duty.observe_version(index.version);
+    fn apply_index(&mut self, clock: Micros, from: NodeId, index: &ServiceIndex) -> Vec<Envelope> {
+        self.reader_election.observe_version(index.version);
         self.workers.apply_index(clock, index);
-        let asked = self.workers.next_requests(clock, clock + SERVICES_WITHIN, |_, _| true);
+        let asked = self.workers.next_requests(clock, clock + SERVICES_TIMEOUT, |_, _| true);
         if asked.is_empty() {
             return Vec::new();
         }
         vec![self.envelope(from, None, Message::FetchServices(asked))]
     }
 
-    fn watched(&mut self, clock: Micros, status: ProxyStatus, theirs: KnownVersions) -> Watched {
+    fn watch_answer(&mut self, clock: Micros, status: ProxyStatus, theirs: KnownVersions) -> Watched {
         let (name, zone) = (status.id.node.clone(), status.zone.clone());
-        self.directory.heard(clock, status, WATCH_WITHIN);
-        self.duty.observe_version(theirs.workers_seen);
-        self.admissions.observe(&name, &self.in_force.proxies);
-        let summary = &self.in_force.summary;
+        self.directory.heard(clock, status, WATCH_INTERVAL_MAX);
+        self.reader_election.observe_version(theirs.workers_seen);
+        self.admissions.observe(&name, &self.committed.proxies);
+        let summary = &self.committed.summary;
         Watched {
             have: KnownVersions {
-                config: self.in_force.offered_version(clock),
+                config: self.committed.offered_version(clock),
                 drains: summary.drains.clone(),
                 workers: self.workers.catalog().version(),
                 workers_seen: self.workers.seen_version(),
                 directory: 0,
-                trials: self.in_force.trials.revision(),
+                trials: self.committed.trials.revision(),
             },
-            trials: self.in_force.trials.updates_since(clock, theirs.trials),
+            trials: self.committed.trials.updates_since(clock, theirs.trials),
             services: self.workers.catalog().index_since(theirs.workers),
             directory: Some(self.directory.neighbors(clock, &zone).into_iter().cloned().collect()),
-            fresh_age: self.in_force.fresh_age(clock),
-            members: self.in_force.proxies.len() as u32,
-            settled: self.in_force.proxies.get(&name) == Some(&true),
+            fresh_age: self.committed.fresh_age(clock),
+            members: self.committed.proxies.len() as u32,
+            settled: self.committed.proxies.get(&name) == Some(&true),
             ..Watched::default()
         }
     }
 }
 
-fn in_force(life: u32, defect: Option<Defect>) -> CommittedState {
-    let mut in_force = CommittedState::new(life.into());
+fn committed_state(incarnation: u32, defect: Option<Defect>) -> CommittedState {
+    let mut committed = CommittedState::new(incarnation.into());
     if defect == Some(Defect::StepWithoutNotice) {
-        in_force.trials = TrialLog::new(life.into(), 0);
+        committed.trials = TrialLog::new(incarnation.into(), 0);
     }
-    in_force
+    committed
 }
 
-fn admission_figures(defect: Option<Defect>) -> AdmissionSettings {
-    let figures = AdmissionSettings::default();
-    let lease = if defect == Some(Defect::NewcomerAtOnce) { 0 } else { figures.lease };
-    AdmissionSettings { lease, ..figures }
+fn admission_settings(defect: Option<Defect>) -> AdmissionSettings {
+    let defaults = AdmissionSettings::default();
+    let lease = if defect == Some(Defect::NewcomerAtOnce) { 0 } else { defaults.lease };
+    AdmissionSettings { lease, ..defaults }
 }
 
 pub(crate) fn core_name(number: NodeId) -> compact_str::CompactString {
@@ -496,12 +502,12 @@
     StoreMember { name: core_name(number), zone: zone.into(), addr, disk }
 }
 
-fn figures() -> ReplicaConfig {
+fn replica_config() -> ReplicaConfig {
     let voter_policy = VoterPolicy { voters_min: FOUNDERS, ..ReplicaConfig::default().voter_policy };
     ReplicaConfig { voter_policy, ..ReplicaConfig::default() }
 }
 
-fn registry_member(store: &StoreMember, life: u32) -> RegistryMember {
-    let id = ProcessId { node: store.name.clone(), incarnation: u64::from(life) };
+fn registry_member(store: &StoreMember, incarnation: u32) -> RegistryMember {
+    let id = ProcessId { node: store.name.clone(), incarnation: u64::from(incarnation) };
     RegistryMember { id, zone: store.zone.clone(), addr: store.addr, reads_list: true }
 }
--- a/crates/control-sim/src/judge.rs
+++ b/crates/control-sim/src/invariants.rs
@@ -4,8 +4,8 @@
 use crate::faults::FAULTS_FROM;
 use crate::platform::Platform;
 use crate::proxy_node::ProxyNode;
-use crate::proxy_node::TRIAL_SPANS;
-use crate::world::{HEALED, TENANTS};
+use crate::proxy_node::TRIAL_TIMING;
+use crate::world::{FAULTS_HEALED_AT, TENANTS};
 use crate::{Micros, MILLI, SECOND};
 use compact_str::CompactString;
 use hingestage_discovery::Catalog;
@@ -17,15 +17,15 @@
 use std::fmt;
 
 /// Time after an acknowledgement within which proxies must honour a key revocation.
-const REVOKE: Micros = 5 * SECOND;
+const KEY_REVOCATION_MAX: Micros = 5 * SECOND;
 /// Time after the last fault within which configurations are acknowledged again.
-const SERVES_WITHIN: Micros = 5 * SECOND;
+const RECOVERY_MAX: Micros = 5 * SECOND;
 /// Rounding tolerance of a sum of shares.
-const ROUNDING: f64 = 1e-9;
+const SHARE_TOLERANCE: f64 = 1e-9;
 
 /// A violated invariant.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Broken {
+pub struct Violation {
     /// The seed of the run.
     pub seed: u64,
     /// Time since the start of the run, in microseconds.
@@ -34,7 +34,7 @@
     pub what: String,
 }
 
-impl fmt::Display for Broken {
+impl fmt::Display for Violation {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         write!(f, "seed {} at {:.3} s: {}", self.seed, self.at as f64 / SECOND as f64, self.what)
     }
@@ -42,30 +42,30 @@
 
 /// Drain changes of one zone, sent by an operator one after another.
 #[derive(Default)]
-struct DrainOrders {
+struct DrainChanges {
     acknowledged: bool,
     sent_since: Vec<bool>,
 }
 
 /// State observed so far, and the checks on it.
 #[derive(Default)]
-pub(crate) struct Judge {
+pub(crate) struct InvariantChecker {
     acknowledged: Vec<(Micros, ConfigVersion)>,
     /// The highest serial that any operator has sent.
     highest_sent: u64,
     /// The committed version of each observed serial.
-    holds: BTreeMap<u64, ConfigVersion>,
+    committed: BTreeMap<u64, ConfigVersion>,
     /// The last acknowledged drain change of each zone, and those sent after it.
-    drains: BTreeMap<&'static str, DrainOrders>,
+    drains: BTreeMap<&'static str, DrainChanges>,
     /// The workers in each version of a service's list.
     contents: BTreeMap<(CompactString, WorkersVersion), Vec<(CompactString, bool)>>,
     /// The configuration in force at each proxy, and the incarnation of its process.
-    in_force: BTreeMap<CompactString, (u32, Option<ConfigVersion>)>,
+    config_by_proxy: BTreeMap<CompactString, (u32, Option<ConfigVersion>)>,
     /// When each trial position of a tenant was first in effect at a proxy.
-    judged: BTreeMap<(&'static str, TrialPosition), Micros>,
+    effective_positions: BTreeMap<(&'static str, TrialPosition), Micros>,
 }
 
-impl Judge {
+impl InvariantChecker {
     /// Records that an operator sent a configuration.
     pub fn sent(&mut self, version: ConfigVersion) {
         self.highest_sent = self.highest_sent.max(version.serial);
@@ -75,14 +75,14 @@
     pub fn acknowledged(&mut self, now: Micros, version: ConfigVersion) -> Result<(), String> {
         self.acknowledged.push((now, version));
         if version.serial >= self.highest_sent {
-            return self.seen_to_hold("an operator", version);
+            return self.check_committed("an operator", version);
         }
         Ok(())
     }
 
     /// Checks that a configuration refused for its serial is not the committed one.
     pub fn refused(&self, version: ConfigVersion) -> Result<(), String> {
-        match self.holds.get(&version.serial) {
+        match self.committed.get(&version.serial) {
             Some(held) if *held == version => Err(format!("{version:?} holds and is refused")),
             _ => Ok(()),
         }
@@ -95,12 +95,12 @@
         if version.map(|version| version.serial) < newest {
             return Err(format!("{version:?} is read; {newest:?} was acknowledged before the read began"));
         }
-        version.map_or(Ok(()), |version| self.seen_to_hold("a reader", version))
+        version.map_or(Ok(()), |version| self.check_committed("a reader", version))
     }
 
     /// Checks that a serial has the same content at every node.
-    fn seen_to_hold(&mut self, who: &str, version: ConfigVersion) -> Result<(), String> {
-        let held = *self.holds.entry(version.serial).or_insert(version);
+    fn check_committed(&mut self, who: &str, version: ConfigVersion) -> Result<(), String> {
+        let held = *self.committed.entry(version.serial).or_insert(version);
         match held == version {
             true => Ok(()),
             false => Err(format!("{who} has {version:?}, others {held:?}")),
@@ -114,7 +114,7 @@
 
     /// Records that a drain change was acknowledged.
     pub fn drain_acknowledged(&mut self, zone: &'static str, drained: bool) {
-        self.drains.insert(zone, DrainOrders { acknowledged: drained, sent_since: Vec::new() });
+        self.drains.insert(zone, DrainChanges { acknowledged: drained, sent_since: Vec::new() });
     }
 
     pub fn acknowledgements(&self) -> usize {
@@ -128,35 +128,35 @@
         cores: &[CoreNode],
         proxies: &mut [ProxyNode],
     ) -> Result<(), String> {
-        let running = proxies.iter_mut().filter(|proxy| proxy.process.up && !proxy.process.is_frozen(now));
+        let running = proxies.iter_mut().filter(|proxy| proxy.process.up && !proxy.process.is_paused(now));
         for proxy in running {
             self.check_trials(now, proxy)?;
         }
         let running: Vec<&ProxyNode> = proxies.iter().filter(|proxy| proxy.process.up).collect();
         for proxy in &running {
             self.check_keys(now, proxy)?;
-            self.check_going_back(proxy)?;
+            self.check_no_rollback(proxy)?;
             if let Some(version) = proxy.view.config_version() {
-                self.seen_to_hold(&proxy.name, version)?;
+                self.check_committed(&proxy.name, version)?;
             }
             self.check_contents(&proxy.name, proxy.view.followed().catalog())?;
         }
         for core in cores.iter().filter(|core| core.process.up) {
             self.check_contents(&core.member.name, core.workers.catalog())?;
         }
-        check_parts(now, &running)
+        check_share_sum(now, &running)
     }
 
     /// No proxy accepts keys from an outdated configuration, even while it is disconnected.
     fn check_keys(&self, now: Micros, proxy: &ProxyNode) -> Result<(), String> {
-        if proxy.process.is_frozen(now) || !proxy.view.keys_valid(proxy.clock(now)) {
+        if proxy.process.is_paused(now) || !proxy.view.keys_valid(proxy.clock(now)) {
             return Ok(());
         }
-        let binding = self.acknowledged.iter().filter(|(at, _)| *at + REVOKE <= now);
+        let binding = self.acknowledged.iter().filter(|(at, _)| *at + KEY_REVOCATION_MAX <= now);
         let newest = binding.map(|(_, version)| *version).max();
         let held = proxy.view.config_version();
         if held < newest {
-            return Err(format!("{} believes keys of {held:?}; {newest:?} binds", proxy.name));
+            return Err(format!("{} accepts keys of {held:?} although {newest:?} is binding", proxy.name));
         }
         Ok(())
     }
@@ -165,11 +165,11 @@
     /// tenant without a known trial has its whole quota, as before the first step.
     fn check_trials(&mut self, now: Micros, proxy: &mut ProxyNode) -> Result<(), String> {
         for tenant in TENANTS {
-            let Some(position) = proxy.judged_by(now, tenant) else { continue };
+            let Some(position) = proxy.effective_trial_position(now, tenant) else { continue };
             let unknown = position == TrialPosition::default();
             let differs = |other: &TrialPosition| *other > position && (!unknown || other.step > 0);
-            let late = |at: &Micros| now > at + TRIAL_SPANS.uncertainty;
-            let mut judged = self.judged.iter().filter(|((judged, _), _)| *judged == tenant);
+            let late = |at: &Micros| now > at + TRIAL_TIMING.uncertainty;
+            let mut judged = self.effective_positions.iter().filter(|((judged, _), _)| *judged == tenant);
             if let Some(((_, other), at)) = judged.find(|((_, other), at)| differs(other) && late(at)) {
                 let ago = (now - at) / MILLI;
                 return Err(format!(
@@ -177,17 +177,17 @@
                     proxy.name
                 ));
             }
-            self.judged.entry((tenant, position)).or_insert(now);
+            self.effective_positions.entry((tenant, position)).or_insert(now);
         }
         Ok(())
     }
 
-    fn check_going_back(&mut self, proxy: &ProxyNode) -> Result<(), String> {
+    fn check_no_rollback(&mut self, proxy: &ProxyNode) -> Result<(), String> {
         let held = proxy.view.config_version();
-        let now_in_force = (proxy.process.life, held);
-        let before = self.in_force.insert(proxy.name.clone(), now_in_force);
+        let now_in_force = (proxy.process.incarnation, held);
+        let before = self.config_by_proxy.insert(proxy.name.clone(), now_in_force);
         match before {
-            Some((life, version)) if life == proxy.process.life && held < version => {
+            Some((incarnation, version)) if incarnation == proxy.process.incarnation && held < version => {
                 Err(format!("{} went back from {version:?} to {held:?}", proxy.name))
             }
             _ => Ok(()),
@@ -220,16 +220,17 @@
     ) -> Result<(), String> {
         check_trials_at_end(now, cores, proxies)?;
         let serials = self.acknowledged.iter().map(|(_, version)| version.serial);
-        let newest = serials.max().and_then(|serial| self.holds.get(&serial).copied());
-        let there: Vec<&CoreNode> = cores.iter().filter(|core| core.is_there()).collect();
-        for core in &there {
+        let newest = serials.max().and_then(|serial| self.committed.get(&serial).copied());
+        let active: Vec<&CoreNode> = cores.iter().filter(|core| core.is_active()).collect();
+        for core in &active {
             self.check_core_at_end(core, newest)?;
         }
-        if !self.acknowledged.iter().any(|(at, _)| *at > HEALED + SERVES_WITHIN) {
-            return Err("nothing is acknowledged any more, with nothing in the way".to_owned());
+        if !self.acknowledged.iter().any(|(at, _)| *at > FAULTS_HEALED_AT + RECOVERY_MAX) {
+            return Err("no configuration was acknowledged after all faults had healed".to_owned());
         }
-        check_voters_at_end(&there)?;
-        let readers: Vec<&&CoreNode> = there.iter().filter(|core| core.duty.fence().is_some()).collect();
+        check_voters_at_end(&active)?;
+        let readers: Vec<&&CoreNode> =
+            active.iter().filter(|core| core.reader_election.fence().is_some()).collect();
         if readers.len() != 1 {
             return Err(format!("{} registries read the list", readers.len()));
         }
@@ -239,7 +240,7 @@
             shares += proxy.view.limit_share().share(proxy.clock(now));
         }
         if shares < 1.0 - 1e-6 {
-            return Err(format!("parts of {shares} in sum are held, with nothing in the way"));
+            return Err(format!("the shares sum to only {shares} after all faults had healed"));
         }
         Ok(())
     }
@@ -251,7 +252,7 @@
             return Err(format!("{name} has {held:?}; {newest:?} was acknowledged"));
         }
         if core.replica.is_recovering() {
-            return Err(format!("{name} never speaks again"));
+            return Err(format!("{name} is still recovering"));
         }
         for (zone, orders) in &self.drains {
             let drained = state.drains.get(*zone).is_some_and(|drain| drain.drained);
@@ -277,7 +278,7 @@
             ));
         }
         if !proxy.view.keys_valid(proxy.clock(now)) {
-            return Err(format!("{name} believes no key, with nothing in the way"));
+            return Err(format!("{name} accepts no keys after all faults had healed"));
         }
         let workers = proxy.view.followed().catalog().workers();
         let mut held: Vec<(CompactString, bool)> =
@@ -298,13 +299,13 @@
 }
 
 /// All voters are active, and they are more than half of the active stores.
-fn check_voters_at_end(there: &[&CoreNode]) -> Result<(), String> {
-    let membership = there.iter().map(|core| &core.replica.state().membership).max_by_key(|m| m.epoch);
+fn check_voters_at_end(active: &[&CoreNode]) -> Result<(), String> {
+    let membership = active.iter().map(|core| &core.replica.state().membership).max_by_key(|m| m.epoch);
     let voters = membership.map(|membership| membership.voters.as_slice()).unwrap_or_default();
-    let gone = voters.iter().find(|voter| !there.iter().any(|core| core.member == **voter));
+    let gone = voters.iter().find(|voter| !active.iter().any(|core| core.member == **voter));
     match gone {
-        Some(gone) => Err(format!("{} votes and is not there", gone.name)),
-        None if voters.len() * 2 <= there.len() => Err(format!("{} of {} vote", voters.len(), there.len())),
+        Some(gone) => Err(format!("{} is a voter but not active", gone.name)),
+        None if voters.len() * 2 <= active.len() => Err(format!("{} of {} vote", voters.len(), active.len())),
         None => Ok(()),
     }
 }
@@ -312,9 +313,9 @@
 /// All proxies apply the last step of the terms, and all stores hold the same terms.
 fn check_trials_at_end(now: Micros, cores: &[CoreNode], proxies: &mut [ProxyNode]) -> Result<(), String> {
     for tenant in TENANTS {
-        let mut there = cores.iter().filter(|core| core.is_there());
-        let held = there.next().and_then(|core| core.replica.state().trials.get(tenant));
-        if let Some(other) = there.find(|core| core.replica.state().trials.get(tenant) != held) {
+        let mut active = cores.iter().filter(|core| core.is_active());
+        let held = active.next().and_then(|core| core.replica.state().trials.get(tenant));
+        if let Some(other) = active.find(|core| core.replica.state().trials.get(tenant) != held) {
             return Err(format!("{} has other terms of {tenant} than others", other.member.name));
         }
         let Some(record) = held else { continue };
@@ -326,7 +327,7 @@
             ));
         }
         for proxy in proxies.iter_mut() {
-            let judged = proxy.judged_by(now, tenant);
+            let judged = proxy.effective_trial_position(now, tenant);
             if judged != Some(record.position) {
                 return Err(format!(
                     "{} judges {tenant} by {judged:?}, all have {:?}",
@@ -339,15 +340,15 @@
 }
 
 /// The shares of common limits never exceed the whole.
-fn check_parts(now: Micros, running: &[&ProxyNode]) -> Result<(), String> {
+fn check_share_sum(now: Micros, running: &[&ProxyNode]) -> Result<(), String> {
     if now < FAULTS_FROM {
         return Ok(());
     }
     let shares: Vec<(&CompactString, f64)> =
         running.iter().map(|proxy| (&proxy.name, proxy.view.limit_share().share(proxy.clock(now)))).collect();
     let sum: f64 = shares.iter().map(|(_, share)| share).sum();
-    if sum > 1.0 + ROUNDING {
-        return Err(format!("parts come to {sum}: {shares:?}"));
+    if sum > 1.0 + SHARE_TOLERANCE {
+        return Err(format!("shares sum to {sum}: {shares:?}"));
     }
     Ok(())
 }
--- a/crates/control-sim/src/lib.rs
+++ b/crates/control-sim/src/lib.rs
@@ -9,7 +9,7 @@
 mod core_node;
 mod defect;
 mod faults;
-mod judge;
+mod invariants;
 mod message;
 mod platform;
 mod process;
@@ -17,8 +17,8 @@
 mod world;
 
 pub use defect::Defect;
-pub use judge::Broken;
-pub use world::{play, play_and_tell, Options, Played};
+pub use invariants::Violation;
+pub use world::{run_seed, run_seed_traced, Options, RunSummary};
 
 /// A point in time or a span, in microseconds.
 pub type Micros = u64;
--- a/crates/control-sim/src/main.rs
+++ b/crates/control-sim/src/main.rs
@@ -1,7 +1,7 @@
 //! `hingestage-control-sim`: runs simulations of the control plane for a range of seeds.
 #![forbid(unsafe_code)]
 
-use hingestage_control_sim::{play, play_and_tell, Broken, Defect, Options, Played};
+use hingestage_control_sim::{run_seed, run_seed_traced, Defect, Options, RunSummary, Violation};
 use std::process::ExitCode;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::Mutex;
@@ -27,7 +27,7 @@
 }
 
 /// Maximum number of violations to print.
-const TOLD_MAX: usize = 10;
+const PRINTED_VIOLATIONS_MAX: usize = 10;
 
 fn main() -> ExitCode {
     let flags = match HingestageControlSim::from_env() {
@@ -41,12 +41,12 @@
     let from = flags.from.unwrap_or_default();
     let options = Options { defect: flags.defect, trials: flags.trials };
     if flags.history {
-        return tell_history(from, options);
+        return print_history(from, options);
     }
     let until = from.saturating_add(flags.seeds.unwrap_or(100));
     let jobs = flags.jobs.unwrap_or_else(|| std::thread::available_parallelism().map_or(1, usize::from));
-    let (played, broken) = play_all(from, until, options, jobs.max(1));
-    for broken in broken.iter().take(TOLD_MAX) {
+    let (played, broken) = run_seeds(from, until, options, jobs.max(1));
+    for broken in broken.iter().take(PRINTED_VIOLATIONS_MAX) {
         println!("{broken}");
     }
     let events: u64 = played.iter().map(|played| played.events).sum();
@@ -66,8 +66,8 @@
     ExitCode::SUCCESS
 }
 
-fn tell_history(seed: u64, options: Options) -> ExitCode {
-    let result = play_and_tell(seed, options, |at, what| println!("{:>10.3} s  {what}", at as f64 / 1e6));
+fn print_history(seed: u64, options: Options) -> ExitCode {
+    let result = run_seed_traced(seed, options, |at, what| println!("{:>10.3} s  {what}", at as f64 / 1e6));
     match result {
         Ok(_) => ExitCode::SUCCESS,
         Err(broken) => {
@@ -77,7 +77,7 @@
     }
 }
 
-fn play_all(from: u64, until: u64, options: Options, jobs: usize) -> (Vec<Played>, Vec<Broken>) {
+fn run_seeds(from: u64, until: u64, options: Options, jobs: usize) -> (Vec<RunSummary>, Vec<Violation>) {
     let next = AtomicU64::new(from);
     let results = Mutex::new((Vec::new(), Vec::new()));
     std::thread::scope(|scope| {
@@ -87,7 +87,7 @@
                 if seed >= until {
                     return;
                 }
-                let result = play(seed, options);
+                let result = run_seed(seed, options);
                 let mut results = results.lock().unwrap_or_else(|poisoned| poisoned.into_inner());
                 match result {
                     Ok(played) => results.0.push(played),
--- a/crates/control-sim/src/message.rs
+++ b/crates/control-sim/src/message.rs
@@ -15,9 +15,9 @@
     pub from: NodeId,
     pub to: NodeId,
     /// Incarnation that an answer is addressed to; none for requests, which any incarnation accepts.
-    pub to_life: Option<u32>,
+    pub to_incarnation: Option<u32>,
     /// Incarnation of the sender.
-    pub from_life: u32,
+    pub from_incarnation: u32,
     pub message: Message,
 }
 
@@ -54,7 +54,7 @@
     },
     Watched {
         asked_at: Micros,
-        news: Box<Watched>,
+        update: Box<Watched>,
     },
     FetchConfig,
     Config(ConfigDocument),
--- a/crates/control-sim/src/platform.rs
+++ b/crates/control-sim/src/platform.rs
@@ -1,6 +1,6 @@
 //! Simulated platform API that returns its list of workers with a lag.
 
-use crate::world::QUIET;
+use crate::world::CHANGES_END_AT;
 use crate::{Micros, MILLI};
 use compact_str::{format_compact, CompactString};
 use fastrand::Rng;
@@ -62,7 +62,7 @@
         while self.history.get(1).is_some_and(|(since, _)| since + LAG <= now) {
             self.history.pop_front();
         }
-        let fails = now < QUIET && random.u32(..FAILS_ONCE_IN) == 0;
+        let fails = now < CHANGES_END_AT && random.u32(..FAILS_ONCE_IN) == 0;
         self.history.front().filter(|_| !fails).map(|(_, workers)| workers.clone())
     }
 
--- a/crates/control-sim/src/process.rs
+++ b/crates/control-sim/src/process.rs
@@ -7,20 +7,20 @@
 pub(crate) struct Process {
     pub up: bool,
     /// Incarnation; increases with each start.
-    pub life: u32,
+    pub incarnation: u32,
     pub started: Micros,
     /// The process is paused until this time.
-    pub frozen_until: Micros,
+    pub paused_until: Micros,
     /// Offset of the wall clock from the virtual clock.
-    pub wall_ahead: Micros,
+    pub wall_offset: Micros,
 }
 
 impl Process {
     pub fn start(&mut self, now: Micros) {
         self.up = true;
-        self.life += 1;
+        self.incarnation += 1;
         self.started = now;
-        self.frozen_until = 0;
+        self.paused_until = 0;
     }
 
     pub fn stop(&mut self) {
@@ -33,11 +33,11 @@
     }
 
     /// Wall clock in milliseconds.
-    pub fn time_of_day(&self, now: Micros) -> u64 {
-        (now + self.wall_ahead) / MILLI
+    pub fn wall_clock_ms(&self, now: Micros) -> u64 {
+        (now + self.wall_offset) / MILLI
     }
 
-    pub fn is_frozen(&self, now: Micros) -> bool {
-        now < self.frozen_until
+    pub fn is_paused(&self, now: Micros) -> bool {
+        now < self.paused_until
     }
 }
--- a/crates/control-sim/src/proxy_node.rs
+++ b/crates/control-sim/src/proxy_node.rs
@@ -15,23 +15,23 @@
 /// Ticks between watches, requests to home proxies, and fallback requests to registries.
 const WATCH_TICKS: u64 = 4;
 const FOLLOW_TICKS: u64 = 3;
-const LATE_TICKS: u64 = 2;
+const FALLBACK_TICKS: u64 = 2;
 /// Time after which a home that lacks an announced update is considered unresponsive.
-const HOME_PATIENCE: Micros = 200 * MILLI;
+const HOME_RESPONSE_TIMEOUT: Micros = 200 * MILLI;
 /// How long an unresponsive home is excluded.
-const HOME_SILENT: Micros = 3 * SECOND;
+const UNRESPONSIVE_HOME_BACKOFF: Micros = 3 * SECOND;
 /// Timeout of a request for workers.
-const SERVICES_WITHIN: Micros = 400 * MILLI;
+const SERVICES_TIMEOUT: Micros = 400 * MILLI;
 /// Settings of the view.
-const SPANS: ViewSettings = ViewSettings {
+const VIEW_SETTINGS: ViewSettings = ViewSettings {
     zone_return_delay: 2_500 * MILLI,
     cold_margin: 300 * MILLI,
     key_lease: Some(4_500 * MILLI),
     share_lease: 11 * SECOND,
-    trials: TRIAL_SPANS,
+    trials: TRIAL_TIMING,
 };
 /// Timing of trial steps.
-pub(crate) const TRIAL_SPANS: hingestage_trial::TrialTiming = hingestage_trial::TrialTiming::DEFAULT;
+pub(crate) const TRIAL_TIMING: hingestage_trial::TrialTiming = hingestage_trial::TrialTiming::DEFAULT;
 
 /// A simulated proxy.
 pub(crate) struct ProxyNode {
@@ -44,7 +44,7 @@
     pub view: View,
     homes: Homes,
     /// The trial revision last received from each core machine.
-    trials: Vec<TrialRevision>,
+    trial_revisions: Vec<TrialRevision>,
     ticks: u64,
 }
 
@@ -60,8 +60,8 @@
             number,
             cores,
             defect,
-            view: View::new(spans(defect)),
-            trials: vec![TrialRevision::default(); cores],
+            view: View::new(view_settings(defect)),
+            trial_revisions: vec![TrialRevision::default(); cores],
             ticks: 0,
         }
     }
@@ -69,9 +69,9 @@
     pub fn start(&mut self, now: Micros) {
         self.process.start(now);
         if self.defect != Some(Defect::PartKeptOverRestart) {
-            self.view = View::new(spans(self.defect));
+            self.view = View::new(view_settings(self.defect));
         }
-        self.trials.fill(TrialRevision::default());
+        self.trial_revisions.fill(TrialRevision::default());
         self.homes = Homes::new(&self.name);
     }
 
@@ -79,7 +79,7 @@
     pub fn clock(&self, now: Micros) -> Micros {
         let steady = self.process.clock(now);
         if self.defect == Some(Defect::WallClock) {
-            steady + self.process.wall_ahead
+            steady + self.process.wall_offset
         } else {
             steady
         }
@@ -87,7 +87,7 @@
 
     /// The trial position that applies to a tenant's requests: none if the proxy would refuse them, the lowest if it knows
     /// no trial.
-    pub fn judged_by(&mut self, now: Micros, tenant: &str) -> Option<TrialPosition> {
+    pub fn effective_trial_position(&mut self, now: Micros, tenant: &str) -> Option<TrialPosition> {
         let clock = self.clock(now);
         if self.view.limit_share().share(clock) <= 0.0 {
             return None;
@@ -96,7 +96,7 @@
             TrialDecision::NoTrial => Some(TrialPosition::default()),
             TrialDecision::Unknown(_) => None,
             TrialDecision::Trial(standing) if self.defect == Some(Defect::StepByOwnClock) => {
-                let step = standing.terms.step_due(self.process.time_of_day(now));
+                let step = standing.terms.step_due(self.process.wall_clock_ms(now));
                 Some(TrialPosition { step, ..standing.position })
             }
             TrialDecision::Trial(standing) => Some(standing.position),
@@ -111,20 +111,22 @@
         if self.ticks.is_multiple_of(WATCH_TICKS) {
             for core in 0..self.cores {
                 let (status, have) =
-                    (self.status(), KnownVersions { trials: self.trials[core], ..self.view.have() });
+                    (self.status(), KnownVersions { trials: self.trial_revisions[core], ..self.view.have() });
                 sent.push(self.envelope(core, Message::Watch { asked_at: clock, status, have }));
             }
         }
         if self.ticks.is_multiple_of(FOLLOW_TICKS) {
             self.ask_homes(clock, &mut sent);
         }
-        if self.ticks.is_multiple_of(LATE_TICKS) {
-            let until = clock + SERVICES_WITHIN;
-            let late =
-                self.view.followed_mut().next_requests(clock, until, |_, waited| waited >= HOME_PATIENCE);
+        if self.ticks.is_multiple_of(FALLBACK_TICKS) {
+            let until = clock + SERVICES_TIMEOUT;
+            let late = self
+                .view
+                .followed_mut()
+                .next_requests(clock, until, |_, waited| waited >= HOME_RESPONSE_TIMEOUT);
             for have in &late {
                 if let Home::Peer(peer) = self.homes.home(clock, &have.service) {
-                    self.homes.mark_unresponsive(&peer.name, clock + HOME_SILENT);
+                    self.homes.mark_unresponsive(&peer.name, clock + UNRESPONSIVE_HOME_BACKOFF);
                 }
             }
             if !late.is_empty() {
@@ -147,12 +149,18 @@
     }
 
     fn envelope(&self, to: NodeId, message: Message) -> Envelope {
-        Envelope { from: self.number, to, to_life: None, from_life: self.process.life, message }
+        Envelope {
+            from: self.number,
+            to,
+            to_incarnation: None,
+            from_incarnation: self.process.incarnation,
+            message,
+        }
     }
 
     fn status(&self) -> ProxyStatus {
         ProxyStatus {
-            id: ProcessId { node: self.name.clone(), incarnation: self.process.life.into() },
+            id: ProcessId { node: self.name.clone(), incarnation: self.process.incarnation.into() },
             zone: self.zone.clone(),
             region: "r".into(),
             http: ([10, 1, 0, 0], 80).into(),
@@ -166,9 +174,9 @@
     pub fn deliver(&mut self, now: Micros, envelope: Envelope) -> Vec<Envelope> {
         let clock = self.clock(now);
         match envelope.message {
-            Message::Watched { asked_at, news } => {
+            Message::Watched { asked_at, update } => {
                 let asked_at = if self.defect == Some(Defect::LeaseFromReceipt) { clock } else { asked_at };
-                self.take(clock, envelope.from, asked_at, *news)
+                self.apply_watch_answer(clock, envelope.from, asked_at, *update)
             }
             Message::Config(document) => {
                 self.view.apply_config(&document);
@@ -181,45 +189,51 @@
             Message::FetchServices(have) => {
                 let updates = self.view.followed().catalog().updates_for(clock, &have);
                 let answer = self.envelope(envelope.from, Message::Services(updates));
-                vec![Envelope { to_life: Some(envelope.from_life), ..answer }]
+                vec![Envelope { to_incarnation: Some(envelope.from_incarnation), ..answer }]
             }
             _ => Vec::new(),
         }
     }
 
-    fn take(&mut self, clock: Micros, from: NodeId, asked_at: Micros, news: Watched) -> Vec<Envelope> {
+    fn apply_watch_answer(
+        &mut self,
+        clock: Micros,
+        from: NodeId,
+        asked_at: Micros,
+        update: Watched,
+    ) -> Vec<Envelope> {
         let mut sent = Vec::new();
-        self.view.apply_trials(clock, news.trials);
-        self.trials[from] = news.have.trials;
-        if let Some(peers) = news.directory {
+        self.view.apply_trials(clock, update.trials);
+        self.trial_revisions[from] = update.have.trials;
+        if let Some(peers) = update.directory {
             let of_zone = peers.iter().filter(|peer| peer.zone == self.zone);
             let living = of_zone.map(|peer| PeerProxy { name: peer.id.node.clone(), addr: peer.peer });
             self.homes.set_live_proxies(living);
             self.view.set_peers(peers);
         }
-        self.view.apply_drains(clock, &news.have.drains);
-        self.view.followed_mut().apply_index(clock, &news.services);
-        let (homes, until) = (&self.homes, clock + SERVICES_WITHIN);
+        self.view.apply_drains(clock, &update.have.drains);
+        self.view.followed_mut().apply_index(clock, &update.services);
+        let (homes, until) = (&self.homes, clock + SERVICES_TIMEOUT);
         let due = |name: &CompactString, _| homes.home(clock, name) == Home::Local;
         let asked = self.view.followed_mut().next_requests(clock, until, due);
         if !asked.is_empty() {
             sent.push(self.envelope(from, Message::FetchServices(asked)));
         }
-        if news.have.config > self.view.config_version() {
+        if update.have.config > self.view.config_version() {
             sent.push(self.envelope(from, Message::FetchConfig));
         }
-        self.view.apply_freshness(asked_at, news.fresh_age, news.have.config);
-        self.view.apply_members(news.members, news.settled);
+        self.view.apply_freshness(asked_at, update.fresh_age, update.have.config);
+        self.view.apply_members(update.members, update.settled);
         sent
     }
 }
 
-fn spans(defect: Option<Defect>) -> ViewSettings {
-    let mut spans = SPANS;
+fn view_settings(defect: Option<Defect>) -> ViewSettings {
+    let mut settings = VIEW_SETTINGS;
     match defect {
-        Some(Defect::StepAtOnce) => spans.trials.delay = 0,
-        Some(Defect::StepWithoutLease) => spans.trials.lease = Micros::MAX / 4,
+        Some(Defect::StepAtOnce) => settings.trials.delay = 0,
+        Some(Defect::StepWithoutLease) => settings.trials.lease = Micros::MAX / 4,
         _ => {}
     }
-    spans
+    settings
 }
--- a/crates/control-sim/src/world.rs
+++ b/crates/control-sim/src/world.rs
@@ -1,8 +1,8 @@
 //! Event loop of a run on a virtual clock.
 
-use crate::core_node::{CoreNode, Layout, UNWATCHED};
+use crate::core_node::{CoreNode, Layout, UNTRACKED_PROPOSAL};
 use crate::faults::{self, Direction, Fault, Size, FAULTS_UNTIL};
-use crate::judge::{Broken, Judge};
+use crate::invariants::{InvariantChecker, Violation};
 use crate::message::{Envelope, NodeId};
 use crate::platform::Platform;
 use crate::process::Process;
@@ -18,35 +18,35 @@
 const TICK: Micros = 100 * MILLI;
 const CHECK_PERIOD: Micros = 50 * MILLI;
 /// All faults are over by this time.
-pub(crate) const HEALED: Micros = FAULTS_UNTIL + 3 * SECOND;
+pub(crate) const FAULTS_HEALED_AT: Micros = FAULTS_UNTIL + 3 * SECOND;
 /// Operators and platform make no changes after this time.
-pub(crate) const QUIET: Micros = HEALED + 15 * SECOND;
-const END: Micros = QUIET + 30 * SECOND;
+pub(crate) const CHANGES_END_AT: Micros = FAULTS_HEALED_AT + 15 * SECOND;
+const RUN_END_AT: Micros = CHANGES_END_AT + 30 * SECOND;
 /// How long all core machines must be healthy before another disk may be lost.
-const SYNC_TIME: Micros = 4 * SECOND;
+const STABLE_AFTER: Micros = 4 * SECOND;
 /// Initial wall clock offset, so that the clock can also jump back.
-const WALL_AHEAD: Micros = 9 * SECOND;
+const WALL_OFFSET_INITIAL: Micros = 9 * SECOND;
 /// Proxies start within this time.
-const START_WITHIN: Micros = 300 * MILLI;
+const START_JITTER_MAX: Micros = 300 * MILLI;
 /// One change in this many is made by two operators concurrently.
-const RACE_ONCE_IN: u32 = 6;
+const ONE_IN_RACES: u32 = 6;
 /// Frequencies of resent documents, reads, and drain changes.
-const RESEND_ONCE_IN: u32 = 4;
-const READ_ONCE_IN: u32 = 2;
-const DRAIN_ONCE_IN: u32 = 4;
+const ONE_IN_RESENDS: u32 = 4;
+const ONE_IN_READS: u32 = 2;
+const ONE_IN_DRAINS: u32 = 4;
 /// Zones that operators drain.
 const DRAINED_ZONES: [&str; 2] = ["a", "b"];
 /// Core machines that can replace others.
 const SPARE_CORES: usize = 4;
-/// Time between the removal of a machine and the start of its successor, in either order.
-const SUCCESSOR_AFTER: Micros = SECOND;
+/// Time between the removal of a machine and the start of its successor, in either requested.
+const SUCCESSION_GAP: Micros = SECOND;
 /// Shutdown timeout of a core machine.
-const GRACE: Micros = 2 * SECOND;
+const SHUTDOWN_TIMEOUT: Micros = 2 * SECOND;
 
 /// Tenants with trials.
 pub(crate) const TENANTS: [&str; 6] = ["trial-a", "trial-b", "trial-c", "trial-d", "trial-e", "trial-f"];
 /// Longest time from setting terms to the trial's end, in milliseconds.
-const END_WITHIN: u64 = 12_000;
+const TRIAL_END_MAX_MS: u64 = 12_000;
 
 enum Event {
     Deliver(Box<Envelope>),
@@ -54,14 +54,14 @@
     Start(NodeId),
     Fault(Fault),
     /// A new core machine replaces another.
-    Succeed {
+    StartSuccessor {
         core: NodeId,
         successor: NodeId,
     },
     /// A core machine begins its shutdown.
-    Leave(NodeId),
+    BeginShutdown(NodeId),
     /// A core machine stops once its handover is complete or the timeout has passed.
-    End {
+    FinishShutdown {
         core: NodeId,
         until: Micros,
     },
@@ -73,13 +73,13 @@
 
 struct Queued {
     at: Micros,
-    number: u64,
+    sequence: u64,
     event: Event,
 }
 
 impl PartialEq for Queued {
     fn eq(&self, other: &Self) -> bool {
-        (self.at, self.number) == (other.at, other.number)
+        (self.at, self.sequence) == (other.at, other.sequence)
     }
 }
 
@@ -93,7 +93,7 @@
 
 impl Ord for Queued {
     fn cmp(&self, other: &Self) -> std::cmp::Ordering {
-        (self.at, self.number).cmp(&(other.at, other.number))
+        (self.at, self.sequence).cmp(&(other.at, other.sequence))
     }
 }
 
@@ -106,14 +106,14 @@
 
 /// A change that an operator requested.
 #[derive(Clone, Copy, Debug)]
-enum OrderSent {
+enum OperatorChange {
     Config(ConfigVersion),
     Drain { zone: &'static str, drained: bool },
 }
 
 /// Result of a run without violations.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Played {
+pub struct RunSummary {
     /// Number of events.
     pub events: u64,
     /// Number of acknowledged configurations.
@@ -133,26 +133,26 @@
     zones: Vec<usize>,
     cuts: Vec<Cut>,
     platform: Platform,
-    judge: Judge,
+    invariants: InvariantChecker,
     serial: u64,
     terms_version: u64,
     /// Since when all core machines have been healthy.
-    whole_since: Micros,
+    healthy_since: Micros,
     /// Power loss at the next acknowledgement: whether a disk is wiped, and the downtime.
-    after_ack: Option<(bool, Micros)>,
-    /// Whether a disk was lost since all core machines were last healthy for [`SYNC_TIME`].
+    power_loss_after_ack: Option<(bool, Micros)>,
+    /// Whether a disk was lost since all core machines were last healthy for [`STABLE_AFTER`].
     disk_lost: bool,
     /// Requested changes by proposal id.
-    orders: BTreeMap<u64, OrderSent>,
+    operator_changes: BTreeMap<u64, OperatorChange>,
     last_document: Option<ConfigDocument>,
     defect: Option<Defect>,
     events: u64,
     digest: u64,
-    tell: Tell,
+    trace: TraceSink,
 }
 
 /// Receives the time and description of each notable event.
-type Tell = Box<dyn Fn(Micros, &str)>;
+type TraceSink = Box<dyn Fn(Micros, &str)>;
 
 /// Options of a run.
 #[derive(Clone, Copy, Debug, Default)]
@@ -167,28 +167,31 @@
 ///
 /// # Errors
 /// Returns the first invariant violation.
-pub fn play(seed: u64, options: Options) -> Result<Played, Broken> {
-    play_and_tell(seed, options, |_, _| {})
+pub fn run_seed(seed: u64, options: Options) -> Result<RunSummary, Violation> {
+    run_seed_traced(seed, options, |_, _| {})
 }
 
 /// Runs the simulation of a seed and reports faults, starts and acknowledgements as they happen.
 ///
 /// # Errors
 /// Returns the first invariant violation.
-pub fn play_and_tell(
+pub fn run_seed_traced(
     seed: u64,
     options: Options,
-    tell: impl Fn(Micros, &str) + 'static,
-) -> Result<Played, Broken> {
-    let mut world = World::new(seed, options, Box::new(tell));
+    trace: impl Fn(Micros, &str) + 'static,
+) -> Result<RunSummary, Violation> {
+    let mut world = World::new(seed, options, Box::new(trace));
     let result = world.run();
-    let played =
-        Played { events: world.events, acknowledged: world.judge.acknowledgements(), digest: world.digest };
-    result.map(|()| played).map_err(|what| Broken { seed, at: world.now, what })
+    let played = RunSummary {
+        events: world.events,
+        acknowledged: world.invariants.acknowledgements(),
+        digest: world.digest,
+    };
+    result.map(|()| played).map_err(|what| Violation { seed, at: world.now, what })
 }
 
 impl World {
-    fn new(seed: u64, options: Options, tell: Tell) -> World {
+    fn new(seed: u64, options: Options, trace: TraceSink) -> World {
         let defect = options.defect;
         let mut random = Rng::with_seed(seed);
         // Two layouts: three core machines in two zones, and four in as many.
@@ -222,38 +225,38 @@
             proxies,
             cuts: Vec::new(),
             platform: Platform::new(),
-            judge: Judge::default(),
+            invariants: InvariantChecker::default(),
             serial: 0,
             terms_version: 1,
-            whole_since: 0,
-            after_ack: None,
+            healthy_since: 0,
+            power_loss_after_ack: None,
             disk_lost: false,
-            orders: BTreeMap::new(),
+            operator_changes: BTreeMap::new(),
             last_document: None,
             defect,
             events: 0,
             digest: 0,
-            tell,
+            trace,
             random,
         };
-        world.begin();
+        world.schedule_initial_events();
         if options.trials {
             world.push(3 * SECOND, Event::Terms);
         }
         world
     }
 
-    fn begin(&mut self) {
+    fn schedule_initial_events(&mut self) {
         for core in 0..self.size.present_cores {
             let at = self.random.u64(..TICK);
-            self.push(at, Event::Tick(core, self.cores[core].process.life));
+            self.push(at, Event::Tick(core, self.cores[core].process.incarnation));
         }
         for proxy in self.size.cores..self.size.cores + self.size.proxies {
-            let at = self.random.u64(..START_WITHIN);
+            let at = self.random.u64(..START_JITTER_MAX);
             self.push(at, Event::Start(proxy));
         }
         for node in 0..self.size.nodes() {
-            self.process_mut(node).wall_ahead = WALL_AHEAD;
+            self.process_mut(node).wall_offset = WALL_OFFSET_INITIAL;
         }
         for (at, fault) in faults::draw(&mut self.random, &self.size) {
             self.push(at, Event::Fault(fault));
@@ -265,7 +268,7 @@
 
     fn push(&mut self, at: Micros, event: Event) {
         self.queued += 1;
-        self.queue.push(Reverse(Queued { at, number: self.queued, event }));
+        self.queue.push(Reverse(Queued { at, sequence: self.queued, event }));
     }
 
     fn process(&self, node: NodeId) -> &Process {
@@ -284,33 +287,33 @@
 
     fn run(&mut self) -> Result<(), String> {
         while let Some(Reverse(next)) = self.queue.pop() {
-            if next.at > END {
+            if next.at > RUN_END_AT {
                 break;
             }
             self.now = next.at;
             self.events += 1;
             self.digest = digest(&[self.digest, self.now, self.queued].map(u64::to_le_bytes).concat());
-            self.happen(next.event)?;
+            self.handle_event(next.event)?;
         }
-        self.judge.check_end(self.now, &self.cores, &mut self.proxies, &self.platform)
+        self.invariants.check_end(self.now, &self.cores, &mut self.proxies, &self.platform)
     }
 
-    fn happen(&mut self, event: Event) -> Result<(), String> {
+    fn handle_event(&mut self, event: Event) -> Result<(), String> {
         match event {
             Event::Deliver(envelope) => return self.deliver(*envelope),
-            Event::Tick(node, life) => return self.tick(node, life),
+            Event::Tick(node, incarnation) => return self.tick(node, incarnation),
             Event::Start(node) => self.start(node),
-            Event::Succeed { core, successor } => self.succeed(core, successor),
-            Event::Leave(core) => self.leave(core),
-            Event::End { core, until } => self.end(core, until),
-            Event::Fault(fault) => self.strike(fault),
-            Event::Operator => self.operate(),
+            Event::StartSuccessor { core, successor } => self.start_successor(core, successor),
+            Event::BeginShutdown(core) => self.begin_shutdown(core),
+            Event::FinishShutdown { core, until } => self.finish_shutdown(core, until),
+            Event::Fault(fault) => self.inject_fault(fault),
+            Event::Operator => self.run_operator(),
             Event::Terms => self.set_terms(),
             Event::Platform => self.change_platform(),
             Event::Check => {
-                self.note_whole();
+                self.update_healthy_since();
                 self.push(self.now + CHECK_PERIOD, Event::Check);
-                return self.judge.check(self.now, &self.cores, &mut self.proxies);
+                return self.invariants.check(self.now, &self.cores, &mut self.proxies);
             }
         }
         Ok(())
@@ -318,12 +321,14 @@
 
     fn deliver(&mut self, envelope: Envelope) -> Result<(), String> {
         let process = *self.process(envelope.to);
-        if !process.up || envelope.to_life.is_some_and(|life| life != process.life) || self.is_cut(&envelope)
+        if !process.up
+            || envelope.to_incarnation.is_some_and(|incarnation| incarnation != process.incarnation)
+            || self.is_cut(&envelope)
         {
             return Ok(());
         }
-        if process.is_frozen(self.now) {
-            self.push(process.frozen_until, Event::Deliver(Box::new(envelope)));
+        if process.is_paused(self.now) {
+            self.push(process.paused_until, Event::Deliver(Box::new(envelope)));
             return Ok(());
         }
         let sent = match envelope.to.checked_sub(self.size.cores) {
@@ -331,7 +336,7 @@
             None => self.cores[envelope.to].deliver(self.now, envelope),
         };
         self.send(sent);
-        self.note_outcomes()
+        self.check_outcomes()
     }
 
     fn is_cut(&self, envelope: &Envelope) -> bool {
@@ -350,13 +355,13 @@
         }
     }
 
-    fn tick(&mut self, node: NodeId, life: u32) -> Result<(), String> {
+    fn tick(&mut self, node: NodeId, incarnation: u32) -> Result<(), String> {
         let process = *self.process(node);
-        if !process.up || process.life != life {
+        if !process.up || process.incarnation != incarnation {
             return Ok(());
         }
-        if process.is_frozen(self.now) {
-            self.push(process.frozen_until, Event::Tick(node, life));
+        if process.is_paused(self.now) {
+            self.push(process.paused_until, Event::Tick(node, incarnation));
             return Ok(());
         }
         let sent = match node.checked_sub(self.size.cores) {
@@ -364,8 +369,8 @@
             None => self.cores[node].tick(self.now, &mut self.platform, &mut self.random),
         };
         self.send(sent);
-        self.push(self.now + TICK, Event::Tick(node, life));
-        self.note_outcomes()
+        self.push(self.now + TICK, Event::Tick(node, incarnation));
+        self.check_outcomes()
     }
 
     fn start(&mut self, node: NodeId) {
@@ -378,72 +383,73 @@
             Some(proxy) => self.proxies[proxy].start(self.now),
             None => self.cores[node].start(self.now, &seeds),
         }
-        let life = self.process(node).life;
-        (self.tell)(self.now, &format!("machine {node} starts, life {life}"));
-        self.push(self.now + MILLI, Event::Tick(node, life));
+        let incarnation = self.process(node).incarnation;
+        (self.trace)(self.now, &format!("machine {node} starts, life {incarnation}"));
+        self.push(self.now + MILLI, Event::Tick(node, incarnation));
     }
 
-    fn note_whole(&mut self) {
+    fn update_healthy_since(&mut self) {
         let cut = self.cuts.iter().any(|cut| {
             let core = |node: &NodeId| *node < self.size.cores;
             self.now < cut.until && cut.from.iter().chain(&cut.to).any(core)
         });
-        if cut || !self.cores.iter().all(|core| core.is_whole(self.now)) {
-            self.whole_since = self.now;
+        if cut || !self.cores.iter().all(|core| core.is_healthy_or_absent(self.now)) {
+            self.healthy_since = self.now;
         }
-        if self.is_whole_for_long() {
+        if self.is_stable() {
             self.disk_lost = false;
         }
     }
 
-    fn is_whole_for_long(&self) -> bool {
-        self.now >= self.whole_since + SYNC_TIME
+    fn is_stable(&self) -> bool {
+        self.now >= self.healthy_since + STABLE_AFTER
     }
 
     /// Permanently removes a core machine and starts a successor.
     fn replace(&mut self, core: NodeId, planned: bool) {
-        let successor = (0..self.size.cores).find(|spare| self.cores[*spare].process.life == 0);
+        let successor = (0..self.size.cores).find(|spare| self.cores[*spare].process.incarnation == 0);
         let Some(successor) = successor else { return };
-        if self.disk_lost || !self.cores[core].is_there() || !self.is_whole_for_long() {
+        if self.disk_lost || !self.cores[core].is_active() || !self.is_stable() {
             return;
         }
         self.disk_lost = true;
         if planned {
-            self.succeed(core, successor);
-            self.push(self.now + SUCCESSOR_AFTER, Event::Leave(core));
+            self.start_successor(core, successor);
+            self.push(self.now + SUCCESSION_GAP, Event::BeginShutdown(core));
         } else {
-            self.push(self.now + SUCCESSOR_AFTER, Event::Succeed { core, successor });
+            self.push(self.now + SUCCESSION_GAP, Event::StartSuccessor { core, successor });
             self.retire(core);
         }
     }
 
-    fn succeed(&mut self, core: NodeId, successor: NodeId) {
+    fn start_successor(&mut self, core: NodeId, successor: NodeId) {
         let zone = self.cores[core].member.zone.clone();
-        self.cores[successor].place(&zone);
+        self.cores[successor].set_zone(&zone);
         self.zones[successor] = self.zones[core];
         self.start(successor);
-        self.whole_since = self.now;
+        self.healthy_since = self.now;
     }
 
-    fn leave(&mut self, core: NodeId) {
+    fn begin_shutdown(&mut self, core: NodeId) {
         if self.cores[core].process.up {
-            self.cores[core].leave();
+            self.cores[core].begin_shutdown();
         }
-        self.push(self.now + TICK, Event::End { core, until: self.now + GRACE });
+        self.push(self.now + TICK, Event::FinishShutdown { core, until: self.now + SHUTDOWN_TIMEOUT });
     }
 
-    fn end(&mut self, core: NodeId, until: Micros) {
-        if self.now < until && self.cores[core].process.up && !self.cores[core].has_left(self.now) {
-            return self.push(self.now + TICK, Event::End { core, until });
+    fn finish_shutdown(&mut self, core: NodeId, until: Micros) {
+        if self.now < until && self.cores[core].process.up && !self.cores[core].is_shutdown_complete(self.now)
+        {
+            return self.push(self.now + TICK, Event::FinishShutdown { core, until });
         }
         self.retire(core);
     }
 
     fn retire(&mut self, core: NodeId) {
-        (self.tell)(self.now, &format!("core-{core} is gone for good"));
+        (self.trace)(self.now, &format!("core-{core} is gone for good"));
         self.cores[core].process.stop();
         self.cores[core].retired = true;
-        self.whole_since = self.now;
+        self.healthy_since = self.now;
     }
 
     /// Picks up to three running stores.
@@ -455,38 +461,40 @@
         members
     }
 
-    fn note_outcomes(&mut self) -> Result<(), String> {
+    fn check_outcomes(&mut self) -> Result<(), String> {
         for core in 0..self.size.cores {
-            if !self.cores[core].process.up || self.cores[core].process.is_frozen(self.now) {
+            if !self.cores[core].process.up || self.cores[core].process.is_paused(self.now) {
                 continue;
             }
-            for (read, version) in self.cores[core].answers(self.now) {
-                self.judge.read(read.asked_at, version)?;
+            for (read, version) in self.cores[core].take_read_results(self.now) {
+                self.invariants.read(read.asked_at, version)?;
             }
-            for (number, outcome) in self.cores[core].outcomes(self.now) {
-                self.note_outcome(core, number, outcome)?;
+            for (number, outcome) in self.cores[core].take_outcomes(self.now) {
+                self.check_outcome(core, number, outcome)?;
             }
         }
         Ok(())
     }
 
-    fn note_outcome(&mut self, core: NodeId, number: u64, outcome: Proposed) -> Result<(), String> {
-        let Some(order) = self.orders.get(&number).copied() else { return Ok(()) };
-        let lax = self.defect == Some(Defect::OtherContentAcknowledged);
-        match (order, outcome) {
-            (OrderSent::Config(version), Proposed::SerialTaken) if !lax => self.judge.refused(version),
-            (OrderSent::Config(version), Proposed::Durable | Proposed::SerialTaken) => {
-                (self.tell)(self.now, &format!("core-{core} acknowledges {version:?}"));
-                self.judge.acknowledged(self.now, version)?;
-                if let Some((wipe, down)) = self.after_ack.take() {
+    fn check_outcome(&mut self, core: NodeId, number: u64, outcome: Proposed) -> Result<(), String> {
+        let Some(requested) = self.operator_changes.get(&number).copied() else { return Ok(()) };
+        let accept_taken = self.defect == Some(Defect::OtherContentAcknowledged);
+        match (requested, outcome) {
+            (OperatorChange::Config(version), Proposed::SerialTaken) if !accept_taken => {
+                self.invariants.refused(version)
+            }
+            (OperatorChange::Config(version), Proposed::Durable | Proposed::SerialTaken) => {
+                (self.trace)(self.now, &format!("core-{core} acknowledges {version:?}"));
+                self.invariants.acknowledged(self.now, version)?;
+                if let Some((wipe, down)) = self.power_loss_after_ack.take() {
                     let wiped = wipe.then_some(core);
                     self.lose_cores((0..self.size.cores).collect(), wiped, down);
                 }
                 Ok(())
             }
-            (OrderSent::Drain { zone, drained }, Proposed::Durable) => {
-                (self.tell)(self.now, &format!("core-{core} acknowledges drain {zone} {drained}"));
-                self.judge.drain_acknowledged(zone, drained);
+            (OperatorChange::Drain { zone, drained }, Proposed::Durable) => {
+                (self.trace)(self.now, &format!("core-{core} acknowledges drain {zone} {drained}"));
+                self.invariants.drain_acknowledged(zone, drained);
                 Ok(())
             }
             _ => Ok(()),
@@ -496,7 +504,7 @@
     /// Cuts the power of core machines, and wipes the disk of one if no other disk was lost recently.
     fn lose_cores(&mut self, nodes: Vec<NodeId>, wiped: Option<NodeId>, down: Micros) {
         self.lose_power(nodes, down);
-        if let Some(core) = wiped.filter(|core| !self.disk_lost && self.cores[*core].is_there()) {
+        if let Some(core) = wiped.filter(|core| !self.disk_lost && self.cores[*core].is_active()) {
             self.disk_lost = true;
             self.cores[core].wipe();
         }
@@ -511,14 +519,14 @@
                 Some(proxy) => self.proxies[proxy].process.stop(),
                 None => self.cores[node].lose_power(self.now),
             }
-            self.push((self.now + down).min(HEALED), Event::Start(node));
+            self.push((self.now + down).min(FAULTS_HEALED_AT), Event::Start(node));
         }
-        self.note_whole();
+        self.update_healthy_since();
     }
 
-    fn strike(&mut self, fault: Fault) {
+    fn inject_fault(&mut self, fault: Fault) {
         let (now, cores) = (self.now, self.size.cores);
-        (self.tell)(now, &format!("{fault:?}"));
+        (self.trace)(now, &format!("{fault:?}"));
         match fault {
             Fault::Power { nodes, down } => self.lose_power(nodes, down),
             Fault::Wipe { core, all, down } => {
@@ -526,75 +534,78 @@
                 self.lose_cores(nodes, Some(core), down);
             }
             Fault::WipeZone { zone, down } => self.wipe_zone(zone, down),
-            Fault::PowerAfterAck { wipe, down } => self.after_ack = Some((wipe, down)),
+            Fault::PowerAfterAck { wipe, down } => self.power_loss_after_ack = Some((wipe, down)),
             Fault::Freeze { node, lasts } => {
-                self.process_mut(node).frozen_until = (now + lasts).min(HEALED);
+                self.process_mut(node).paused_until = (now + lasts).min(FAULTS_HEALED_AT);
             }
             Fault::Cut { nodes, others, direction, lasts } => {
-                let until = (now + lasts).min(HEALED);
+                let until = (now + lasts).min(FAULTS_HEALED_AT);
                 if direction != Direction::Inward {
                     self.cuts.push(Cut { from: nodes.clone(), to: others.clone(), until });
                 }
                 if direction != Direction::Outward {
                     self.cuts.push(Cut { from: others, to: nodes, until });
                 }
-                self.note_whole();
+                self.update_healthy_since();
             }
-            Fault::Clock { node, to } => self.process_mut(node).wall_ahead = to,
+            Fault::Clock { node, to } => self.process_mut(node).wall_offset = to,
             Fault::Join { proxy } => self.start(proxy),
             Fault::Replace { core, planned } => self.replace(core, planned),
         }
     }
 
     fn wipe_zone(&mut self, zone: usize, down: Micros) {
-        let there = |core: &NodeId| self.zones[*core] == zone && self.cores[*core].is_there();
-        let nodes: Vec<NodeId> = (0..self.size.cores).filter(there).collect();
-        if self.is_whole_for_long() && !self.disk_lost {
+        let active = |core: &NodeId| self.zones[*core] == zone && self.cores[*core].is_active();
+        let nodes: Vec<NodeId> = (0..self.size.cores).filter(active).collect();
+        if self.is_stable() && !self.disk_lost {
             self.disk_lost = true;
             self.lose_power(nodes.clone(), down);
             nodes.into_iter().for_each(|core| self.cores[core].wipe());
         }
     }
 
-    fn operate(&mut self) {
+    fn run_operator(&mut self) {
         self.serial += self.random.u64(1..4);
-        let races = self.random.u32(..RACE_ONCE_IN) == 0;
+        let races = self.random.u32(..ONE_IN_RACES) == 0;
         for content in 0..=u8::from(races) {
             self.send_document(document(self.serial, content));
         }
-        if let Some(again) = self.last_document.clone().filter(|_| self.random.u32(..RESEND_ONCE_IN) == 0) {
+        if let Some(again) = self.last_document.clone().filter(|_| self.random.u32(..ONE_IN_RESENDS) == 0) {
             self.send_document(again);
         }
-        if self.random.u32(..DRAIN_ONCE_IN) == 0 {
+        if self.random.u32(..ONE_IN_DRAINS) == 0 {
             let zone = DRAINED_ZONES[self.random.usize(..DRAINED_ZONES.len())];
             let drained = self.random.bool();
-            self.judge.drain_sent(zone, drained);
-            self.send_order(OrderSent::Drain { zone, drained }, Change::Drain { zone: zone.into(), drained });
+            self.invariants.drain_sent(zone, drained);
+            self.send_change(
+                OperatorChange::Drain { zone, drained },
+                Change::Drain { zone: zone.into(), drained },
+            );
         }
-        if self.random.u32(..READ_ONCE_IN) == 0 {
+        if self.random.u32(..ONE_IN_READS) == 0 {
             if let Some(core) = self.reachable_core() {
                 let sent = self.cores[core].read(self.now);
                 self.send(sent);
             }
         }
         let next = self.now + self.random.u64(900 * MILLI..2 * SECOND);
-        if next < QUIET {
+        if next < CHANGES_END_AT {
             self.push(next, Event::Operator);
         }
     }
 
     /// Sends a document to a random core machine.
     fn send_document(&mut self, document: ConfigDocument) {
-        self.judge.sent(document.version);
+        self.invariants.sent(document.version);
         self.last_document = Some(document.clone());
-        self.send_order(OrderSent::Config(document.version), Change::Config(document));
+        self.send_change(OperatorChange::Config(document.version), Change::Config(document));
     }
 
-    fn send_order(&mut self, order: OrderSent, change: Change) {
+    fn send_change(&mut self, requested: OperatorChange, change: Change) {
         if let Some(core) = self.reachable_core() {
-            let number = UNWATCHED + 1 + self.orders.len() as u64;
-            self.orders.insert(number, order);
-            (self.tell)(self.now, &format!("core-{core} is asked for {order:?}"));
+            let number = UNTRACKED_PROPOSAL + 1 + self.operator_changes.len() as u64;
+            self.operator_changes.insert(number, requested);
+            (self.trace)(self.now, &format!("core-{core} is asked for {requested:?}"));
             let sent = self.cores[core].propose(self.now, number, change);
             self.send(sent);
         }
@@ -602,21 +613,21 @@
 
     /// Picks a random active core machine; none if it is down or paused.
     fn reachable_core(&mut self) -> Option<NodeId> {
-        let there: Vec<NodeId> = (0..self.size.cores).filter(|core| self.cores[*core].is_there()).collect();
-        let core = there[self.random.usize(..there.len())];
+        let active: Vec<NodeId> = (0..self.size.cores).filter(|core| self.cores[*core].is_active()).collect();
+        let core = active[self.random.usize(..active.len())];
         let process = self.cores[core].process;
-        (process.up && !process.is_frozen(self.now)).then_some(core)
+        (process.up && !process.is_paused(self.now)).then_some(core)
     }
 
     /// Sets random trial terms, sometimes by two operators concurrently.
     fn set_terms(&mut self) {
-        self.terms_version += u64::from(self.random.u32(..RACE_ONCE_IN) > 0);
-        let operators = 1 + usize::from(self.random.u32(..RACE_ONCE_IN) == 0);
+        self.terms_version += u64::from(self.random.u32(..ONE_IN_RACES) > 0);
+        let operators = 1 + usize::from(self.random.u32(..ONE_IN_RACES) == 0);
         for _ in 0..operators {
             let tenant = TENANTS[self.random.usize(..TENANTS.len())];
             let record = terms(tenant, self.terms_version, self.now, &mut self.random);
             if let Some(core) = self.reachable_core() {
-                (self.tell)(
+                (self.trace)(
                     self.now,
                     &format!("terms of {tenant} to core-{core}: {}", String::from_utf8_lossy(&record.terms)),
                 );
@@ -633,7 +644,7 @@
     fn change_platform(&mut self) {
         self.platform.change(self.now, &mut self.random);
         let next = self.now + self.random.u64(200 * MILLI..3 * SECOND);
-        if next < QUIET {
+        if next < CHANGES_END_AT {
             self.push(next, Event::Platform);
         }
     }
@@ -648,7 +659,7 @@
 
 /// Builds trial terms with an end by the unskewed wall clock, or without an end.
 fn terms(tenant: &str, version: u64, now: Micros, random: &mut Rng) -> TrialRecord {
-    let ends_at = (now + WALL_AHEAD) / MILLI + random.u64(..END_WITHIN);
+    let ends_at = (now + WALL_OFFSET_INITIAL) / MILLI + random.u64(..TRIAL_END_MAX_MS);
     let end = format!(
         r#""1970-01-01T00:{:02}:{:02}.{:03}Z""#,
         ends_at / 60_000,
