--- a/crates/control-sim/src/core_node.rs
+++ b/crates/control-sim/src/core_node.rs
@@ -365,7 +365,7 @@
     fn read_list(&mut self, now: Micros, platform: &mut Platform, random: &mut Rng) {
         let clock = self.process.clock(now);
         let Some(mut version) = self.reader_election.next_version(clock) else { return };
-        if self.defect == Some(Defect::DutyWithoutFence) {
+        if self.defect == Some(Defect::ReaderWithoutFence) {
             version = WorkersVersion { fence: 1, reader: 1, number: version.number };
         }
         let read = platform.read(now, random);
@@ -481,7 +481,7 @@
 
 fn admission_settings(defect: Option<Defect>) -> AdmissionSettings {
     let defaults = AdmissionSettings::default();
-    let lease = if defect == Some(Defect::NewcomerAtOnce) { 0 } else { defaults.lease };
+    let lease = if defect == Some(Defect::NewProxyAdmittedAtOnce) { 0 } else { defaults.lease };
     AdmissionSettings { lease, ..defaults }
 }
 
--- a/crates/control-sim/src/defect.rs
+++ b/crates/control-sim/src/defect.rs
@@ -19,15 +19,15 @@
     /// A configuration is acknowledged although its serial belongs to another document.
     OtherContentAcknowledged,
     /// All readers of the worker list use the same fence, so their versions collide.
-    DutyWithoutFence,
+    ReaderWithoutFence,
     /// A proxy keeps its share of common limits across a restart.
-    PartKeptOverRestart,
+    ShareKeptAcrossRestart,
     /// A new proxy gets its share immediately, before the lease of the previous shares ends.
-    NewcomerAtOnce,
+    NewProxyAdmittedAtOnce,
     /// Each proxy applies trial steps by its own wall clock.
-    StepByOwnClock,
+    StepByLocalClock,
     /// A proxy applies a trial step on receipt, without the delay.
-    StepAtOnce,
+    StepWithoutDelay,
     /// The first trial step is announced as soon as the terms are known, without notice.
     StepWithoutNotice,
     /// A proxy applies the trial steps that it knows after its lease has expired.
@@ -43,21 +43,21 @@
         Defect::EmptyDiskVotes,
         Defect::ReadWithoutContact,
         Defect::OtherContentAcknowledged,
-        Defect::DutyWithoutFence,
-        Defect::PartKeptOverRestart,
-        Defect::NewcomerAtOnce,
-        Defect::StepByOwnClock,
-        Defect::StepAtOnce,
+        Defect::ReaderWithoutFence,
+        Defect::ShareKeptAcrossRestart,
+        Defect::NewProxyAdmittedAtOnce,
+        Defect::StepByLocalClock,
+        Defect::StepWithoutDelay,
         Defect::StepWithoutNotice,
         Defect::StepWithoutLease,
     ];
 
     /// Whether the defect can only be detected when operators set trial terms.
-    pub fn is_of_trials(self) -> bool {
+    pub fn requires_trials(self) -> bool {
         matches!(
             self,
-            Defect::StepByOwnClock
-                | Defect::StepAtOnce
+            Defect::StepByLocalClock
+                | Defect::StepWithoutDelay
                 | Defect::StepWithoutNotice
                 | Defect::StepWithoutLease
         )
@@ -71,11 +71,11 @@
             Defect::EmptyDiskVotes => "empty-disk-votes",
             Defect::ReadWithoutContact => "read-without-contact",
             Defect::OtherContentAcknowledged => "other-content-acknowledged",
-            Defect::DutyWithoutFence => "duty-without-fence",
-            Defect::PartKeptOverRestart => "part-kept-over-restart",
-            Defect::NewcomerAtOnce => "newcomer-at-once",
-            Defect::StepByOwnClock => "step-by-own-clock",
-            Defect::StepAtOnce => "step-at-once",
+            Defect::ReaderWithoutFence => "duty-without-fence",
+            Defect::ShareKeptAcrossRestart => "part-kept-over-restart",
+            Defect::NewProxyAdmittedAtOnce => "newcomer-at-once",
+            Defect::StepByLocalClock => "step-by-own-clock",
+            Defect::StepWithoutDelay => "step-at-once",
             Defect::StepWithoutNotice => "step-without-notice",
             Defect::StepWithoutLease => "step-without-lease",
         }
@@ -93,6 +93,6 @@
 
     fn from_str(text: &str) -> Result<Defect, String> {
         let named = Defect::ALL.into_iter().find(|defect| defect.name() == text);
-        named.ok_or_else(|| format!("no defect is called `{text}`"))
+        named.ok_or_else(|| format!("unknown defect `{text}`"))
     }
 }
--- a/crates/control-sim/src/main.rs
+++ b/crates/control-sim/src/main.rs
@@ -45,20 +45,20 @@
     }
     let until = from.saturating_add(flags.seeds.unwrap_or(100));
     let jobs = flags.jobs.unwrap_or_else(|| std::thread::available_parallelism().map_or(1, usize::from));
-    let (played, broken) = run_seeds(from, until, options, jobs.max(1));
-    for broken in broken.iter().take(PRINTED_VIOLATIONS_MAX) {
-        println!("{broken}");
+    let (runs, violations) = run_seeds(from, until, options, jobs.max(1));
+    for violation in violations.iter().take(PRINTED_VIOLATIONS_MAX) {
+        println!("{violation}");
     }
-    let events: u64 = played.iter().map(|played| played.events).sum();
-    let acknowledged: usize = played.iter().map(|played| played.acknowledged).sum();
-    let digest = played.iter().fold(0, |sum, played| sum ^ played.digest);
+    let events: u64 = runs.iter().map(|run| run.events).sum();
+    let acknowledged: usize = runs.iter().map(|run| run.acknowledged).sum();
+    let digest = runs.iter().fold(0, |sum, run| sum ^ run.digest);
     println!(
         "{} seeds, {} broken; {events} events, {acknowledged} configurations acknowledged",
         until - from,
-        broken.len()
+        violations.len()
     );
     println!("digest {digest:016x}");
-    ExitCode::from(u8::from(!broken.is_empty()))
+    ExitCode::from(u8::from(!violations.is_empty()))
 }
 
 fn help(text: &str) -> ExitCode {
@@ -70,8 +70,8 @@
     let result = run_seed_traced(seed, options, |at, what| println!("{:>10.3} s  {what}", at as f64 / 1e6));
     match result {
         Ok(_) => ExitCode::SUCCESS,
-        Err(broken) => {
-            println!("{broken}");
+        Err(violation) => {
+            println!("{violation}");
             ExitCode::FAILURE
         }
     }
@@ -90,13 +90,13 @@
                 let result = run_seed(seed, options);
                 let mut results = results.lock().unwrap_or_else(|poisoned| poisoned.into_inner());
                 match result {
-                    Ok(played) => results.0.push(played),
-                    Err(broken) => results.1.push(broken),
+                    Ok(run) => results.0.push(run),
+                    Err(violation) => results.1.push(violation),
                 }
             });
         }
     });
-    let (played, mut broken) = results.into_inner().unwrap_or_else(|poisoned| poisoned.into_inner());
-    broken.sort_by_key(|broken| broken.seed);
-    (played, broken)
+    let (runs, mut violations) = results.into_inner().unwrap_or_else(|poisoned| poisoned.into_inner());
+    violations.sort_by_key(|violation| violation.seed);
+    (runs, violations)
 }
--- a/crates/control-sim/src/proxy_node.rs
+++ b/crates/control-sim/src/proxy_node.rs
@@ -68,7 +68,7 @@
 
     pub fn start(&mut self, now: Micros) {
         self.process.start(now);
-        if self.defect != Some(Defect::PartKeptOverRestart) {
+        if self.defect != Some(Defect::ShareKeptAcrossRestart) {
             self.view = View::new(view_settings(self.defect));
         }
         self.trial_revisions.fill(TrialRevision::default());
@@ -95,7 +95,7 @@
         match self.view.evaluate_trial(clock, tenant) {
             TrialDecision::NoTrial => Some(TrialPosition::default()),
             TrialDecision::Unknown(_) => None,
-            TrialDecision::Trial(standing) if self.defect == Some(Defect::StepByOwnClock) => {
+            TrialDecision::Trial(standing) if self.defect == Some(Defect::StepByLocalClock) => {
                 let step = standing.terms.step_due(self.process.wall_clock_ms(now));
                 Some(TrialPosition { step, ..standing.position })
             }
@@ -231,7 +231,7 @@
 fn view_settings(defect: Option<Defect>) -> ViewSettings {
     let mut settings = VIEW_SETTINGS;
     match defect {
-        Some(Defect::StepAtOnce) => settings.trials.delay = 0,
+        Some(Defect::StepWithoutDelay) => settings.trials.delay = 0,
         Some(Defect::StepWithoutLease) => settings.trials.lease = Micros::MAX / 4,
         _ => {}
     }
--- a/crates/control-sim/src/world.rs
+++ b/crates/control-sim/src/world.rs
@@ -29,16 +29,16 @@
 /// Proxies start within this time.
 const START_JITTER_MAX: Micros = 300 * MILLI;
 /// One change in this many is made by two operators concurrently.
-const ONE_IN_RACES: u32 = 6;
+const RACE_ONE_IN: u32 = 6;
 /// Frequencies of resent documents, reads, and drain changes.
-const ONE_IN_RESENDS: u32 = 4;
-const ONE_IN_READS: u32 = 2;
-const ONE_IN_DRAINS: u32 = 4;
+const RESEND_ONE_IN: u32 = 4;
+const READ_ONE_IN: u32 = 2;
+const DRAIN_ONE_IN: u32 = 4;
 /// Zones that operators drain.
 const DRAINED_ZONES: [&str; 2] = ["a", "b"];
 /// Core machines that can replace others.
 const SPARE_CORES: usize = 4;
-/// Time between the removal of a machine and the start of its successor, in either requested.
+/// Time between the removal of a machine and the start of its successor, in either order.
 const SUCCESSION_GAP: Micros = SECOND;
 /// Shutdown timeout of a core machine.
 const SHUTDOWN_TIMEOUT: Micros = 2 * SECOND;
@@ -111,6 +111,13 @@
     Drain { zone: &'static str, drained: bool },
 }
 
+/// A power loss of all core machines.
+struct PowerLoss {
+    /// Whether the acknowledging machine loses its disk.
+    wipe: bool,
+    down: Micros,
+}
+
 /// Result of a run without violations.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RunSummary {
@@ -138,8 +145,8 @@
     terms_version: u64,
     /// Since when all core machines have been healthy.
     healthy_since: Micros,
-    /// Power loss at the next acknowledgement: whether a disk is wiped, and the downtime.
-    power_loss_after_ack: Option<(bool, Micros)>,
+    /// Power loss to inject at the next acknowledgement.
+    power_loss_after_ack: Option<PowerLoss>,
     /// Whether a disk was lost since all core machines were last healthy for [`STABLE_AFTER`].
     disk_lost: bool,
     /// Requested changes by proposal id.
@@ -182,12 +189,12 @@
 ) -> Result<RunSummary, Violation> {
     let mut world = World::new(seed, options, Box::new(trace));
     let result = world.run();
-    let played = RunSummary {
+    let summary = RunSummary {
         events: world.events,
         acknowledged: world.invariants.acknowledgements(),
         digest: world.digest,
     };
-    result.map(|()| played).map_err(|what| Violation { seed, at: world.now, what })
+    result.map(|()| summary).map_err(|what| Violation { seed, at: world.now, what })
 }
 
 impl World {
@@ -486,7 +493,7 @@
             (OperatorChange::Config(version), Proposed::Durable | Proposed::SerialTaken) => {
                 (self.trace)(self.now, &format!("core-{core} acknowledges {version:?}"));
                 self.invariants.acknowledged(self.now, version)?;
-                if let Some((wipe, down)) = self.power_loss_after_ack.take() {
+                if let Some(PowerLoss { wipe, down }) = self.power_loss_after_ack.take() {
                     let wiped = wipe.then_some(core);
                     self.lose_cores((0..self.size.cores).collect(), wiped, down);
                 }
@@ -534,7 +541,7 @@
                 self.lose_cores(nodes, Some(core), down);
             }
             Fault::WipeZone { zone, down } => self.wipe_zone(zone, down),
-            Fault::PowerAfterAck { wipe, down } => self.power_loss_after_ack = Some((wipe, down)),
+            Fault::PowerAfterAck { wipe, down } => self.power_loss_after_ack = Some(PowerLoss { wipe, down }),
             Fault::Freeze { node, lasts } => {
                 self.process_mut(node).paused_until = (now + lasts).min(FAULTS_HEALED_AT);
             }
@@ -566,14 +573,14 @@
 
     fn run_operator(&mut self) {
         self.serial += self.random.u64(1..4);
-        let races = self.random.u32(..ONE_IN_RACES) == 0;
+        let races = self.random.u32(..RACE_ONE_IN) == 0;
         for content in 0..=u8::from(races) {
             self.send_document(document(self.serial, content));
         }
-        if let Some(again) = self.last_document.clone().filter(|_| self.random.u32(..ONE_IN_RESENDS) == 0) {
+        if let Some(again) = self.last_document.clone().filter(|_| self.random.u32(..RESEND_ONE_IN) == 0) {
             self.send_document(again);
         }
-        if self.random.u32(..ONE_IN_DRAINS) == 0 {
+        if self.random.u32(..DRAIN_ONE_IN) == 0 {
             let zone = DRAINED_ZONES[self.random.usize(..DRAINED_ZONES.len())];
             let drained = self.random.bool();
             self.invariants.drain_sent(zone, drained);
@@ -582,7 +589,7 @@
                 Change::Drain { zone: zone.into(), drained },
             );
         }
-        if self.random.u32(..ONE_IN_READS) == 0 {
+        if self.random.u32(..READ_ONE_IN) == 0 {
             if let Some(core) = self.reachable_core() {
                 let sent = self.cores[core].read(self.now);
                 self.send(sent);
@@ -621,8 +628,8 @@
 
     /// Sets random trial terms, sometimes by two operators concurrently.
     fn set_terms(&mut self) {
-        self.terms_version += u64::from(self.random.u32(..ONE_IN_RACES) > 0);
-        let operators = 1 + usize::from(self.random.u32(..ONE_IN_RACES) == 0);
+        self.terms_version += u64::from(self.random.u32(..RACE_ONE_IN) > 0);
+        let operators = 1 + usize::from(self.random.u32(..RACE_ONE_IN) == 0);
         for _ in 0..operators {
             let tenant = TENANTS[self.random.usize(..TENANTS.len())];
             let record = terms(tenant, self.terms_version, self.now, &mut self.random);
--- a/crates/control-sim/tests/seeds.rs
+++ b/crates/control-sim/tests/seeds.rs
@@ -16,8 +16,8 @@
 #[test]
 fn invariants_hold_and_configurations_are_acknowledged_for_all_seeds() {
     for (seed, options) in (0..SEEDS).flat_map(|seed| [(seed, WITHOUT_TRIALS), (seed, WITH_TRIALS)]) {
-        let played = run_seed(seed, options).unwrap_or_else(|broken| panic!("{broken}"));
-        assert!(played.acknowledged > 5, "seed {seed}: {played:?}");
+        let summary = run_seed(seed, options).unwrap_or_else(|violation| panic!("{violation}"));
+        assert!(summary.acknowledged > 5, "seed {seed}: {summary:?}");
     }
 }
 
@@ -34,14 +34,14 @@
 #[test]
 fn regression_seeds_keep_the_invariants() {
     for seed in [44, 281, 315, 12_564, 18_125] {
-        run_seed(seed, WITHOUT_TRIALS).unwrap_or_else(|broken| panic!("{broken}"));
+        run_seed(seed, WITHOUT_TRIALS).unwrap_or_else(|violation| panic!("{violation}"));
     }
 }
 
 #[test]
 fn each_planted_defect_is_detected() {
     for defect in Defect::ALL {
-        let options = Options { defect: Some(defect), trials: defect.is_of_trials() };
+        let options = Options { defect: Some(defect), trials: defect.requires_trials() };
         let from = if defect == Defect::StepWithoutNotice { RARE_DEFECT_FIRST_SEED } else { 0 };
         let found = (from..from + DETECTION_SEEDS).find_map(|seed| run_seed(seed, options).err());
         assert!(found.is_some(), "{defect} was not noticed within {DETECTION_SEEDS} seeds");
