--- a/crates/control-sim/src/main.rs
+++ b/crates/control-sim/src/main.rs
@@ -1,33 +1,33 @@
-//! `hingestage-control-sim`: plays seeds of the control plane.
+//! `hingestage-control-sim`: runs simulations of the control plane for a range of seeds.
 #![forbid(unsafe_code)]
 
-use hingestage_control_sim::{play, play_and_tell, Broken, Defect, Options, Played};
+use hingestage_control_sim::{run_seed, run_seed_traced, Defect, Options, RunSummary, Violation};
 use std::process::ExitCode;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::Mutex;
 
 xflags::xflags! {
-    /// Plays the control plane on a virtual clock, under faults drawn from seeds.
+    /// Simulates the control plane on a virtual clock, with faults drawn from seeds.
     ///
-    /// Exit codes: 0 no rule broken, 1 one was, 2 bad usage.
+    /// Exit codes: 0 all invariants held, 1 an invariant was violated, 2 bad usage.
     cmd hingestage-control-sim {
-        /// The first seed; 0 where it is left out.
+        /// The first seed; default 0.
         optional --from seed: u64
-        /// How many seeds; 100 where it is left out.
+        /// Number of seeds; default 100.
         optional --seeds count: u64
-        /// A fault to plant, by its name.
+        /// The name of a defect to plant.
         optional --defect name: Defect
-        /// Let operators set terms of trials.
+        /// Let operators set trial terms.
         optional --trials
-        /// Tell what happens in the first seed, and play no other.
+        /// Print the events of the first seed and run no other.
         optional --history
-        /// Threads; all cores where it is left out.
+        /// Number of threads; default all cores.
         optional --jobs count: usize
     }
 }
 
-/// Broken seeds that are told of.
-const TOLD_MAX: usize = 10;
+/// Maximum number of violations to print.
+const PRINTED_VIOLATIONS_MAX: usize = 10;
 
 fn main() -> ExitCode {
     let flags = match HingestageControlSim::from_env() {
@@ -41,24 +41,24 @@
     let from = flags.from.unwrap_or_default();
     let options = Options { defect: flags.defect, trials: flags.trials };
     if flags.history {
-        return tell_history(from, options);
+        return print_history(from, options);
     }
     let until = from.saturating_add(flags.seeds.unwrap_or(100));
     let jobs = flags.jobs.unwrap_or_else(|| std::thread::available_parallelism().map_or(1, usize::from));
-    let (played, broken) = play_all(from, until, options, jobs.max(1));
-    for broken in broken.iter().take(TOLD_MAX) {
-        println!("{broken}");
+    let (runs, violations) = run_seeds(from, until, options, jobs.max(1));
+    for violation in violations.iter().take(PRINTED_VIOLATIONS_MAX) {
+        println!("{violation}");
     }
-    let events: u64 = played.iter().map(|played| played.events).sum();
-    let acknowledged: usize = played.iter().map(|played| played.acknowledged).sum();
-    let digest = played.iter().fold(0, |sum, played| sum ^ played.digest);
+    let events: u64 = runs.iter().map(|run| run.events).sum();
+    let acknowledged: usize = runs.iter().map(|run| run.acknowledged).sum();
+    let digest = runs.iter().fold(0, |sum, run| sum ^ run.digest);
     println!(
         "{} seeds, {} broken; {events} events, {acknowledged} configurations acknowledged",
         until - from,
-        broken.len()
+        violations.len()
     );
     println!("digest {digest:016x}");
-    ExitCode::from(u8::from(!broken.is_empty()))
+    ExitCode::from(u8::from(!violations.is_empty()))
 }
 
 fn help(text: &str) -> ExitCode {
@@ -66,18 +66,18 @@
     ExitCode::SUCCESS
 }
 
-fn tell_history(seed: u64, options: Options) -> ExitCode {
-    let result = play_and_tell(seed, options, |at, what| println!("{:>10.3} s  {what}", at as f64 / 1e6));
+fn print_history(seed: u64, options: Options) -> ExitCode {
+    let result = run_seed_traced(seed, options, |at, what| println!("{:>10.3} s  {what}", at as f64 / 1e6));
     match result {
         Ok(_) => ExitCode::SUCCESS,
-        Err(broken) => {
-            println!("{broken}");
+        Err(violation) => {
+            println!("{violation}");
             ExitCode::FAILURE
         }
     }
 }
 
-fn play_all(from: u64, until: u64, options: Options, jobs: usize) -> (Vec<Played>, Vec<Broken>) {
+fn run_seeds(from: u64, until: u64, options: Options, jobs: usize) -> (Vec<RunSummary>, Vec<Violation>) {
     let next = AtomicU64::new(from);
     let results = Mutex::new((Vec::new(), Vec::new()));
     std::thread::scope(|scope| {
@@ -87,16 +87,16 @@
                 if seed >= until {
                     return;
                 }
-                let result = play(seed, options);
+                let result = run_seed(seed, options);
                 let mut results = results.lock().unwrap_or_else(|poisoned| poisoned.into_inner());
                 match result {
-                    Ok(played) => results.0.push(played),
-                    Err(broken) => results.1.push(broken),
+                    Ok(run) => results.0.push(run),
+                    Err(violation) => results.1.push(violation),
                 }
             });
         }
     });
-    let (played, mut broken) = results.into_inner().unwrap_or_else(|poisoned| poisoned.into_inner());
-    broken.sort_by_key(|broken| broken.seed);
-    (played, broken)
+    let (runs, mut violations) = results.into_inner().unwrap_or_else(|poisoned| poisoned.into_inner());
+    violations.sort_by_key(|violation| violation.seed);
+    (runs, violations)
 }
