--- a/crates/control-sim/src/defect.rs
+++ b/crates/control-sim/src/defect.rs
@@ -1,41 +1,41 @@
-//! Faults that are planted on purpose.
+//! Known defects that can be planted to prove that the checks detect them.
 
 use std::fmt;
 use std::str::FromStr;
 
-/// A fault that is planted on purpose.
+/// A defect that replaces correct behaviour in one place.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Defect {
-    /// A store says that an update is on its disk before it is.
+    /// A store acknowledges an update before it is synced to disk.
     AckBeforeSync,
-    /// A proxy counts a lease from when the answer came, not from when it asked.
+    /// A proxy starts a lease at receipt of the answer instead of when it sent the request.
     LeaseFromReceipt,
-    /// Proxies go by the time of day.
+    /// Proxies use the wall clock instead of the monotonic clock.
     WallClock,
-    /// A store that lost its disk speaks as if it had had nothing.
+    /// A store that lost its disk votes under its old disk id.
     EmptyDiskVotes,
-    /// A store answers reads without asking others.
+    /// A store answers reads without confirming with a quorum.
     ReadWithoutContact,
-    /// An order under a serial that another document has is acknowledged.
+    /// A configuration is acknowledged although its serial belongs to another document.
     OtherContentAcknowledged,
-    /// All readers of the platform's list number it alike.
-    DutyWithoutFence,
-    /// A proxy keeps its part of common limits over a restart.
-    PartKeptOverRestart,
-    /// A new proxy gets its part as soon as its name is known.
-    NewcomerAtOnce,
-    /// Each proxy takes steps of trials by its own time of day.
-    StepByOwnClock,
-    /// A proxy takes a step as soon as it hears of it.
-    StepAtOnce,
-    /// The first step is announced as soon as the terms are known.
+    /// All readers of the worker list use the same fence, so their versions collide.
+    ReaderWithoutFence,
+    /// A proxy keeps its share of common limits across a restart.
+    ShareKeptAcrossRestart,
+    /// A new proxy gets its share immediately, before the lease of the previous shares ends.
+    NewProxyAdmittedAtOnce,
+    /// Each proxy applies trial steps by its own wall clock.
+    StepByLocalClock,
+    /// A proxy applies a trial step on receipt, without the delay.
+    StepWithoutDelay,
+    /// The first trial step is announced as soon as the terms are known, without notice.
     StepWithoutNotice,
-    /// A proxy goes by the steps that it knows however old its news is.
+    /// A proxy applies the trial steps that it knows after its lease has expired.
     StepWithoutLease,
 }
 
 impl Defect {
-    /// All of them.
+    /// All defects.
     pub const ALL: [Defect; 13] = [
         Defect::AckBeforeSync,
         Defect::LeaseFromReceipt,
@@ -43,21 +43,21 @@
         Defect::EmptyDiskVotes,
         Defect::ReadWithoutContact,
         Defect::OtherContentAcknowledged,
-        Defect::DutyWithoutFence,
-        Defect::PartKeptOverRestart,
-        Defect::NewcomerAtOnce,
-        Defect::StepByOwnClock,
-        Defect::StepAtOnce,
+        Defect::ReaderWithoutFence,
+        Defect::ShareKeptAcrossRestart,
+        Defect::NewProxyAdmittedAtOnce,
+        Defect::StepByLocalClock,
+        Defect::StepWithoutDelay,
         Defect::StepWithoutNotice,
         Defect::StepWithoutLease,
     ];
 
-    /// Whether it shows only where operators set terms of trials.
-    pub fn is_of_trials(self) -> bool {
+    /// Whether the defect can only be detected when operators set trial terms.
+    pub fn requires_trials(self) -> bool {
         matches!(
             self,
-            Defect::StepByOwnClock
-                | Defect::StepAtOnce
+            Defect::StepByLocalClock
+                | Defect::StepWithoutDelay
                 | Defect::StepWithoutNotice
                 | Defect::StepWithoutLease
         )
@@ -71,11 +71,11 @@
             Defect::EmptyDiskVotes => "empty-disk-votes",
             Defect::ReadWithoutContact => "read-without-contact",
             Defect::OtherContentAcknowledged => "other-content-acknowledged",
-            Defect::DutyWithoutFence => "duty-without-fence",
-            Defect::PartKeptOverRestart => "part-kept-over-restart",
-            Defect::NewcomerAtOnce => "newcomer-at-once",
-            Defect::StepByOwnClock => "step-by-own-clock",
-            Defect::StepAtOnce => "step-at-once",
+            Defect::ReaderWithoutFence => "duty-without-fence",
+            Defect::ShareKeptAcrossRestart => "part-kept-over-restart",
+            Defect::NewProxyAdmittedAtOnce => "newcomer-at-once",
+            Defect::StepByLocalClock => "step-by-own-clock",
+            Defect::StepWithoutDelay => "step-at-once",
             Defect::StepWithoutNotice => "step-without-notice",
             Defect::StepWithoutLease => "step-without-lease",
         }
@@ -93,6 +93,6 @@
 
     fn from_str(text: &str) -> Result<Defect, String> {
         let named = Defect::ALL.into_iter().find(|defect| defect.name() == text);
-        named.ok_or_else(|| format!("no defect is called `{text}`"))
+        named.ok_or_else(|| format!("unknown defect `{text}`"))
     }
 }
--- a/crates/control-sim/src/lib.rs
+++ b/crates/control-sim/src/lib.rs
@@ -1,15 +1,15 @@
-//! The control plane on a virtual clock: the cores of stores, registries and proxies, a network between them, an
-//! operator, a platform, and faults drawn from a seed. The rules are checked from outside, by what each proxy would do.
+//! Deterministic simulation of the control plane on a virtual clock: stores, registries and proxies without sockets, a
+//! network, operators, a platform, and faults drawn from a seed. Invariants are checked from outside the nodes.
 //!
-//! What runs here is the programs' own code without its sockets. A seed is one run. [`Defect`]s plant known faults, to
-//! show that the checks notice them.
+//! A seed determines the whole run. A [`Defect`] plants a known fault to prove that the
+//! checks detect it.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
 mod core_node;
 mod defect;
 mod faults;
-mod judge;
+mod invariants;
 mod message;
 mod platform;
 mod process;
@@ -17,8 +17,8 @@
 mod world;
 
 pub use defect::Defect;
-pub use judge::Broken;
-pub use world::{play, play_and_tell, Options, Played};
+pub use invariants::Violation;
+pub use world::{run_seed, run_seed_traced, Options, RunSummary};
 
 /// A point in time or a span, in microseconds.
 pub type Micros = u64;
